--- a/src/dewledge/adapters/database_protocol.py
+++ b/src/dewledge/adapters/database_protocol.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Statement
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.ports import ExecutionResult
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.ports import ExecutionResult
 from dewledge.errors import (
     ConnectionLimitReached,
     ConnectRefused,
--- a/src/dewledge/adapters/http_database.py
+++ b/src/dewledge/adapters/http_database.py
@@ -29,9 +29,9 @@
     HttpAnswer,
     HttpExchange,
 )
-from dewledge.core.calls import Access, Statement
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.ports import NO_LIMIT, DatabaseConnection, DatabaseDriver, ExecutionResult
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.ports import NO_LIMIT, DatabaseConnection, DatabaseDriver, ExecutionResult
 from dewledge.errors import (
     ConnectionBroken,
     ConnectionClosed,
--- a/src/dewledge/adapters/http_exchange.py
+++ b/src/dewledge/adapters/http_exchange.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from dewledge.core.addresses import split_address
-from dewledge.core.ports import NO_LIMIT
+from dewledge.core.proxy.ports import NO_LIMIT
 from dewledge.errors import ProtocolError
 
 RECEIVE_BYTES = 65536
--- a/src/dewledge/adapters/http_platform.py
+++ b/src/dewledge/adapters/http_platform.py
@@ -25,7 +25,7 @@
     encode_body,
     with_parameter,
 )
-from dewledge.core.ports import (
+from dewledge.core.proxy.ports import (
     MachineList,
     MachineState,
     ObjectStore,
--- a/src/dewledge/adapters/job_runner.py
+++ b/src/dewledge/adapters/job_runner.py
@@ -10,9 +10,16 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Operation, Rows, Statement
-from dewledge.core.jobs import IdempotencyRecord, Job, JobDone, JobNotRun, JobResult, JobUnknown
-from dewledge.core.ports import DatabaseConnection, ExecutionResult
+from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
+from dewledge.core.proxy.jobs import (
+    IdempotencyRecord,
+    Job,
+    JobDone,
+    JobNotRun,
+    JobResult,
+    JobUnknown,
+)
+from dewledge.core.proxy.ports import DatabaseConnection, ExecutionResult
 from dewledge.errors import (
     ConnectionBroken,
     ConnectionClosed,
--- a/src/dewledge/adapters/platform_protocol.py
+++ b/src/dewledge/adapters/platform_protocol.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dewledge.core.ports import MachineState, Row, RowWrite
+from dewledge.core.proxy.ports import MachineState, Row, RowWrite
 
 TABLE_PATH = "/table"
 TRANSACT_PATH = "/table/transact"
--- a/src/dewledge/bench/figures.py
+++ b/src/dewledge/bench/figures.py
@@ -4,7 +4,7 @@
 
 from dewledge.bench.scenarios import ScenarioName
 from dewledge.bench.variants import VariantName
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import ErrorCode
 from dewledge.simulation.deployments import DeploymentName
 from dewledge.simulation.violations import Promise
--- a/src/dewledge/bench/measures.py
+++ b/src/dewledge/bench/measures.py
@@ -13,8 +13,8 @@
     ReadFigures,
     ViolationCount,
 )
-from dewledge.core.calls import Access, Operation, Outcome
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.calls import Access, Operation, Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.simulation.history import (
     CommitRecord,
     ElectionRecord,
--- a/src/dewledge/bench/variants.py
+++ b/src/dewledge/bench/variants.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from dewledge.core.calls import Operation, Outcome
-from dewledge.core.effects import AnswerCaller
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.proxy.effects import ProxyEffect
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.calls import Operation, Outcome
+from dewledge.core.proxy.effects import AnswerCaller
+from dewledge.core.proxy.entry.settings import EntrySettings
 from dewledge.simulation.interceptor import Interceptor
 from dewledge.simulation.naive import (
     NoFreshnessCheck,
--- a/src/dewledge/cli/check.py
+++ b/src/dewledge/cli/check.py
@@ -50,8 +50,11 @@
 
 
 def _check_resources(file: Path, partial: bool) -> None:
-    from dewledge.core.configuration.configuration import Configuration
-    from dewledge.core.configuration.resource_documents import check_configuration, load_documents
+    from dewledge.core.proxy.configuration.configuration import Configuration
+    from dewledge.core.proxy.configuration.resource_documents import (
+        check_configuration,
+        load_documents,
+    )
 
     resources = load_documents(read_text(file), file.name)
     findings = [] if partial else check_configuration(Configuration(0, resources))
--- a/src/dewledge/cli/operator_commands.py
+++ b/src/dewledge/cli/operator_commands.py
@@ -15,8 +15,8 @@
 )
 from dewledge.cli.options import DEFAULT_PROXIES, OutputOption, ProxyOption, TokenOption
 from dewledge.cli.output import CommandFailed, OutputFormat, print_json, print_table
-from dewledge.core.configuration.configuration import DRAIN_LABEL
-from dewledge.core.configuration.resources import Kind
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL
+from dewledge.core.proxy.configuration.resources import Kind
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 
 TimeoutOption = Annotated[
@@ -48,7 +48,7 @@
     change_id: ChangeIdOption = None,
 ) -> None:
     """Create or replace all resources of a file, in one change."""
-    from dewledge.core.configuration.resource_documents import load_documents, to_document
+    from dewledge.core.proxy.configuration.resource_documents import load_documents, to_document
 
     resources = load_documents(read_text(file), file.name)
     change: dict[str, Any] = {"put": [to_document(resource) for resource in resources]}
--- a/src/dewledge/cli/operator_commands_change.py
+++ b/src/dewledge/cli/operator_commands_change.py
@@ -14,7 +14,7 @@
 
 from dewledge.cli.http_client import AnswerLost, HttpAnswer, ProxyClient, ProxyUnreachable
 from dewledge.cli.output import CommandFailed, OutputFormat, print_json
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import DewledgeError, ErrorCode, InvalidInput
 
 CHANGES_PATH = "/v1/changes"
--- a/src/dewledge/cli/query.py
+++ b/src/dewledge/cli/query.py
@@ -17,7 +17,7 @@
     print_json,
     print_table,
 )
-from dewledge.core.calls import Access, Outcome
+from dewledge.core.proxy.calls import Access, Outcome
 from dewledge.errors import ErrorCode, InvalidInput
 
 ANSWER_GRACE = 2.0
--- a/src/dewledge/coordination.py
+++ b/src/dewledge/coordination.py
@@ -39,15 +39,18 @@
     `LogEvent` (one line for the log), `DewledgeError` and `ErrorCode`.
 """
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import (
+from dewledge.core.load.retry_budget import RetryBudget
+from dewledge.core.load.service_rate import ServiceRate
+from dewledge.core.positions import LOG_START, LogPosition, TermStart, is_cut_off, satisfies
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import (
     EMPTY_CONFIGURATION,
     ChangeSet,
     Configuration,
     ResourceKey,
 )
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     Expression,
@@ -60,16 +63,16 @@
     Selector,
     SelectorOperator,
 )
-from dewledge.core.configuration.selectors import matches
-from dewledge.core.configuration.spread import (
+from dewledge.core.proxy.configuration.selectors import matches
+from dewledge.core.proxy.configuration.spread import (
     ConfigurationChanged,
     ConfigurationSpread,
     SpreadEffect,
     SpreadSettings,
 )
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.effects import LogEvent, SendToPeer
-from dewledge.core.entry.group_description import (
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.effects import LogEvent, SendToPeer
+from dewledge.core.proxy.entry.group_description import (
     DatabaseDescription,
     GroupDescription,
     describe,
@@ -79,33 +82,30 @@
     with_status,
     with_unavailable,
 )
-from dewledge.core.entry.server_selection import (
+from dewledge.core.proxy.entry.server_selection import (
     Freshness,
     ReadChoice,
     ReadQuery,
     choose_replica,
     readable_replicas,
 )
-from dewledge.core.entry.session_token import NO_FLOORS, SessionFloors, SessionTokenCodec
-from dewledge.core.gateway.admission import Refusal, full_refusal, wait_refusal
-from dewledge.core.gateway.fair_queue import FairQueue, QueueEntry
-from dewledge.core.load.retry_budget import RetryBudget
-from dewledge.core.load.service_rate import ServiceRate
-from dewledge.core.membership.isolation import IsolationGuard, IsolationSettings
-from dewledge.core.membership.member import Member, MemberState
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.entry.session_token import NO_FLOORS, SessionFloors, SessionTokenCodec
+from dewledge.core.proxy.gateway.admission import Refusal, full_refusal, wait_refusal
+from dewledge.core.proxy.gateway.fair_queue import FairQueue, QueueEntry
+from dewledge.core.proxy.membership.isolation import IsolationGuard, IsolationSettings
+from dewledge.core.proxy.membership.member import Member, MemberState
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.messages import (
     MembersChanged,
     MembershipEffect,
     PeerRevisionSeen,
     SendDatagram,
     StoreContactSeen,
 )
-from dewledge.core.membership.placement import GatewayPlacement
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.messages import decode as decode_message
-from dewledge.core.messages import encode as encode_message
-from dewledge.core.positions import LOG_START, LogPosition, TermStart, is_cut_off, satisfies
+from dewledge.core.proxy.membership.placement import GatewayPlacement
+from dewledge.core.proxy.membership.settings import MembershipSettings
+from dewledge.core.proxy.messages import decode as decode_message
+from dewledge.core.proxy.messages import encode as encode_message
 from dewledge.errors import BadSessionToken, DewledgeError, ErrorCode, ProtocolError
 
 __all__ = [
--- a/src/dewledge/core/proxy/__init__.py
+++ b/src/dewledge/core/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Entry, gateway, membership and configuration assembled into one state machine."""
+"""Decision core of the proxy: requests over HTTP, gateways, membership, configuration."""
--- a/src/dewledge/core/proxy/core.py
+++ b/src/dewledge/core/proxy/assembly/core.py
@@ -8,26 +8,26 @@
 from random import Random
 from typing import Any
 
-from dewledge.core.calls import CallerRequest, Outcome
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings, ProxyParts
+from dewledge.core.proxy.assembly.router import ProxyRouter
+from dewledge.core.proxy.calls import CallerRequest, Outcome
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.store import (
     ProposalFinished,
     ProposedChange,
     StoreCaller,
     StoreResult,
 )
-from dewledge.core.effects import SendToPeer
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.gateway.report import DatabaseReport
-from dewledge.core.jobs import JobResult, StatusReading
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.placement import GatewayPlacement
-from dewledge.core.messages import Leaving, PeerMessage
-from dewledge.core.ports import MachineState
-from dewledge.core.proxy.effects import ProxyEffect
-from dewledge.core.proxy.parts import ProxyCoreSettings, ProxyParts
-from dewledge.core.proxy.router import ProxyRouter
+from dewledge.core.proxy.effects import SendToPeer
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.gateway.report import DatabaseReport
+from dewledge.core.proxy.jobs import JobResult, StatusReading
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.placement import GatewayPlacement
+from dewledge.core.proxy.messages import Leaving, PeerMessage
+from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import ErrorCode
 
 MAX_PEERS_TOLD_OF_LEAVING = 64
--- a/src/dewledge/core/proxy/parts.py
+++ b/src/dewledge/core/proxy/assembly/parts.py
@@ -5,19 +5,19 @@
 
 import msgspec
 
-from dewledge.core.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
-from dewledge.core.configuration.poller import ConfigurationPoller, PollerSettings
-from dewledge.core.configuration.spread import ConfigurationSpread, SpreadSettings
-from dewledge.core.entry.entry import Entry
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.gateway.gateway import Gateway
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.membership.isolation import IsolationGuard, IsolationSettings
-from dewledge.core.membership.machine_list_reader import MachineListReader
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.settings import MembershipSettings
+from dewledge.core.proxy.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
+from dewledge.core.proxy.configuration.poller import ConfigurationPoller, PollerSettings
+from dewledge.core.proxy.configuration.spread import ConfigurationSpread, SpreadSettings
+from dewledge.core.proxy.entry.entry import Entry
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.gateway.gateway import Gateway
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.membership.isolation import IsolationGuard, IsolationSettings
+from dewledge.core.proxy.membership.machine_list_reader import MachineListReader
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.settings import MembershipSettings
 
 
 class ProxyCoreSettings(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/proxy/router.py
+++ b/src/dewledge/core/proxy/assembly/router.py
@@ -9,11 +9,13 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.spread import ConfigurationChanged
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.assembly.parts import ProxyParts
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.spread import ConfigurationChanged
+from dewledge.core.proxy.configuration.store import (
     HEAD_KEY,
     ConfigurationLearned,
     ProposalFinished,
@@ -22,11 +24,15 @@
     StoreCaller,
     StoreReached,
 )
-from dewledge.core.effects import LogEvent, SendToPeer
-from dewledge.core.membership.member import Member, MemberState
-from dewledge.core.membership.messages import MembersChanged, PeerRevisionSeen, StoreContactSeen
-from dewledge.core.membership.placement import GatewayPlacement
-from dewledge.core.messages import (
+from dewledge.core.proxy.effects import LogEvent, SendToPeer
+from dewledge.core.proxy.membership.member import Member, MemberState
+from dewledge.core.proxy.membership.messages import (
+    MembersChanged,
+    PeerRevisionSeen,
+    StoreContactSeen,
+)
+from dewledge.core.proxy.membership.placement import GatewayPlacement
+from dewledge.core.proxy.messages import (
     CancelRequest,
     ConfigurationDelta,
     ConfigurationDigest,
@@ -41,8 +47,6 @@
     StatementRequest,
     StatementUnknown,
 )
-from dewledge.core.proxy.effects import ProxyEffect
-from dewledge.core.proxy.parts import ProxyParts
 
 InwardHandler = Callable[[Any, float], Iterable[Any]]
 
--- a/src/dewledge/core/configuration/acceptance.py
+++ b/src/dewledge/core/proxy/configuration/acceptance.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.acceptance_steps import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.acceptance_steps import (
     Acceptance,
     accept_change,
     look_up_change,
 )
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.store import (
     ChangeLookedUp,
     ConfigurationLearned,
     ProposalFinished,
@@ -25,8 +25,8 @@
     StoreCaller,
     StoreResult,
 )
-from dewledge.core.configuration.store_task import RetrySettings, StoreTask
-from dewledge.core.effects import LogEvent
+from dewledge.core.proxy.configuration.store_task import RetrySettings, StoreTask
+from dewledge.core.proxy.effects import LogEvent
 from dewledge.errors import ErrorCode
 
 AcceptanceEffect = StoreCall | ProposalFinished | ChangeLookedUp | ConfigurationLearned | LogEvent
--- a/src/dewledge/core/configuration/acceptance_change.py
+++ b/src/dewledge/core/proxy/configuration/acceptance_change.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.resource_documents_check import check_configuration
-from dewledge.core.configuration.resources import Resource
-from dewledge.core.configuration.store import LabelChange, ProposedChange
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.resource_documents_check import check_configuration
+from dewledge.core.proxy.configuration.resources import Resource
+from dewledge.core.proxy.configuration.store import LabelChange, ProposedChange
 from dewledge.errors import ErrorCode, Finding
 
 CHANGE_ID = re.compile(r"[A-Za-z0-9_-]{1,64}")
--- a/src/dewledge/core/configuration/acceptance_steps.py
+++ b/src/dewledge/core/proxy/configuration/acceptance_steps.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.acceptance_change import resolve_change
-from dewledge.core.configuration.codec import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.acceptance_change import resolve_change
+from dewledge.core.proxy.configuration.codec import (
     decode_change,
     decode_content,
     decode_snapshot,
@@ -17,8 +17,8 @@
     encode_content,
     encode_snapshot,
 )
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.store import (
     HEAD_KEY,
     NO_REVISION,
     SNAPSHOT_KEY,
@@ -35,8 +35,8 @@
     revision_key,
     snapshot_object,
 )
-from dewledge.core.configuration.store_task import StoreGaveUp, StoreSteps
-from dewledge.core.ports import Row, RowWrite
+from dewledge.core.proxy.configuration.store_task import StoreGaveUp, StoreSteps
+from dewledge.core.proxy.ports import Row, RowWrite
 from dewledge.errors import (
     DewledgeError,
     ErrorCode,
--- a/src/dewledge/core/configuration/authorization.py
+++ b/src/dewledge/core/proxy/configuration/authorization.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from dewledge.core.caller_tokens import index_tokens, token_digest
-from dewledge.core.calls import Access
-from dewledge.core.configuration.configuration import DRAIN_LABEL, Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
+from dewledge.core.proxy.configuration.resources import (
     SELECT_ALL,
     CallerSpec,
     Kind,
@@ -15,7 +15,7 @@
     RuleSpec,
     Selector,
 )
-from dewledge.core.configuration.selectors import LabelIndex
+from dewledge.core.proxy.configuration.selectors import LabelIndex
 
 BOOTSTRAP_OPERATOR = "bootstrap-operator"
 """The caller that presents the operator token of the settings; no Caller resource may be so named.
--- a/src/dewledge/core/configuration/codec.py
+++ b/src/dewledge/core/proxy/configuration/codec.py
@@ -9,8 +9,8 @@
 import cbor2
 import msgspec
 
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
--- a/src/dewledge/core/configuration/configuration.py
+++ b/src/dewledge/core/proxy/configuration/configuration.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
--- a/src/dewledge/core/configuration/history.py
+++ b/src/dewledge/core/proxy/configuration/history.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import ChangeSet
+from dewledge.core.proxy.configuration.configuration import ChangeSet
 
 
 class RecordedChange(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/configuration/poller.py
+++ b/src/dewledge/core/proxy/configuration/poller.py
@@ -14,17 +14,17 @@
 import msgspec
 import xxhash
 
-from dewledge.core.configuration.acceptance_steps import catch_up, read_head, write_snapshot
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.acceptance_steps import catch_up, read_head, write_snapshot
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.store import (
     ConfigurationLearned,
     StoreCall,
     StoreCaller,
     StoreReached,
     StoreResult,
 )
-from dewledge.core.configuration.store_task import RetrySettings, StoreSteps, StoreTask
-from dewledge.core.effects import LogEvent
+from dewledge.core.proxy.configuration.store_task import RetrySettings, StoreSteps, StoreTask
+from dewledge.core.proxy.effects import LogEvent
 from dewledge.errors import DewledgeError
 
 Value = TypeVar("Value")
--- a/src/dewledge/core/configuration/resource_documents.py
+++ b/src/dewledge/core/proxy/configuration/resource_documents.py
@@ -6,21 +6,27 @@
 import msgspec
 from pydantic import ValidationError
 
-from dewledge.core.configuration.configuration import ResourceKey
-from dewledge.core.configuration.resource_documents_check import (
+from dewledge.core.proxy.configuration.configuration import ResourceKey
+from dewledge.core.proxy.configuration.resource_documents_check import (
     SELECTORS_BY_EFFECT,
     check_configuration,
     check_resource,
     selectors_of,
 )
-from dewledge.core.configuration.resource_documents_model import (
+from dewledge.core.proxy.configuration.resource_documents_model import (
     API_VERSION,
     MODELS,
     SPEC_MODELS,
     RuleModel,
 )
-from dewledge.core.configuration.resource_documents_yaml import parse_documents
-from dewledge.core.configuration.resources import Kind, Resource, RuleEffect, RuleSpec, Selector
+from dewledge.core.proxy.configuration.resource_documents_yaml import parse_documents
+from dewledge.core.proxy.configuration.resources import (
+    Kind,
+    Resource,
+    RuleEffect,
+    RuleSpec,
+    Selector,
+)
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 from dewledge.validation import findings_of_validation
 
--- a/src/dewledge/core/configuration/resource_documents_check.py
+++ b/src/dewledge/core/proxy/configuration/resource_documents_check.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 from dewledge.core.addresses import check_remote_address
-from dewledge.core.configuration.authorization import BOOTSTRAP_OPERATOR
-from dewledge.core.configuration.codec import SPEC_TYPES
-from dewledge.core.configuration.configuration import DRAIN_LABEL, Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.authorization import BOOTSTRAP_OPERATOR
+from dewledge.core.proxy.configuration.codec import SPEC_TYPES
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
+from dewledge.core.proxy.configuration.resources import (
     SELECT_ALL,
     CallerSpec,
     DatabaseSpec,
@@ -20,7 +20,7 @@
     Selector,
     SelectorOperator,
 )
-from dewledge.core.configuration.selectors import DERIVED_LABELS, GROUP_LABEL, NAME_LABEL
+from dewledge.core.proxy.configuration.selectors import DERIVED_LABELS, GROUP_LABEL, NAME_LABEL
 from dewledge.errors import ErrorCode, Finding
 
 NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?")
--- a/src/dewledge/core/configuration/resource_documents_model.py
+++ b/src/dewledge/core/proxy/configuration/resource_documents_model.py
@@ -8,8 +8,8 @@
 from pydantic import BaseModel, BeforeValidator, ConfigDict, Field, StrictInt, StrictStr
 from pydantic.alias_generators import to_camel
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.resources import (
     DEFAULT_MAX_CONNECTIONS,
     DEFAULT_READ_WAIT,
     DEFAULT_SLOTS,
--- a/src/dewledge/core/configuration/resources.py
+++ b/src/dewledge/core/proxy/configuration/resources.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access
+from dewledge.core.proxy.calls import Access
 
 
 class Kind(StrEnum):
--- a/src/dewledge/core/configuration/selectors.py
+++ b/src/dewledge/core/proxy/configuration/selectors.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.resources import (
     DatabaseSpec,
     Expression,
     Resource,
--- a/src/dewledge/core/configuration/spread.py
+++ b/src/dewledge/core/proxy/configuration/spread.py
@@ -11,22 +11,22 @@
 
 import msgspec
 
-from dewledge.core.configuration.codec import (
+from dewledge.core.proxy.configuration.codec import (
     decode_change,
     decode_snapshot,
     encode_change,
     encode_snapshot,
 )
-from dewledge.core.configuration.configuration import (
+from dewledge.core.proxy.configuration.configuration import (
     EMPTY_CONFIGURATION,
     ChangeSet,
     Configuration,
     ResourceKey,
 )
-from dewledge.core.configuration.history import ChangeHistory, RecordedChange
-from dewledge.core.effects import LogEvent, SendToPeer
-from dewledge.core.membership.member import Member
-from dewledge.core.messages import (
+from dewledge.core.proxy.configuration.history import ChangeHistory, RecordedChange
+from dewledge.core.proxy.effects import LogEvent, SendToPeer
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.messages import (
     ConfigurationDelta,
     ConfigurationDigest,
     ConfigurationRequest,
--- a/src/dewledge/core/configuration/store.py
+++ b/src/dewledge/core/proxy/configuration/store.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.resources import Resource
-from dewledge.core.ports import Row, RowWrite
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.resources import Resource
+from dewledge.core.proxy.ports import Row, RowWrite
 from dewledge.errors import ErrorCode, Finding
 
 HEAD_KEY = "configuration/head"
--- a/src/dewledge/core/configuration/store_task.py
+++ b/src/dewledge/core/proxy/configuration/store_task.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.store import (
     PutObject,
     StoreCall,
     StoreCaller,
--- a/src/dewledge/core/entry/answer_handler.py
+++ b/src/dewledge/core/proxy/entry/answer_handler.py
@@ -2,19 +2,23 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.calls import Operation
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.group_description import with_gamble, with_primary_denied, with_unavailable
-from dewledge.core.entry.pending_requests import PendingRequest
-from dewledge.core.entry.primary_doubt import DoubtReason, PrimaryClaim
-from dewledge.core.entry.primary_watch import is_write
-from dewledge.core.entry.reactions import Reaction, reaction_to, transaction_code
-from dewledge.core.entry.request_finish import RequestFinisher
-from dewledge.core.entry.request_router import RequestRouter
-from dewledge.core.entry.server_selection import Freshness
-from dewledge.core.entry.state import EntryState
-from dewledge.core.messages import StatementDone, StatementNotRun, StatementUnknown
 from dewledge.core.positions import satisfies
+from dewledge.core.proxy.calls import Operation
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.group_description import (
+    with_gamble,
+    with_primary_denied,
+    with_unavailable,
+)
+from dewledge.core.proxy.entry.pending_requests import PendingRequest
+from dewledge.core.proxy.entry.primary_doubt import DoubtReason, PrimaryClaim
+from dewledge.core.proxy.entry.primary_watch import is_write
+from dewledge.core.proxy.entry.reactions import Reaction, reaction_to, transaction_code
+from dewledge.core.proxy.entry.request_finish import RequestFinisher
+from dewledge.core.proxy.entry.request_router import RequestRouter
+from dewledge.core.proxy.entry.server_selection import Freshness
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.messages import StatementDone, StatementNotRun, StatementUnknown
 from dewledge.errors import ErrorCode
 
 _UNREACHABLE_CODES = frozenset({ErrorCode.DATABASE_UNREACHABLE})
--- a/src/dewledge/core/entry/entry.py
+++ b/src/dewledge/core/proxy/entry/entry.py
@@ -12,26 +12,26 @@
 from collections.abc import Sequence
 from random import Random
 
-from dewledge.core.calls import Access, CallerRequest, Operation
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.effects import Effect
-from dewledge.core.entry.answer_handler import AnswerHandler
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.pending_requests import PendingRequest
-from dewledge.core.entry.request_finish import RequestFinisher
-from dewledge.core.entry.request_router import RequestRouter
-from dewledge.core.entry.session_token import NO_FLOORS, SessionFloors, SessionTokenCodec
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.entry.state import EntryState
-from dewledge.core.membership.placement import GatewayPlacement
-from dewledge.core.messages import (
+from dewledge.core.proxy.calls import Access, CallerRequest, Operation
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.effects import Effect
+from dewledge.core.proxy.entry.answer_handler import AnswerHandler
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.pending_requests import PendingRequest
+from dewledge.core.proxy.entry.request_finish import RequestFinisher
+from dewledge.core.proxy.entry.request_router import RequestRouter
+from dewledge.core.proxy.entry.session_token import NO_FLOORS, SessionFloors, SessionTokenCodec
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.membership.placement import GatewayPlacement
+from dewledge.core.proxy.messages import (
     GroupStatusAnswer,
     StatementDone,
     StatementNotRun,
     StatementUnknown,
 )
-from dewledge.core.transaction_ids import gateway_of_transaction
+from dewledge.core.proxy.transaction_ids import gateway_of_transaction
 from dewledge.errors import BadSessionToken, ErrorCode
 
 AnswerMessage = StatementDone | StatementNotRun | StatementUnknown | GroupStatusAnswer
--- a/src/dewledge/core/entry/failover_wait.py
+++ b/src/dewledge/core/proxy/entry/failover_wait.py
@@ -1,8 +1,8 @@
 """The requests of one group that wait for a primary, and what is known of the failover."""
 
-from dewledge.core.entry.group_description import GroupDescription
-from dewledge.core.entry.pending_requests import PendingRequest, RequestState
-from dewledge.core.entry.primary_doubt import DoubtReason, PrimaryClaim, PrimaryDoubt
+from dewledge.core.proxy.entry.group_description import GroupDescription
+from dewledge.core.proxy.entry.pending_requests import PendingRequest, RequestState
+from dewledge.core.proxy.entry.primary_doubt import DoubtReason, PrimaryClaim, PrimaryDoubt
 
 EXPECTED_DURATION_GAIN = 0.3
 EXPECTED_SHARE_TO_WAIT_FOR = 0.5
--- a/src/dewledge/core/entry/group.py
+++ b/src/dewledge/core/proxy/entry/group.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Iterable
 
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.entry.failover_wait import FailoverWait
-from dewledge.core.entry.group_description import (
+from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.entry.failover_wait import FailoverWait
+from dewledge.core.proxy.entry.group_description import (
     GroupDescription,
     describe,
     with_applied,
@@ -12,12 +13,11 @@
     with_lag_sample,
     with_status,
 )
-from dewledge.core.entry.head_history import HeadHistory
-from dewledge.core.entry.pending_requests import PendingRequest
-from dewledge.core.entry.primary_doubt import PrimaryClaim
-from dewledge.core.entry.primary_watch import PrimaryWatch
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.entry.head_history import HeadHistory
+from dewledge.core.proxy.entry.pending_requests import PendingRequest
+from dewledge.core.proxy.entry.primary_doubt import PrimaryClaim
+from dewledge.core.proxy.entry.primary_watch import PrimaryWatch
+from dewledge.core.proxy.entry.settings import EntrySettings
 
 
 class EntryGroup:
--- a/src/dewledge/core/entry/primary_watch.py
+++ b/src/dewledge/core/proxy/entry/primary_watch.py
@@ -1,8 +1,8 @@
 """What the primary of one group owes this entry, and when its silence becomes suspect."""
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.entry.pending_requests import PendingRequest
-from dewledge.core.entry.settings import EntrySettings
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.entry.pending_requests import PendingRequest
+from dewledge.core.proxy.entry.settings import EntrySettings
 
 LATENCY_GAIN = 0.125
 LATENCY_DEVIATION_GAIN = 0.25
--- a/src/dewledge/core/entry/read_routing.py
+++ b/src/dewledge/core/proxy/entry/read_routing.py
@@ -1,16 +1,16 @@
 """Which databases a read may use: the rules, the drained ones, and the choice of a replica."""
 
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.pending_requests import PendingRequest
-from dewledge.core.entry.primary_doubt import PrimaryClaim
-from dewledge.core.entry.server_selection import (
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.pending_requests import PendingRequest
+from dewledge.core.proxy.entry.primary_doubt import PrimaryClaim
+from dewledge.core.proxy.entry.server_selection import (
     LAG_DEVIATIONS,
     ReadChoice,
     ReadQuery,
     choose_replica,
     readable_replicas,
 )
-from dewledge.core.entry.state import EntryState
+from dewledge.core.proxy.entry.state import EntryState
 
 DEFAULT_READ_WAIT = 0.01
 """Seconds; for a group that has just left the configuration."""
--- a/src/dewledge/core/entry/request_finish.py
+++ b/src/dewledge/core/proxy/entry/request_finish.py
@@ -1,10 +1,15 @@
 """Ends of a request's way: every accepted request is answered here, once."""
 
-from dewledge.core.calls import Access, CallerAnswer, CallerRequest, Operation, Outcome
-from dewledge.core.entry.pending_requests import PendingRequest, RequestState
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.entry.state import EntryState
-from dewledge.core.messages import CancelRequest, StatementDone, StatementNotRun, StatementRequest
+from dewledge.core.proxy.calls import Access, CallerAnswer, CallerRequest, Operation, Outcome
+from dewledge.core.proxy.entry.pending_requests import PendingRequest, RequestState
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.messages import (
+    CancelRequest,
+    StatementDone,
+    StatementNotRun,
+    StatementRequest,
+)
 from dewledge.errors import ErrorCode
 
 REMEMBERED_BEGINS = 1024
--- a/src/dewledge/core/entry/request_router.py
+++ b/src/dewledge/core/proxy/entry/request_router.py
@@ -1,17 +1,17 @@
 """Decides where each request goes next: to a replica, to the primary, or into the wait for one."""
 
-from dewledge.core.calls import Operation
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.pending_requests import PendingRequest, RequestState
-from dewledge.core.entry.primary_doubt import DoubtReason, PrimaryClaim
-from dewledge.core.entry.read_index import ReadIndex
-from dewledge.core.entry.read_routing import ReadRouting
-from dewledge.core.entry.request_finish import RequestFinisher
-from dewledge.core.entry.request_sender import RequestSender
-from dewledge.core.entry.server_selection import Freshness, ReadChoice
-from dewledge.core.entry.state import EntryState
-from dewledge.core.entry.status_watch import StatusWatch
-from dewledge.core.messages import CancelRequest, GroupStatusAnswer
+from dewledge.core.proxy.calls import Operation
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.pending_requests import PendingRequest, RequestState
+from dewledge.core.proxy.entry.primary_doubt import DoubtReason, PrimaryClaim
+from dewledge.core.proxy.entry.read_index import ReadIndex
+from dewledge.core.proxy.entry.read_routing import ReadRouting
+from dewledge.core.proxy.entry.request_finish import RequestFinisher
+from dewledge.core.proxy.entry.request_sender import RequestSender
+from dewledge.core.proxy.entry.server_selection import Freshness, ReadChoice
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.entry.status_watch import StatusWatch
+from dewledge.core.proxy.messages import CancelRequest, GroupStatusAnswer
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/entry/request_sender.py
+++ b/src/dewledge/core/proxy/entry/request_sender.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from dewledge.core.calls import Operation
-from dewledge.core.entry.pending_requests import PendingRequest, RequestState
-from dewledge.core.entry.state import EntryState
-from dewledge.core.messages import StatementRequest
+from dewledge.core.proxy.calls import Operation
+from dewledge.core.proxy.entry.pending_requests import PendingRequest, RequestState
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.messages import StatementRequest
 
 _MARGIN_SHARE = 0.1
 _CANDIDATE_GATEWAYS = 2
--- a/src/dewledge/core/entry/state.py
+++ b/src/dewledge/core/proxy/entry/state.py
@@ -2,17 +2,17 @@
 
 from random import Random
 
-from dewledge.core.calls import CallerAnswer, Outcome
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.effects import AnswerCaller, Effect, LogEvent, SendToPeer
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.pending_requests import PendingRequest, PendingRequests
-from dewledge.core.entry.settings import EntrySettings
 from dewledge.core.load.retry_budget import RetryBudget
-from dewledge.core.membership.placement import GatewayPlacement
-from dewledge.core.messages import PeerMessage
-from dewledge.core.timer_queue import TimerQueue
+from dewledge.core.proxy.calls import CallerAnswer, Outcome
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.effects import AnswerCaller, Effect, LogEvent, SendToPeer
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.pending_requests import PendingRequest, PendingRequests
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.membership.placement import GatewayPlacement
+from dewledge.core.proxy.messages import PeerMessage
+from dewledge.core.proxy.timer_queue import TimerQueue
 from dewledge.errors import ErrorCode
 
 _CORRELATION_START_BITS = 48
--- a/src/dewledge/core/entry/status_watch.py
+++ b/src/dewledge/core/proxy/entry/status_watch.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from dewledge.core.entry.group import EntryGroup
-from dewledge.core.entry.state import EntryState
-from dewledge.core.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.proxy.entry.group import EntryGroup
+from dewledge.core.proxy.entry.state import EntryState
+from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
 
 POLL_JITTER = 0.25
 
--- a/src/dewledge/core/gateway/connection_pool.py
+++ b/src/dewledge/core/proxy/gateway/connection_pool.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Callable
 
-from dewledge.core.effects import CloseConnection, OpenConnection
-from dewledge.core.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.effects import CloseConnection, OpenConnection
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/gateway/context.py
+++ b/src/dewledge/core/proxy/gateway/context.py
@@ -4,10 +4,10 @@
 from random import Random
 from typing import Protocol
 
-from dewledge.core.effects import Effect, LogEvent
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.jobs import JobResult, StatusReading
-from dewledge.core.timer_queue import TimerQueue
+from dewledge.core.proxy.effects import Effect, LogEvent
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.jobs import JobResult, StatusReading
+from dewledge.core.proxy.timer_queue import TimerQueue
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/gateway/database.py
+++ b/src/dewledge/core/proxy/gateway/database.py
@@ -7,28 +7,28 @@
 
 import msgspec
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.resources import DatabaseSpec
-from dewledge.core.gateway.admission import Refusal
-from dewledge.core.gateway.connection_pool import ConnectionPool
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.gateway.group_monitor import GroupMonitor
-from dewledge.core.gateway.open_failure_log import OpenFailureLog
-from dewledge.core.gateway.report import DatabaseReport, GatewayRole
-from dewledge.core.gateway.request import GatewayRequest, RequestRegistry
-from dewledge.core.gateway.running_jobs import RunningJobs
-from dewledge.core.gateway.statement_conclusion import StatementConclusion
-from dewledge.core.gateway.transaction_operations import GatewayTransactions
-from dewledge.core.gateway.transactions import Transaction, TransactionTable
-from dewledge.core.gateway.waiting_room import (
+from dewledge.core.load.service_rate import ServiceRate
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.resources import DatabaseSpec
+from dewledge.core.proxy.gateway.admission import Refusal
+from dewledge.core.proxy.gateway.connection_pool import ConnectionPool
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.gateway.group_monitor import GroupMonitor
+from dewledge.core.proxy.gateway.open_failure_log import OpenFailureLog
+from dewledge.core.proxy.gateway.report import DatabaseReport, GatewayRole
+from dewledge.core.proxy.gateway.request import GatewayRequest, RequestRegistry
+from dewledge.core.proxy.gateway.running_jobs import RunningJobs
+from dewledge.core.proxy.gateway.statement_conclusion import StatementConclusion
+from dewledge.core.proxy.gateway.transaction_operations import GatewayTransactions
+from dewledge.core.proxy.gateway.transactions import Transaction, TransactionTable
+from dewledge.core.proxy.gateway.waiting_room import (
     DRAINED,
     ISOLATED,
     UNREACHABLE,
     TimeNeeded,
     WaitingRoom,
 )
-from dewledge.core.jobs import JobDone, JobNotRun, JobResult, JobUnknown
-from dewledge.core.load.service_rate import ServiceRate
+from dewledge.core.proxy.jobs import JobDone, JobNotRun, JobResult, JobUnknown
 from dewledge.errors import ErrorCode
 
 TIMED_OUT_SHARE = 0.95
--- a/src/dewledge/core/gateway/gateway.py
+++ b/src/dewledge/core/proxy/gateway/gateway.py
@@ -9,17 +9,17 @@
 
 from random import Random
 
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.effects import Effect, SendToPeer
-from dewledge.core.gateway.context import GatewayContext
-from dewledge.core.gateway.report import DatabaseReport
-from dewledge.core.gateway.request import GatewayRequest, RequestRegistry
-from dewledge.core.gateway.roster import DrainPolicy, GatewayRoster, Placement
-from dewledge.core.gateway.routing import GatewayRouting
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.gateway.transactions import TransactionTable
-from dewledge.core.jobs import JobResult, StatusReading
-from dewledge.core.messages import (
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.effects import Effect, SendToPeer
+from dewledge.core.proxy.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.report import DatabaseReport
+from dewledge.core.proxy.gateway.request import GatewayRequest, RequestRegistry
+from dewledge.core.proxy.gateway.roster import DrainPolicy, GatewayRoster, Placement
+from dewledge.core.proxy.gateway.routing import GatewayRouting
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.gateway.transactions import TransactionTable
+from dewledge.core.proxy.jobs import JobResult, StatusReading
+from dewledge.core.proxy.messages import (
     CancelRequest,
     GroupStatusAnswer,
     GroupStatusRequest,
--- a/src/dewledge/core/gateway/group_monitor.py
+++ b/src/dewledge/core/proxy/gateway/group_monitor.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Callable, Mapping
 
-from dewledge.core.configuration.resources import Confirmation
-from dewledge.core.effects import SendToPeer
-from dewledge.core.gateway.confirmation import Claim, RoundEvidence, Verdict, judge
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.gateway.status_cache import StatusCache
-from dewledge.core.gateway.status_rounds import StatusRound, StatusRounds
-from dewledge.core.jobs import StatusReading
 from dewledge.core.load.service_rate import UsualTime
-from dewledge.core.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.proxy.configuration.resources import Confirmation
+from dewledge.core.proxy.effects import SendToPeer
+from dewledge.core.proxy.gateway.confirmation import Claim, RoundEvidence, Verdict, judge
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.gateway.status_cache import StatusCache
+from dewledge.core.proxy.gateway.status_rounds import StatusRound, StatusRounds
+from dewledge.core.proxy.jobs import StatusReading
+from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
 from dewledge.errors import ErrorCode
 
 RETRY_GROWTH = 1.5
--- a/src/dewledge/core/gateway/open_failure_log.py
+++ b/src/dewledge/core/proxy/gateway/open_failure_log.py
@@ -1,6 +1,6 @@
 """Logs that a database cannot be connected to, without a line for each of the many tries."""
 
-from dewledge.core.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.context import GatewayContext
 from dewledge.errors import ErrorCode
 
 LOG_INTERVAL = 60.0
--- a/src/dewledge/core/gateway/request.py
+++ b/src/dewledge/core/proxy/gateway/request.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from dewledge.core.calls import Operation
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.effects import SendToPeer
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.gateway.fair_queue import QueueEntry
-from dewledge.core.jobs import JobDone
-from dewledge.core.messages import (
+from dewledge.core.proxy.calls import Operation
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.effects import SendToPeer
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.gateway.fair_queue import QueueEntry
+from dewledge.core.proxy.jobs import JobDone
+from dewledge.core.proxy.messages import (
     StatementDone,
     StatementNotRun,
     StatementRequest,
--- a/src/dewledge/core/gateway/roster.py
+++ b/src/dewledge/core/proxy/gateway/roster.py
@@ -3,14 +3,14 @@
 from collections.abc import Mapping
 from typing import Protocol
 
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.resources import DatabaseSpec, GroupSpec
-from dewledge.core.gateway.context import GatewayContext
-from dewledge.core.gateway.database import GatewayDatabase
-from dewledge.core.gateway.group_monitor import GroupMonitor
-from dewledge.core.gateway.report import DatabaseReport, GatewayRole
-from dewledge.core.gateway.request import RequestRegistry
-from dewledge.core.gateway.transactions import TransactionTable
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, GroupSpec
+from dewledge.core.proxy.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.database import GatewayDatabase
+from dewledge.core.proxy.gateway.group_monitor import GroupMonitor
+from dewledge.core.proxy.gateway.report import DatabaseReport, GatewayRole
+from dewledge.core.proxy.gateway.request import RequestRegistry
+from dewledge.core.proxy.gateway.transactions import TransactionTable
 
 
 class DrainPolicy(Protocol):
--- a/src/dewledge/core/gateway/routing.py
+++ b/src/dewledge/core/proxy/gateway/routing.py
@@ -1,13 +1,13 @@
 """Where a request goes at a gateway: to a database, to its transaction, or back refused."""
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.gateway.context import GatewayContext
-from dewledge.core.gateway.database import GatewayDatabase
-from dewledge.core.gateway.request import GatewayRequest, RequestRegistry
-from dewledge.core.gateway.roster import GatewayRoster
-from dewledge.core.gateway.transactions import TransactionTable
-from dewledge.core.messages import StatementRequest
-from dewledge.core.transaction_ids import gateway_of_transaction
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.database import GatewayDatabase
+from dewledge.core.proxy.gateway.request import GatewayRequest, RequestRegistry
+from dewledge.core.proxy.gateway.roster import GatewayRoster
+from dewledge.core.proxy.gateway.transactions import TransactionTable
+from dewledge.core.proxy.messages import StatementRequest
+from dewledge.core.proxy.transaction_ids import gateway_of_transaction
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/gateway/running_jobs.py
+++ b/src/dewledge/core/proxy/gateway/running_jobs.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Operation, Statement
-from dewledge.core.effects import RunJob
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.jobs import IdempotencyRecord, Job, JobResult, JobUnknown
-from dewledge.core.messages import StatementRequest
+from dewledge.core.proxy.calls import Access, Operation, Statement
+from dewledge.core.proxy.effects import RunJob
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.jobs import IdempotencyRecord, Job, JobResult, JobUnknown
+from dewledge.core.proxy.messages import StatementRequest
 from dewledge.errors import ErrorCode
 
 FINGERPRINT_BYTES = 16
--- a/src/dewledge/core/gateway/status_rounds.py
+++ b/src/dewledge/core/proxy/gateway/status_rounds.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Callable, Mapping
 
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.effects import ReadStatuses
-from dewledge.core.gateway.confirmation import highest_term, majority_of, primary_of
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.jobs import StatusReading
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.effects import ReadStatuses
+from dewledge.core.proxy.gateway.confirmation import highest_term, majority_of, primary_of
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.jobs import StatusReading
 
 ROUND_TIME_GAIN = 0.125
 """Weight of the newest round in the running mean of their durations."""
--- a/src/dewledge/core/gateway/transaction_operations.py
+++ b/src/dewledge/core/proxy/gateway/transaction_operations.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.gateway.confirmation import Claim, Verdict
-from dewledge.core.gateway.connection_pool import ConnectionPool
-from dewledge.core.gateway.context import GatewayContext, Timer
-from dewledge.core.gateway.group_monitor import GroupMonitor
-from dewledge.core.gateway.request import GatewayRequest, RequestRegistry
-from dewledge.core.gateway.running_jobs import RunningJobs
-from dewledge.core.gateway.statement_conclusion import StatementConclusion
-from dewledge.core.gateway.transactions import RunningOperation, Transaction, TransactionTable
-from dewledge.core.jobs import JobDone, JobNotRun, JobResult, JobUnknown
 from dewledge.core.load.service_rate import ServiceRate
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.gateway.confirmation import Claim, Verdict
+from dewledge.core.proxy.gateway.connection_pool import ConnectionPool
+from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.gateway.group_monitor import GroupMonitor
+from dewledge.core.proxy.gateway.request import GatewayRequest, RequestRegistry
+from dewledge.core.proxy.gateway.running_jobs import RunningJobs
+from dewledge.core.proxy.gateway.statement_conclusion import StatementConclusion
+from dewledge.core.proxy.gateway.transactions import RunningOperation, Transaction, TransactionTable
+from dewledge.core.proxy.jobs import JobDone, JobNotRun, JobResult, JobUnknown
 from dewledge.errors import ErrorCode
 
 ROLLBACK_TIMEOUT = 1.0
--- a/src/dewledge/core/gateway/transactions.py
+++ b/src/dewledge/core/proxy/gateway/transactions.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dewledge.core.gateway.context import Timer
-from dewledge.core.gateway.request import GatewayRequest
-from dewledge.core.transaction_ids import make_transaction_id
+from dewledge.core.proxy.gateway.context import Timer
+from dewledge.core.proxy.gateway.request import GatewayRequest
+from dewledge.core.proxy.transaction_ids import make_transaction_id
 from dewledge.errors import ErrorCode
 
 SECRET_BITS = 128
--- a/src/dewledge/core/membership/broadcast.py
+++ b/src/dewledge/core/proxy/membership/broadcast.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.membership.member import Claim
-from dewledge.core.membership.messages import MAX_CLAIM_BYTES, claim_size
+from dewledge.core.proxy.membership.member import Claim
+from dewledge.core.proxy.membership.messages import MAX_CLAIM_BYTES, claim_size
 
 
 class _Item(msgspec.Struct):
--- a/src/dewledge/core/membership/dialogue.py
+++ b/src/dewledge/core/proxy/membership/dialogue.py
@@ -1,9 +1,9 @@
 """What membership answers to each kind of datagram."""
 
-from dewledge.core.membership.contact import ContactPings
-from dewledge.core.membership.join import Joiner
-from dewledge.core.membership.member import claim_of
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.membership.contact import ContactPings
+from dewledge.core.proxy.membership.join import Joiner
+from dewledge.core.proxy.membership.member import claim_of
+from dewledge.core.proxy.membership.messages import (
     Ack,
     Envelope,
     Nack,
@@ -16,12 +16,12 @@
     SyncAnswer,
     SyncRequest,
 )
-from dewledge.core.membership.outbox import Outbox
-from dewledge.core.membership.probe import Prober
-from dewledge.core.membership.relay import Relay, RelayBook
-from dewledge.core.membership.settings import MembershipSettings, direct_probe_time
-from dewledge.core.membership.sync import TableSync
-from dewledge.core.membership.view import MemberView
+from dewledge.core.proxy.membership.outbox import Outbox
+from dewledge.core.proxy.membership.probe import Prober
+from dewledge.core.proxy.membership.relay import Relay, RelayBook
+from dewledge.core.proxy.membership.settings import MembershipSettings, direct_probe_time
+from dewledge.core.proxy.membership.sync import TableSync
+from dewledge.core.proxy.membership.view import MemberView
 
 NEVER = float("-inf")
 NO_SEQUENCE = -1
--- a/src/dewledge/core/membership/join.py
+++ b/src/dewledge/core/proxy/membership/join.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from random import Random
 
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.ports import MachineState
+from dewledge.core.proxy.membership.settings import MembershipSettings
+from dewledge.core.proxy.ports import MachineState
 
 NOT_WAITING = float("inf")
 
--- a/src/dewledge/core/membership/machine_list_reader.py
+++ b/src/dewledge/core/proxy/membership/machine_list_reader.py
@@ -5,7 +5,7 @@
 
 from random import Random
 
-from dewledge.core.proxy.effects import ReadMachineList
+from dewledge.core.proxy.assembly.effects import ReadMachineList
 
 MEMBERS_PER_READER = 10
 """So many members together read about as often as a lone proxy does."""
--- a/src/dewledge/core/membership/membership.py
+++ b/src/dewledge/core/proxy/membership/membership.py
@@ -8,13 +8,13 @@
 from collections.abc import Iterable
 from random import Random
 
-from dewledge.core.membership.broadcast import BroadcastQueue, ByteBudget
-from dewledge.core.membership.contact import ContactPings
-from dewledge.core.membership.dialogue import MembershipDialogue
-from dewledge.core.membership.isolation import is_majority
-from dewledge.core.membership.join import Joiner
-from dewledge.core.membership.member import Member, MemberState, claim_of
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.membership.broadcast import BroadcastQueue, ByteBudget
+from dewledge.core.proxy.membership.contact import ContactPings
+from dewledge.core.proxy.membership.dialogue import MembershipDialogue
+from dewledge.core.proxy.membership.isolation import is_majority
+from dewledge.core.proxy.membership.join import Joiner
+from dewledge.core.proxy.membership.member import Member, MemberState, claim_of
+from dewledge.core.proxy.membership.messages import (
     MembersChanged,
     MembershipEffect,
     News,
@@ -23,19 +23,19 @@
     PullRequest,
     decode_datagram,
 )
-from dewledge.core.membership.outbox import Outbox
-from dewledge.core.membership.probe import Prober
-from dewledge.core.membership.reconnect import Reconnector
-from dewledge.core.membership.settings import (
+from dewledge.core.proxy.membership.outbox import Outbox
+from dewledge.core.proxy.membership.probe import Prober
+from dewledge.core.proxy.membership.reconnect import Reconnector
+from dewledge.core.proxy.membership.settings import (
     MembershipSettings,
     estimate_reachable,
     silence_limit,
     transmit_limit,
 )
-from dewledge.core.membership.sync import TableSync
-from dewledge.core.membership.table import MemberTable
-from dewledge.core.membership.view import MemberView
-from dewledge.core.ports import MachineState
+from dewledge.core.proxy.membership.sync import TableSync
+from dewledge.core.proxy.membership.table import MemberTable
+from dewledge.core.proxy.membership.view import MemberView
+from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import ProtocolError
 
 LONGEST_SLEEP = 1.0
--- a/src/dewledge/core/membership/messages.py
+++ b/src/dewledge/core/proxy/membership/messages.py
@@ -10,8 +10,8 @@
 import cbor2
 import msgspec
 
-from dewledge.core.effects import LogEvent
-from dewledge.core.membership.member import Claim, Member
+from dewledge.core.proxy.effects import LogEvent
+from dewledge.core.proxy.membership.member import Claim, Member
 from dewledge.errors import ProtocolError
 
 MEMBERSHIP_VERSION = 1
--- a/src/dewledge/core/membership/outbox.py
+++ b/src/dewledge/core/proxy/membership/outbox.py
@@ -1,9 +1,9 @@
 """Collects the effects of one call into membership and composes its datagrams."""
 
-from dewledge.core.effects import LogEvent
-from dewledge.core.membership.broadcast import BroadcastQueue
-from dewledge.core.membership.member import Claim
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.effects import LogEvent
+from dewledge.core.proxy.membership.broadcast import BroadcastQueue
+from dewledge.core.proxy.membership.member import Claim
+from dewledge.core.proxy.membership.messages import (
     MAX_CLAIM_BYTES,
     MEMBERSHIP_VERSION,
     Body,
--- a/src/dewledge/core/membership/placement.py
+++ b/src/dewledge/core/proxy/membership/placement.py
@@ -12,9 +12,9 @@
 
 import xxhash
 
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resources import DatabaseSpec, Kind
-from dewledge.core.membership.member import PLACED_STATES, Member
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, Kind
+from dewledge.core.proxy.membership.member import PLACED_STATES, Member
 
 RANKING_LENGTH = 3
 """How many proxies a database ranks: the active one, the next, and one in reserve."""
--- a/src/dewledge/core/membership/probe.py
+++ b/src/dewledge/core/proxy/membership/probe.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.settings import MembershipSettings, direct_probe_time
-from dewledge.core.membership.table import MemberTable
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.settings import MembershipSettings, direct_probe_time
+from dewledge.core.proxy.membership.table import MemberTable
 
 NEVER = float("-inf")
 MAX_URGENT = 16
--- a/src/dewledge/core/membership/reconnect.py
+++ b/src/dewledge/core/proxy/membership/reconnect.py
@@ -2,15 +2,15 @@
 
 from random import Random
 
-from dewledge.core.membership.dialogue import MembershipDialogue
-from dewledge.core.membership.join import Joiner, gossip_addresses
-from dewledge.core.membership.member import Member, MemberState, claim_of
-from dewledge.core.membership.messages import News, Ping
-from dewledge.core.membership.outbox import Outbox
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.membership.sync import TableSync
-from dewledge.core.membership.table import MemberTable
-from dewledge.core.ports import MachineState
+from dewledge.core.proxy.membership.dialogue import MembershipDialogue
+from dewledge.core.proxy.membership.join import Joiner, gossip_addresses
+from dewledge.core.proxy.membership.member import Member, MemberState, claim_of
+from dewledge.core.proxy.membership.messages import News, Ping
+from dewledge.core.proxy.membership.outbox import Outbox
+from dewledge.core.proxy.membership.settings import MembershipSettings
+from dewledge.core.proxy.membership.sync import TableSync
+from dewledge.core.proxy.membership.table import MemberTable
+from dewledge.core.proxy.ports import MachineState
 
 FORGET_INTERVAL = 60.0
 ATTEMPTS_PER_MEMBER = 8.0
--- a/src/dewledge/core/membership/suspicion.py
+++ b/src/dewledge/core/proxy/membership/suspicion.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.membership.settings import (
+from dewledge.core.proxy.membership.settings import (
     MembershipSettings,
     confirmations_needed,
     suspicion_time,
--- a/src/dewledge/core/membership/sync.py
+++ b/src/dewledge/core/proxy/membership/sync.py
@@ -5,8 +5,8 @@
 
 from collections.abc import Iterable
 
-from dewledge.core.membership.member import Claim, Member, claim_of, supersedes
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.membership.member import Claim, Member, claim_of, supersedes
+from dewledge.core.proxy.membership.messages import (
     MAX_CLAIM_BYTES,
     PullAnswer,
     PullRequest,
@@ -14,9 +14,9 @@
     SyncRequest,
     claim_size,
 )
-from dewledge.core.membership.outbox import Outbox
-from dewledge.core.membership.table import BUCKETS
-from dewledge.core.membership.view import MemberView
+from dewledge.core.proxy.membership.outbox import Outbox
+from dewledge.core.proxy.membership.table import BUCKETS
+from dewledge.core.proxy.membership.view import MemberView
 
 
 class TableSync:
--- a/src/dewledge/core/membership/table.py
+++ b/src/dewledge/core/proxy/membership/table.py
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from dewledge.core.membership.member import Member, MemberState
+from dewledge.core.proxy.membership.member import Member, MemberState
 
 BUCKETS = 64
 DIGEST_BYTES = 4
--- a/src/dewledge/core/membership/view.py
+++ b/src/dewledge/core/proxy/membership/view.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.membership.broadcast import BroadcastQueue
-from dewledge.core.membership.member import (
+from dewledge.core.proxy.membership.broadcast import BroadcastQueue
+from dewledge.core.proxy.membership.member import (
     GONE_STATES,
     PLACED_STATES,
     Claim,
@@ -15,9 +15,9 @@
     claim_of,
     supersedes,
 )
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.membership.suspicion import SuspicionTimers
-from dewledge.core.membership.table import MemberTable
+from dewledge.core.proxy.membership.settings import MembershipSettings
+from dewledge.core.proxy.membership.suspicion import SuspicionTimers
+from dewledge.core.proxy.membership.table import MemberTable
 
 UNNAMED_ACCUSER = ""
 
--- a/src/dewledge/demo/caller.py
+++ b/src/dewledge/demo/caller.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from dewledge.cli.http_client import AnswerLost, HttpAnswer, ProxyClient, ProxyUnreachable
-from dewledge.core.calls import Access, Outcome, Scalar, Statement
+from dewledge.core.proxy.calls import Access, Outcome, Scalar, Statement
 from dewledge.errors import ErrorCode
 
 STATEMENTS_PATH = "/v1/statements"
--- a/src/dewledge/demo/scenes.py
+++ b/src/dewledge/demo/scenes.py
@@ -2,7 +2,7 @@
 
 from abc import ABC, abstractmethod
 
-from dewledge.core.calls import Scalar, Statement
+from dewledge.core.proxy.calls import Scalar, Statement
 from dewledge.standin.deployments import MENUS, PERMITS, Deployment, DeploymentName
 from dewledge.standin.workloads import (
     AMEND_APPLICATION,
--- a/src/dewledge/demo/stage.py
+++ b/src/dewledge/demo/stage.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from dewledge.cli.http_client import ProxyClient
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.demo.caller import CallerReply, RoamingCaller, WriteLedger
 from dewledge.demo.narration import Narrator
 from dewledge.demo.scenes import Scene
--- a/src/dewledge/demo/steps_faults.py
+++ b/src/dewledge/demo/steps_faults.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from dewledge.core.calls import Outcome
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.demo.caller import WriteLedger
 from dewledge.demo.narration import Narrator
 from dewledge.demo.stage import Stage
--- a/src/dewledge/demo/steps_operators.py
+++ b/src/dewledge/demo/steps_operators.py
@@ -3,9 +3,9 @@
 import hashlib
 import time
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.configuration import DRAIN_LABEL
-from dewledge.core.configuration.resources import Kind
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL
+from dewledge.core.proxy.configuration.resources import Kind
 from dewledge.demo.caller import CallerReply
 from dewledge.demo.stage import Stage
 from dewledge.errors import ErrorCode
--- a/src/dewledge/demo/steps_sessions.py
+++ b/src/dewledge/demo/steps_sessions.py
@@ -2,7 +2,7 @@
 
 import uuid
 
-from dewledge.core.calls import Outcome, Statement
+from dewledge.core.proxy.calls import Outcome, Statement
 from dewledge.demo.caller import CallerReply
 from dewledge.demo.stage import Stage
 from dewledge.standin.group_types import ActivityKind
--- a/src/dewledge/demo/traffic.py
+++ b/src/dewledge/demo/traffic.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.demo.caller import RoamingCaller
 from dewledge.demo.stage import Stage
 
--- a/src/dewledge/embedded.py
+++ b/src/dewledge/embedded.py
@@ -16,8 +16,8 @@
 from dewledge.adapters.http_database import HttpDatabaseDriver
 from dewledge.adapters.http_platform import HttpMachineList, PlatformClient
 from dewledge.cli.http_client import HttpAnswer, ProxyClient
-from dewledge.core.calls import Outcome
-from dewledge.core.ports import MachineState
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import DewledgeError, ErrorCode
 from dewledge.settings import ProxySettings, TimingSettings
 from dewledge.shell.proxy_server import ProxyServer
--- a/src/dewledge/scale/hollow_cluster.py
+++ b/src/dewledge/scale/hollow_cluster.py
@@ -5,9 +5,13 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, ChangeSet, Configuration
-from dewledge.core.membership.member import Member, claim_of
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.configuration.configuration import (
+    EMPTY_CONFIGURATION,
+    ChangeSet,
+    Configuration,
+)
+from dewledge.core.proxy.membership.member import Member, claim_of
+from dewledge.core.proxy.membership.messages import (
     MAX_CLAIM_BYTES,
     MEMBERSHIP_VERSION,
     Envelope,
@@ -17,7 +21,7 @@
     decode_datagram,
     encode_datagram,
 )
-from dewledge.core.membership.settings import MembershipSettings
+from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.scale.hollow_network import HollowNetwork
 from dewledge.scale.hollow_node import Carrier, HollowNode
 from dewledge.scale.topology import place_of
--- a/src/dewledge/scale/hollow_node.py
+++ b/src/dewledge/scale/hollow_node.py
@@ -6,26 +6,26 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import ChangeSet, Configuration
-from dewledge.core.configuration.spread import (
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration
+from dewledge.core.proxy.configuration.spread import (
     ConfigurationChanged,
     ConfigurationSpread,
     SpreadEffect,
     SpreadMessage,
 )
-from dewledge.core.effects import LogEvent, SendToPeer
-from dewledge.core.membership.isolation import IsolationGuard
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.effects import LogEvent, SendToPeer
+from dewledge.core.proxy.membership.isolation import IsolationGuard
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.messages import (
     MembersChanged,
     MembershipEffect,
     PeerRevisionSeen,
     SendDatagram,
     StoreContactSeen,
 )
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.messages import PeerMessage, decode, encode
+from dewledge.core.proxy.membership.settings import MembershipSettings
+from dewledge.core.proxy.messages import PeerMessage, decode, encode
 from dewledge.scale.hollow_network import DATAGRAM_OVERHEAD, MESSAGE_OVERHEAD, Traffic
 from dewledge.scale.topology import Place
 
--- a/src/dewledge/scale/memory.py
+++ b/src/dewledge/scale/memory.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from dewledge.core.configuration.codec import decode_snapshot, encode_snapshot
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.placement import GatewayPlacement
+from dewledge.core.proxy.configuration.codec import decode_snapshot, encode_snapshot
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.placement import GatewayPlacement
 from dewledge.scale.hollow_cluster import HollowCluster
 from dewledge.scale.topology import place_of
 
--- a/src/dewledge/scale/real_nodes.py
+++ b/src/dewledge/scale/real_nodes.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.messages import MembershipEffect, SendDatagram
-from dewledge.core.membership.settings import MembershipSettings
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.messages import MembershipEffect, SendDatagram
+from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.scale.topology import place_of
 
 BUFFER_BYTES = 2048
--- a/src/dewledge/scale/scenarios.py
+++ b/src/dewledge/scale/scenarios.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.configuration import Configuration
 from dewledge.scale.hollow_cluster import HollowCluster
 from dewledge.scale.hollow_network import NetworkFaults
 from dewledge.scale.measurement import Meter, NodeRates
--- a/src/dewledge/scale/workload.py
+++ b/src/dewledge/scale/workload.py
@@ -1,7 +1,7 @@
 """The configuration of the size to come, and changes to it."""
 
-from dewledge.core.configuration.configuration import ChangeSet, Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
--- a/src/dewledge/shell/configuration_handlers.py
+++ b/src/dewledge/shell/configuration_handlers.py
@@ -5,16 +5,16 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.configuration import ChangeSet, ResourceKey
-from dewledge.core.configuration.resource_documents import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.configuration import ChangeSet, ResourceKey
+from dewledge.core.proxy.configuration.resource_documents import (
     read_documents,
     selector_from_text,
     to_document,
 )
-from dewledge.core.configuration.resources import Kind, Resource, Selector
-from dewledge.core.configuration.selectors import labels_of, matches
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.resources import Kind, Resource, Selector
+from dewledge.core.proxy.configuration.selectors import labels_of, matches
+from dewledge.core.proxy.configuration.store import (
     ChangeLookedUp,
     LabelChange,
     ProposalFinished,
--- a/src/dewledge/shell/core_settings.py
+++ b/src/dewledge/shell/core_settings.py
@@ -1,13 +1,13 @@
 """Turns the settings of a proxy process into those of its parts."""
 
-from dewledge.core.configuration.acceptance import AcceptanceSettings
-from dewledge.core.configuration.poller import PollerSettings
-from dewledge.core.configuration.store_task import RetrySettings
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.membership.isolation import IsolationSettings
-from dewledge.core.membership.settings import MembershipSettings
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.configuration.acceptance import AcceptanceSettings
+from dewledge.core.proxy.configuration.poller import PollerSettings
+from dewledge.core.proxy.configuration.store_task import RetrySettings
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.membership.isolation import IsolationSettings
+from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.settings import ProxySettings
 from dewledge.shell.http_messages import HttpLimits
 from dewledge.shell.proxy_services import DeadlineBounds
--- a/src/dewledge/shell/cost_nodes.py
+++ b/src/dewledge/shell/cost_nodes.py
@@ -14,9 +14,10 @@
 import msgspec
 
 from dewledge.cli.http_client import ProxyClient
-from dewledge.core.calls import Access, Outcome, Rows, Statement
-from dewledge.core.configuration.resource_documents import to_document
-from dewledge.core.configuration.resources import (
+from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.proxy.calls import Access, Outcome, Rows, Statement
+from dewledge.core.proxy.configuration.resource_documents import to_document
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
@@ -26,9 +27,8 @@
     RuleSpec,
     Spec,
 )
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.ports import DatabaseConnection, DatabaseDriver, ExecutionResult
-from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver, ExecutionResult
 from dewledge.errors import ConnectRefused, DewledgeError
 from dewledge.settings import ProxySettings
 from dewledge.shell.cost_callers import GROUP
--- a/src/dewledge/shell/database_workers.py
+++ b/src/dewledge/shell/database_workers.py
@@ -10,10 +10,10 @@
 from loguru import logger
 
 from dewledge.adapters.job_runner import run_job
-from dewledge.core.calls import Operation
-from dewledge.core.effects import CloseConnection, OpenConnection, ReadStatuses, RunJob
-from dewledge.core.jobs import Job, JobNotRun, JobResult, JobUnknown, StatusReading
-from dewledge.core.ports import DatabaseConnection, DatabaseDriver
+from dewledge.core.proxy.calls import Operation
+from dewledge.core.proxy.effects import CloseConnection, OpenConnection, ReadStatuses, RunJob
+from dewledge.core.proxy.jobs import Job, JobNotRun, JobResult, JobUnknown, StatusReading
+from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver
 from dewledge.errors import ConnectRefused, DewledgeError, ErrorCode
 from dewledge.shell.event_loop import EventLoop
 
--- a/src/dewledge/shell/frames.py
+++ b/src/dewledge/shell/frames.py
@@ -6,7 +6,7 @@
 
 import struct
 
-from dewledge.core.messages import MAX_FRAME_BYTES, PeerMessage, encode
+from dewledge.core.proxy.messages import MAX_FRAME_BYTES, PeerMessage, encode
 from dewledge.errors import ProtocolError
 
 _LENGTH = struct.Struct(">I")
--- a/src/dewledge/shell/http_status.py
+++ b/src/dewledge/shell/http_status.py
@@ -1,6 +1,6 @@
 """The HTTP status of each answer."""
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import ErrorCode
 
 OK = 200
--- a/src/dewledge/shell/metrics.py
+++ b/src/dewledge/shell/metrics.py
@@ -9,7 +9,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
-from dewledge.core.calls import Access, CallerAnswer, Operation
+from dewledge.core.proxy.calls import Access, CallerAnswer, Operation
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 
--- a/src/dewledge/shell/outbound_peer.py
+++ b/src/dewledge/shell/outbound_peer.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dewledge.core.messages import (
+from dewledge.core.proxy.messages import (
     PROTOCOL_VERSION,
     CancelRequest,
     GroupStatusAnswer,
--- a/src/dewledge/shell/peer_link.py
+++ b/src/dewledge/shell/peer_link.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dewledge.core.messages import PeerMessage, decode
+from dewledge.core.proxy.messages import PeerMessage, decode
 from dewledge.errors import ProtocolError
 from dewledge.shell.event_loop import READABLE, WRITABLE, EventLoop
 from dewledge.shell.frames import HEARTBEAT_FRAME, FrameReader, encode_frame
--- a/src/dewledge/shell/peer_links.py
+++ b/src/dewledge/shell/peer_links.py
@@ -11,7 +11,7 @@
 
 from loguru import logger
 
-from dewledge.core.messages import PROTOCOL_VERSION, Hello, PeerMessage
+from dewledge.core.proxy.messages import PROTOCOL_VERSION, Hello, PeerMessage
 from dewledge.shell.event_loop import READABLE, EventLoop, Timer
 from dewledge.shell.outbound_peer import (
     REPLIES,
--- a/src/dewledge/shell/proxy_driver.py
+++ b/src/dewledge/shell/proxy_driver.py
@@ -6,18 +6,20 @@
 
 from loguru import logger
 
-from dewledge.core.calls import CallerAnswer, CallerRequest
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.spread import ConfigurationChanged
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.assembly.effects import ProxyEffect, ReadMachineList
+from dewledge.core.proxy.calls import CallerAnswer, CallerRequest
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.spread import ConfigurationChanged
+from dewledge.core.proxy.configuration.store import (
     ChangeLookedUp,
     ProposalFinished,
     ProposedChange,
     StoreCall,
     StoreResult,
 )
-from dewledge.core.effects import (
+from dewledge.core.proxy.effects import (
     AnswerCaller,
     CloseConnection,
     LogEvent,
@@ -26,14 +28,12 @@
     RunJob,
     SendToPeer,
 )
-from dewledge.core.gateway.report import DatabaseReport
-from dewledge.core.jobs import JobResult, StatusReading
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.messages import MembersChanged, SendDatagram
-from dewledge.core.messages import PeerMessage, StatementRequest
-from dewledge.core.ports import MachineState
-from dewledge.core.proxy.core import ProxyCore
-from dewledge.core.proxy.effects import ProxyEffect, ReadMachineList
+from dewledge.core.proxy.gateway.report import DatabaseReport
+from dewledge.core.proxy.jobs import JobResult, StatusReading
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.messages import MembersChanged, SendDatagram
+from dewledge.core.proxy.messages import PeerMessage, StatementRequest
+from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import ErrorCode
 from dewledge.shell.database_workers import DatabaseWorkers
 from dewledge.shell.datagrams import DatagramSocket
--- a/src/dewledge/shell/proxy_server.py
+++ b/src/dewledge/shell/proxy_server.py
@@ -14,11 +14,11 @@
     HttpTableService,
     PlatformClient,
 )
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.membership.member import Member
-from dewledge.core.messages import PROTOCOL_VERSION, Hello
-from dewledge.core.ports import DatabaseDriver
-from dewledge.core.proxy.core import ProxyCore
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.messages import PROTOCOL_VERSION, Hello
+from dewledge.core.proxy.ports import DatabaseDriver
 from dewledge.settings import ProxySettings
 from dewledge.shell.core_settings import core_settings, deadline_bounds, http_limits
 from dewledge.shell.database_workers import DatabaseWorkers
--- a/src/dewledge/shell/proxy_services.py
+++ b/src/dewledge/shell/proxy_services.py
@@ -5,12 +5,12 @@
 
 import msgspec
 
-from dewledge.core.calls import CallerAnswer, CallerRequest
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
-from dewledge.core.gateway.report import DatabaseReport
-from dewledge.core.membership.member import Member
+from dewledge.core.proxy.calls import CallerAnswer, CallerRequest
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
+from dewledge.core.proxy.gateway.report import DatabaseReport
+from dewledge.core.proxy.membership.member import Member
 from dewledge.shell.metrics import ProxyMetrics
 
 
--- a/src/dewledge/shell/request_bodies.py
+++ b/src/dewledge/shell/request_bodies.py
@@ -5,8 +5,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, PlainValidator, ValidationError
 
-from dewledge.core.calls import Access, Scalar
-from dewledge.core.configuration.resources import Kind
+from dewledge.core.proxy.calls import Access, Scalar
+from dewledge.core.proxy.configuration.resources import Kind
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 from dewledge.validation import findings_of_validation
 
--- a/src/dewledge/shell/statement_handlers.py
+++ b/src/dewledge/shell/statement_handlers.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.calls import (
+from dewledge.core.proxy.calls import (
     Access,
     CallerAnswer,
     CallerRequest,
--- a/src/dewledge/shell/status_handlers.py
+++ b/src/dewledge/shell/status_handlers.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dewledge.core.gateway.report import DatabaseReport
+from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.errors import ErrorCode
 from dewledge.shell.http_authentication import RETRY_SOON, authenticate_operator
 from dewledge.shell.http_messages import Exchange, HttpResponse, json_response, refusal
--- a/src/dewledge/shell/store_calls.py
+++ b/src/dewledge/shell/store_calls.py
@@ -6,7 +6,7 @@
 
 from loguru import logger
 
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.store import (
     GetObject,
     PutObject,
     ReadRow,
@@ -16,7 +16,7 @@
     StoreValue,
     Transact,
 )
-from dewledge.core.ports import MachineList, MachineState, ObjectStore, TableService
+from dewledge.core.proxy.ports import MachineList, MachineState, ObjectStore, TableService
 from dewledge.errors import ErrorCode, StoreError, StoreOutcomeUnknown, StoreRateLimited
 from dewledge.shell.event_loop import EventLoop
 
--- a/src/dewledge/simulation/callers.py
+++ b/src/dewledge/simulation/callers.py
@@ -5,10 +5,17 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, CallerAnswer, CallerRequest, Operation, Outcome, Statement
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.session_token import SessionTokenCodec
 from dewledge.core.positions import LogPosition, satisfies
+from dewledge.core.proxy.calls import (
+    Access,
+    CallerAnswer,
+    CallerRequest,
+    Operation,
+    Outcome,
+    Statement,
+)
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
 from dewledge.simulation.core_factory import session_codec
 from dewledge.simulation.history import RequestRecord
 from dewledge.simulation.simulated_proxy import ProcessState, SimulatedProxy
--- a/src/dewledge/simulation/core_factory.py
+++ b/src/dewledge/simulation/core_factory.py
@@ -2,10 +2,10 @@
 
 from random import Random
 
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.membership.member import Member
-from dewledge.core.proxy.core import ProxyCore
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.membership.member import Member
 
 SESSION_KEY = b"the simulation's session key"
 
--- a/src/dewledge/simulation/database_client.py
+++ b/src/dewledge/simulation/database_client.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.effects import CloseConnection, OpenConnection, ReadStatuses, RunJob
-from dewledge.core.jobs import Job, JobResult, JobUnknown, StatusReading
+from dewledge.core.proxy.effects import CloseConnection, OpenConnection, ReadStatuses, RunJob
+from dewledge.core.proxy.jobs import Job, JobResult, JobUnknown, StatusReading
 from dewledge.errors import ConnectRefused, ErrorCode
 from dewledge.simulation.clock import EventQueue
 from dewledge.simulation.database_server import DatabaseServer
--- a/src/dewledge/simulation/database_server.py
+++ b/src/dewledge/simulation/database_server.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from dewledge.adapters.job_runner import run_job
-from dewledge.core.calls import Access, Operation
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.jobs import Job, JobResult, JobUnknown
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.jobs import Job, JobResult, JobUnknown
 from dewledge.errors import ConnectionLimitReached, ConnectRefused, ErrorCode
 from dewledge.simulation.clock import EventQueue
 from dewledge.simulation.history import History, WorkRecord
--- a/src/dewledge/simulation/deployments.py
+++ b/src/dewledge/simulation/deployments.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
--- a/src/dewledge/simulation/faults.py
+++ b/src/dewledge/simulation/faults.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from dewledge.core.configuration.configuration import DRAIN_LABEL, ResourceKey
-from dewledge.core.configuration.resources import Kind
-from dewledge.core.configuration.store import LabelChange, ProposedChange
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, ResourceKey
+from dewledge.core.proxy.configuration.resources import Kind
+from dewledge.core.proxy.configuration.store import LabelChange, ProposedChange
 from dewledge.simulation.network import NO_FAULTS, LinkFaults
 from dewledge.simulation.simulated_proxy import SimulatedProxy
 from dewledge.simulation.site_faults import SiteFaults
--- a/src/dewledge/simulation/interceptor.py
+++ b/src/dewledge/simulation/interceptor.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from dewledge.core.calls import CallerRequest
-from dewledge.core.jobs import JobResult
-from dewledge.core.messages import PeerMessage
-from dewledge.core.proxy.effects import ProxyEffect
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.calls import CallerRequest
+from dewledge.core.proxy.jobs import JobResult
+from dewledge.core.proxy.messages import PeerMessage
 
 if TYPE_CHECKING:
     from dewledge.simulation.simulated_proxy import SimulatedProxy
--- a/src/dewledge/simulation/model_connection.py
+++ b/src/dewledge/simulation/model_connection.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from dewledge.core.calls import Access, Statement
-from dewledge.core.ports import DatabaseConnection, ExecutionResult
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.ports import DatabaseConnection, ExecutionResult
 from dewledge.standin.group_model import GroupModel
 
 
--- a/src/dewledge/simulation/naive.py
+++ b/src/dewledge/simulation/naive.py
@@ -8,11 +8,13 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, CallerRequest, Operation, Outcome
-from dewledge.core.configuration.store import StoreCall, StoreCaller
-from dewledge.core.effects import AnswerCaller, RunJob, SendToPeer
-from dewledge.core.jobs import Job, JobDone, JobResult
-from dewledge.core.messages import (
+from dewledge.core.positions import LOG_START
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.calls import Access, CallerRequest, Operation, Outcome
+from dewledge.core.proxy.configuration.store import StoreCall, StoreCaller
+from dewledge.core.proxy.effects import AnswerCaller, RunJob, SendToPeer
+from dewledge.core.proxy.jobs import Job, JobDone, JobResult
+from dewledge.core.proxy.messages import (
     ConfigurationDelta,
     ConfigurationRequest,
     ConfigurationSnapshotMessage,
@@ -20,8 +22,6 @@
     StatementDone,
     StatementRequest,
 )
-from dewledge.core.positions import LOG_START
-from dewledge.core.proxy.effects import ProxyEffect
 from dewledge.simulation.core_factory import session_codec
 from dewledge.simulation.interceptor import Interceptor
 from dewledge.simulation.simulated_proxy import SimulatedProxy
--- a/src/dewledge/simulation/platform_store.py
+++ b/src/dewledge/simulation/platform_store.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.store import (
     GetObject,
     PutObject,
     ReadRow,
@@ -11,7 +11,7 @@
     StoreValue,
     Transact,
 )
-from dewledge.core.ports import Row
+from dewledge.core.proxy.ports import Row
 from dewledge.errors import ErrorCode
 from dewledge.simulation.clock import EventQueue
 
--- a/src/dewledge/simulation/population.py
+++ b/src/dewledge/simulation/population.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, CallerAnswer, Operation, Outcome
+from dewledge.core.proxy.calls import Access, CallerAnswer, Operation, Outcome
 from dewledge.simulation.callers import CallerCall, CallerClient, CallerSession
 from dewledge.simulation.history import RequestRecord
 from dewledge.simulation.transaction_script import TransactionScript
--- a/src/dewledge/simulation/promises_operations.py
+++ b/src/dewledge/simulation/promises_operations.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from dewledge.core.calls import Operation, Outcome
+from dewledge.core.proxy.calls import Operation, Outcome
 from dewledge.simulation.history import (
     AbsenceRecord,
     AcceptanceRecord,
--- a/src/dewledge/simulation/promises_reads.py
+++ b/src/dewledge/simulation/promises_reads.py
@@ -2,7 +2,7 @@
 
 from collections import defaultdict
 
-from dewledge.core.calls import Access, Operation, Outcome
+from dewledge.core.proxy.calls import Access, Operation, Outcome
 from dewledge.simulation.history import AbsenceRecord, History, RequestRecord
 from dewledge.simulation.violations import Promise, Violation
 
--- a/src/dewledge/simulation/reply_desk.py
+++ b/src/dewledge/simulation/reply_desk.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable
 
-from dewledge.core.calls import CallerAnswer
-from dewledge.core.configuration.store import ProposalFinished
-from dewledge.core.effects import AnswerCaller
+from dewledge.core.proxy.calls import CallerAnswer
+from dewledge.core.proxy.configuration.store import ProposalFinished
+from dewledge.core.proxy.effects import AnswerCaller
 from dewledge.simulation.clock import Action
 
 AnswerReply = Callable[[CallerAnswer], None]
--- a/src/dewledge/simulation/scenario.py
+++ b/src/dewledge/simulation/scenario.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
 from dewledge.simulation.deployments import PERMITS, Deployment
 from dewledge.simulation.faults import Fault, FaultInjector
 from dewledge.simulation.history import History
--- a/src/dewledge/simulation/simulated_proxy.py
+++ b/src/dewledge/simulation/simulated_proxy.py
@@ -5,10 +5,12 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from dewledge.core.calls import CallerRequest
-from dewledge.core.configuration.spread import ConfigurationChanged
-from dewledge.core.configuration.store import ProposalFinished, ProposedChange, StoreCall
-from dewledge.core.effects import (
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.assembly.effects import ProxyEffect, ReadMachineList
+from dewledge.core.proxy.calls import CallerRequest
+from dewledge.core.proxy.configuration.spread import ConfigurationChanged
+from dewledge.core.proxy.configuration.store import ProposalFinished, ProposedChange, StoreCall
+from dewledge.core.proxy.effects import (
     AnswerCaller,
     CloseConnection,
     LogEvent,
@@ -17,12 +19,10 @@
     RunJob,
     SendToPeer,
 )
-from dewledge.core.jobs import JobResult
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.messages import SendDatagram
-from dewledge.core.messages import decode
-from dewledge.core.proxy.core import ProxyCore
-from dewledge.core.proxy.effects import ProxyEffect, ReadMachineList
+from dewledge.core.proxy.jobs import JobResult
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.messages import SendDatagram
+from dewledge.core.proxy.messages import decode
 from dewledge.simulation.absences import AbsenceReason, AbsenceTracker
 from dewledge.simulation.clock import Action, ScheduledEvent
 from dewledge.simulation.core_factory import make_core
--- a/src/dewledge/simulation/transaction_script.py
+++ b/src/dewledge/simulation/transaction_script.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from random import Random
 
-from dewledge.core.calls import Access, CallerAnswer, Operation, Outcome, Statement
+from dewledge.core.proxy.calls import Access, CallerAnswer, Operation, Outcome, Statement
 from dewledge.simulation.callers import CallerCall, CallerClient, CallerSession
 from dewledge.simulation.history import RequestRecord
 from dewledge.simulation.workloads import append, read_record
--- a/src/dewledge/simulation/workloads.py
+++ b/src/dewledge/simulation/workloads.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Statement
+from dewledge.core.proxy.calls import Statement
 from dewledge.simulation.deployments import DeploymentName
 
 MARKER_PREFIX = "m:"
--- a/src/dewledge/simulation/world.py
+++ b/src/dewledge/simulation/world.py
@@ -6,11 +6,12 @@
 
 import msgspec
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.codec import encode_change, encode_content
-from dewledge.core.configuration.configuration import DRAIN_LABEL, ChangeSet, Configuration
-from dewledge.core.configuration.resources import Kind, Resource
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.codec import encode_change, encode_content
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, ChangeSet, Configuration
+from dewledge.core.proxy.configuration.resources import Kind, Resource
+from dewledge.core.proxy.configuration.store import (
     HEAD_KEY,
     HeadRow,
     ProposalFinished,
@@ -18,9 +19,8 @@
     change_key,
     revision_key,
 )
-from dewledge.core.messages import PeerMessage, StatementRequest, encode
-from dewledge.core.ports import MachineState
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.messages import PeerMessage, StatementRequest, encode
+from dewledge.core.proxy.ports import MachineState
 from dewledge.simulation.clock import EventQueue
 from dewledge.simulation.database_server import DatabaseServer, ServerSettings
 from dewledge.simulation.deployments import Deployment, build_configuration
--- a/src/dewledge/standin/database_server.py
+++ b/src/dewledge/standin/database_server.py
@@ -21,9 +21,9 @@
     encode_body,
     failure_of,
 )
-from dewledge.core.calls import Access
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.ports import ExecutionResult
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.ports import ExecutionResult
 from dewledge.errors import ConnectionBroken, DatabaseError
 from dewledge.standin.group_runtime import GroupRuntime, GroupStopped
 from dewledge.standin.group_settings import DatabaseSettings, GroupSettings
--- a/src/dewledge/standin/deployment_resources.py
+++ b/src/dewledge/standin/deployment_resources.py
@@ -4,9 +4,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.resource_documents import to_document
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.resource_documents import to_document
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
--- a/src/dewledge/standin/election.py
+++ b/src/dewledge/standin/election.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.standin.database_node import DatabaseNode
 from dewledge.standin.group_messages import GroupMessage, VoteReply, VoteRequest
 
--- a/src/dewledge/standin/group_admin.py
+++ b/src/dewledge/standin/group_admin.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dewledge.core.database_status import DatabaseStatus
+from dewledge.core.proxy.database_status import DatabaseStatus
 from dewledge.standin.database_server import DatabaseServer
 from dewledge.standin.group_runtime import GroupRuntime
 from dewledge.standin.group_types import LagStage
--- a/src/dewledge/standin/group_client.py
+++ b/src/dewledge/standin/group_client.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.database_status import DatabaseStatus
+from dewledge.core.proxy.database_status import DatabaseStatus
 from dewledge.standin.admin_connection import AdminConnection
 from dewledge.standin.group_admin import (
     ACTIVITY_PATH,
--- a/src/dewledge/standin/group_model.py
+++ b/src/dewledge/standin/group_model.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from random import Random
 
-from dewledge.core.calls import Access, Statement
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.ports import ExecutionResult
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.ports import ExecutionResult
 from dewledge.errors import ConnectionBroken, ConnectionLimitReached, ConnectRefused
 from dewledge.standin.database_node import DatabaseNode
 from dewledge.standin.election import Election
--- a/src/dewledge/standin/group_sessions.py
+++ b/src/dewledge/standin/group_sessions.py
@@ -1,7 +1,7 @@
 """Sessions of one database: open connections, each with at most one transaction."""
 
-from dewledge.core.calls import Access, Rows, Statement
-from dewledge.core.ports import ExecutionResult
+from dewledge.core.proxy.calls import Access, Rows, Statement
+from dewledge.core.proxy.ports import ExecutionResult
 from dewledge.errors import ErrorCode, StatementRefused, TransactionConflict
 from dewledge.standin.database_node import DatabaseNode
 from dewledge.standin.sqlite_state import TransactionStep
--- a/src/dewledge/standin/platform_model.py
+++ b/src/dewledge/standin/platform_model.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dewledge.core.ports import MachineState, Row, RowWrite
+from dewledge.core.proxy.ports import MachineState, Row, RowWrite
 from dewledge.errors import (
     StoreConditionFailed,
     StoreError,
--- a/src/dewledge/standin/sqlite_state.py
+++ b/src/dewledge/standin/sqlite_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Rows, Statement
+from dewledge.core.proxy.calls import Access, Rows, Statement
 from dewledge.errors import StatementFailed, TransactionConflict
 
 _READ_ACTIONS = frozenset(
--- a/src/dewledge/standin/workloads.py
+++ b/src/dewledge/standin/workloads.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Scalar, Statement
+from dewledge.core.proxy.calls import Access, Scalar, Statement
 
 
 class NamedStatement(msgspec.Struct, frozen=True):
--- a/tests/adapters/database_contract.py
+++ b/tests/adapters/database_contract.py
@@ -6,9 +6,9 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import NamedTuple
 
-from dewledge.core.calls import Access, Statement
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.ports import DatabaseConnection, DatabaseDriver
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver
 from dewledge.errors import (
     ConnectionBroken,
     ConnectionClosed,
--- a/tests/adapters/faulty_connection.py
+++ b/tests/adapters/faulty_connection.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from dewledge.core.calls import Access, Statement
-from dewledge.core.ports import DatabaseConnection, ExecutionResult
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.ports import DatabaseConnection, ExecutionResult
 from dewledge.errors import (
     ConnectionBroken,
     ConnectionClosed,
--- a/tests/adapters/platform_pump.py
+++ b/tests/adapters/platform_pump.py
@@ -19,9 +19,9 @@
     HttpTableService,
     PlatformClient,
 )
-from dewledge.core.configuration.codec import decode_change, decode_content
-from dewledge.core.configuration.configuration import ChangeSet
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.codec import decode_change, decode_content
+from dewledge.core.proxy.configuration.configuration import ChangeSet
+from dewledge.core.proxy.configuration.store import (
     HEAD_KEY,
     HeadRow,
     StoreCall,
@@ -30,7 +30,7 @@
     change_key,
     revision_key,
 )
-from dewledge.core.ports import Row
+from dewledge.core.proxy.ports import Row
 from dewledge.errors import StoreRateLimited
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.store_calls import StoreCalls
--- a/tests/adapters/store_contract.py
+++ b/tests/adapters/store_contract.py
@@ -3,7 +3,7 @@
 import unittest
 from abc import abstractmethod
 
-from dewledge.core.ports import (
+from dewledge.core.proxy.ports import (
     MachineList,
     MachineState,
     ObjectStore,
--- a/tests/adapters/test_acceptance_on_platform.py
+++ b/tests/adapters/test_acceptance_on_platform.py
@@ -8,12 +8,12 @@
 from random import Random
 from typing import NamedTuple
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION
-from dewledge.core.configuration.poller import ConfigurationPoller, PollerSettings
-from dewledge.core.configuration.resources import GroupSpec, Kind, Resource
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION
+from dewledge.core.proxy.configuration.poller import ConfigurationPoller, PollerSettings
+from dewledge.core.proxy.configuration.resources import GroupSpec, Kind, Resource
+from dewledge.core.proxy.configuration.store import (
     ChangeLookedUp,
     ConfigurationLearned,
     ProposalFinished,
@@ -21,8 +21,8 @@
     ReadRow,
     Transact,
 )
-from dewledge.core.configuration.store_task import RetrySettings
-from dewledge.core.effects import LogEvent
+from dewledge.core.proxy.configuration.store_task import RetrySettings
+from dewledge.core.proxy.effects import LogEvent
 from dewledge.standin.platform_server import PlatformFaults
 from dewledge.standin.platform_settings import PlatformSettings
 from tests.adapters.platform_pump import PlatformPump, Switch
--- a/tests/adapters/test_http_database.py
+++ b/tests/adapters/test_http_database.py
@@ -7,8 +7,8 @@
 
 from dewledge.adapters.http_database import HttpDatabaseDriver
 from dewledge.adapters.http_exchange import ClosedBeforeSending, HttpExchange
-from dewledge.core.calls import Access
-from dewledge.core.ports import DatabaseConnection
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.ports import DatabaseConnection
 from dewledge.errors import ConnectionBroken, ConnectionClosed, ConnectRefused, DatabaseError
 from dewledge.standin.group_client import GroupClient
 from dewledge.standin.group_server import GroupServer
--- a/tests/adapters/test_http_platform.py
+++ b/tests/adapters/test_http_platform.py
@@ -8,7 +8,7 @@
     HttpTableService,
     PlatformClient,
 )
-from dewledge.core.ports import MachineState, RowWrite
+from dewledge.core.proxy.ports import MachineState, RowWrite
 from dewledge.errors import StoreError, StoreOutcomeUnknown
 from dewledge.standin.platform_client import PlatformFaultClient
 from dewledge.standin.platform_model import PlatformCall
--- a/tests/adapters/test_job_runner.py
+++ b/tests/adapters/test_job_runner.py
@@ -5,8 +5,15 @@
 from typing import NamedTuple
 
 from dewledge.adapters.job_runner import CREATE_RECORD_TABLE, run_job
-from dewledge.core.calls import Access, Operation, Statement
-from dewledge.core.jobs import IdempotencyRecord, Job, JobDone, JobNotRun, JobResult, JobUnknown
+from dewledge.core.proxy.calls import Access, Operation, Statement
+from dewledge.core.proxy.jobs import (
+    IdempotencyRecord,
+    Job,
+    JobDone,
+    JobNotRun,
+    JobResult,
+    JobUnknown,
+)
 from dewledge.errors import ErrorCode
 from dewledge.simulation.model_connection import ModelConnection
 from dewledge.standin.group_model import GroupModel
--- a/tests/cli/test_operator_commands.py
+++ b/tests/cli/test_operator_commands.py
@@ -10,8 +10,8 @@
 from dewledge.cli.http_client import ProxyClient
 from dewledge.cli.operator_commands import parse_kind
 from dewledge.cli.operator_commands_change import ChangeSubmission, Waiting
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.resources import Kind
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.resources import Kind
 from dewledge.errors import InvalidInput
 from tests.cli.stub_proxy import CUT, CommandRun, Reply, Request, StubProxy, run_command
 
--- a/tests/contracts/fault_table.py
+++ b/tests/contracts/fault_table.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.calls import Outcome
 from dewledge.simulation.faults import Fault
 from dewledge.simulation.interceptor import Interceptor
 from dewledge.simulation.population import PopulationSettings
--- a/tests/contracts/test_configuration.py
+++ b/tests/contracts/test_configuration.py
@@ -1,6 +1,6 @@
 """An accepted change is in force on every proxy in time, and never reverts."""
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import ErrorCode
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.naive import DeafToChanges
--- a/tests/contracts/test_configuration_order.py
+++ b/tests/contracts/test_configuration_order.py
@@ -2,11 +2,11 @@
 
 from unittest.mock import patch
 
-from dewledge.core.configuration.codec import decode_snapshot
-from dewledge.core.configuration.spread import ConfigurationSpread, SpreadSettings
-from dewledge.core.messages import ConfigurationSnapshotMessage
-from dewledge.core.proxy.parts import ProxyCoreSettings
-from dewledge.core.proxy.router import ProxyRouter
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.router import ProxyRouter
+from dewledge.core.proxy.configuration.codec import decode_snapshot
+from dewledge.core.proxy.configuration.spread import ConfigurationSpread, SpreadSettings
+from dewledge.core.proxy.messages import ConfigurationSnapshotMessage
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.violations import Promise
 from tests.contracts.fault_table import ContractTestCase, Expected, Row
--- a/tests/contracts/test_confirmation_policies.py
+++ b/tests/contracts/test_confirmation_policies.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.resources import Confirmation, GroupSpec
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.resources import Confirmation, GroupSpec
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.population import PopulationSettings
 from dewledge.simulation.scenario import SMALL, Scenario, Verdict, run_scenario
--- a/tests/contracts/test_failover_gap.py
+++ b/tests/contracts/test_failover_gap.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.history import History
 from dewledge.simulation.population import PopulationSettings
--- a/tests/contracts/test_overload.py
+++ b/tests/contracts/test_overload.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
-from dewledge.core.effects import SendToPeer
-from dewledge.core.messages import StatementRequest
-from dewledge.core.proxy.effects import ProxyEffect
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.effects import SendToPeer
+from dewledge.core.proxy.messages import StatementRequest
 from dewledge.errors import ErrorCode
 from dewledge.simulation.deployments import PERMITS
 from dewledge.simulation.history import RequestRecord
--- a/tests/contracts/test_replaced_primary.py
+++ b/tests/contracts/test_replaced_primary.py
@@ -2,8 +2,8 @@
 
 from unittest.mock import patch
 
-from dewledge.core.gateway.confirmation import Verdict as Confirmed
-from dewledge.core.gateway.group_monitor import GroupMonitor
+from dewledge.core.proxy.gateway.confirmation import Verdict as Confirmed
+from dewledge.core.proxy.gateway.group_monitor import GroupMonitor
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.violations import Promise
 from dewledge.simulation.workloads import Action
--- a/tests/contracts/test_retired_databases.py
+++ b/tests/contracts/test_retired_databases.py
@@ -2,7 +2,7 @@
 
 from unittest import mock
 
-from dewledge.core.configuration.spread import ConfigurationSpread
+from dewledge.core.proxy.configuration.spread import ConfigurationSpread
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.naive import DeafToChanges
 from dewledge.simulation.scenario import run_scenario
--- a/tests/core/proxy/test_contact_after_freeze.py
+++ b/tests/core/proxy/assembly/test_contact_after_freeze.py
@@ -3,16 +3,16 @@
 import unittest
 from random import Random
 
-from dewledge.core.configuration.codec import encode_change
-from dewledge.core.configuration.configuration import ChangeSet
-from dewledge.core.effects import SendToPeer
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.membership.member import Member
-from dewledge.core.membership.messages import SendDatagram
-from dewledge.core.messages import ConfigurationDelta
-from dewledge.core.proxy.core import ProxyCore
-from dewledge.core.proxy.effects import ProxyEffect
-from dewledge.core.proxy.parts import ProxyCoreSettings
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.configuration.codec import encode_change
+from dewledge.core.proxy.configuration.configuration import ChangeSet
+from dewledge.core.proxy.effects import SendToPeer
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.membership.messages import SendDatagram
+from dewledge.core.proxy.messages import ConfigurationDelta
 
 NAMES = ("one", "two")
 STEP_SECONDS = 0.01
--- a/tests/core/proxy/test_first_event_after_freeze.py
+++ b/tests/core/proxy/assembly/test_first_event_after_freeze.py
@@ -5,27 +5,27 @@
 from random import Random
 from typing import Any
 
-from dewledge.core.calls import Access, CallerRequest, Operation, Rows, Statement
-from dewledge.core.configuration.codec import encode_change
-from dewledge.core.configuration.configuration import ChangeSet
-from dewledge.core.configuration.store import StoreCaller, StoreResult
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.effects import OpenConnection, RunJob
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.jobs import JobDone, StatusReading
-from dewledge.core.membership.member import Member
-from dewledge.core.messages import (
+from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.assembly.core import ProxyCore
+from dewledge.core.proxy.assembly.effects import ProxyEffect
+from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
+from dewledge.core.proxy.calls import Access, CallerRequest, Operation, Rows, Statement
+from dewledge.core.proxy.configuration.codec import encode_change
+from dewledge.core.proxy.configuration.configuration import ChangeSet
+from dewledge.core.proxy.configuration.store import StoreCaller, StoreResult
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.effects import OpenConnection, RunJob
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.jobs import JobDone, StatusReading
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.messages import (
     CancelRequest,
     ConfigurationDelta,
     ConfigurationDigest,
     StatementRequest,
 )
-from dewledge.core.positions import LogPosition
-from dewledge.core.proxy.core import ProxyCore
-from dewledge.core.proxy.effects import ProxyEffect
-from dewledge.core.proxy.parts import ProxyCoreSettings
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import GROUP, PRIMARY, make_configuration
+from tests.core.proxy.gateway.gateway_harness import GROUP, PRIMARY, make_configuration
 
 PEER = "elsewhere"
 FREEZE_SECONDS = 60.0
--- a/tests/core/configuration/store_harness.py
+++ b/tests/core/proxy/configuration/store_harness.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dewledge.core.configuration.codec import decode_change, decode_content
-from dewledge.core.configuration.configuration import ChangeSet, Configuration
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.codec import decode_change, decode_content
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration
+from dewledge.core.proxy.configuration.store import (
     HEAD_KEY,
     GetObject,
     HeadRow,
@@ -25,7 +25,7 @@
     change_key,
     revision_key,
 )
-from dewledge.core.ports import Row
+from dewledge.core.proxy.ports import Row
 from dewledge.errors import ErrorCode, StoreConditionFailed
 
 LATENCY = 0.01
--- a/tests/core/configuration/test_authorization.py
+++ b/tests/core/proxy/configuration/test_authorization.py
@@ -3,10 +3,10 @@
 import unittest
 
 from dewledge.core.caller_tokens import token_digest
-from dewledge.core.calls import Access
-from dewledge.core.configuration.authorization import BOOTSTRAP_OPERATOR, AccessPolicy
-from dewledge.core.configuration.configuration import DRAIN_LABEL, Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.authorization import BOOTSTRAP_OPERATOR, AccessPolicy
+from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     Expression,
--- a/tests/core/configuration/test_configuration_acceptance.py
+++ b/tests/core/proxy/configuration/test_configuration_acceptance.py
@@ -4,15 +4,15 @@
 from collections.abc import Mapping
 from random import Random
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
-from dewledge.core.configuration.configuration import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
+from dewledge.core.proxy.configuration.configuration import (
     EMPTY_CONFIGURATION,
     Configuration,
     ResourceKey,
 )
-from dewledge.core.configuration.resources import DatabaseSpec, GroupSpec, Kind, Resource
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, GroupSpec, Kind, Resource
+from dewledge.core.proxy.configuration.store import (
     ChangeLookedUp,
     ConfigurationLearned,
     LabelChange,
@@ -22,7 +22,7 @@
     Transact,
 )
 from dewledge.errors import ErrorCode
-from tests.core.configuration.store_harness import Cluster, Fault
+from tests.core.proxy.configuration.store_harness import Cluster, Fault
 
 DONE, NOT_RUN, UNKNOWN = Outcome.DONE, Outcome.NOT_RUN, Outcome.UNKNOWN
 SEEDS = range(150)
--- a/tests/core/configuration/test_configuration_codec.py
+++ b/tests/core/proxy/configuration/test_configuration_codec.py
@@ -6,17 +6,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.configuration.codec import (
+from dewledge.core.proxy.configuration.codec import (
     FORMAT,
     decode_change,
     decode_snapshot,
     encode_change,
     encode_snapshot,
 )
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.resources import GroupSpec, Kind, ProxySpec, Resource
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.resources import GroupSpec, Kind, ProxySpec, Resource
 from dewledge.errors import ProtocolError
-from tests.core.configuration.test_authorization import CONFIGURATION
+from tests.core.proxy.configuration.test_authorization import CONFIGURATION
 
 CHANGE = ChangeSet(
     7,
--- a/tests/core/configuration/test_configuration_poller.py
+++ b/tests/core/proxy/configuration/test_configuration_poller.py
@@ -2,22 +2,22 @@
 
 import unittest
 
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
-from dewledge.core.configuration.codec import (
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.acceptance import AcceptanceSettings, ConfigurationAcceptance
+from dewledge.core.proxy.configuration.codec import (
     decode_change,
     decode_content,
     decode_snapshot,
     encode_snapshot,
 )
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.poller import (
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.poller import (
     ConfigurationPoller,
     PollerSettings,
     rank_pollers,
 )
-from dewledge.core.configuration.resources import GroupSpec, Kind, Resource
-from dewledge.core.configuration.store import (
+from dewledge.core.proxy.configuration.resources import GroupSpec, Kind, Resource
+from dewledge.core.proxy.configuration.store import (
     SNAPSHOT_KEY,
     SNAPSHOT_SLOTS,
     ConfigurationLearned,
@@ -32,7 +32,7 @@
     revision_key,
     snapshot_object,
 )
-from tests.core.configuration.store_harness import Cluster, Fault
+from tests.core.proxy.configuration.store_harness import Cluster, Fault
 
 SETTINGS = PollerSettings()
 IN_FORCE_WITHIN = 6.0
--- a/tests/core/configuration/test_configuration_spread.py
+++ b/tests/core/proxy/configuration/test_configuration_spread.py
@@ -3,10 +3,10 @@
 import unittest
 from random import Random
 
-from dewledge.core.configuration.codec import encode_change, encode_snapshot
-from dewledge.core.configuration.configuration import ChangeSet, Configuration, ResourceKey
-from dewledge.core.configuration.resources import Kind, ProxySpec, Resource
-from dewledge.core.configuration.spread import (
+from dewledge.core.proxy.configuration.codec import encode_change, encode_snapshot
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration, ResourceKey
+from dewledge.core.proxy.configuration.resources import Kind, ProxySpec, Resource
+from dewledge.core.proxy.configuration.spread import (
     ConfigurationChanged,
     ConfigurationSpread,
     SpreadEffect,
@@ -14,9 +14,9 @@
     SpreadSettings,
     with_changes,
 )
-from dewledge.core.effects import LogEvent, SendToPeer
-from dewledge.core.membership.member import Member
-from dewledge.core.messages import (
+from dewledge.core.proxy.effects import LogEvent, SendToPeer
+from dewledge.core.proxy.membership.member import Member
+from dewledge.core.proxy.messages import (
     ConfigurationDelta,
     ConfigurationDigest,
     ConfigurationRequest,
--- a/tests/core/configuration/test_resource_documents.py
+++ b/tests/core/proxy/configuration/test_resource_documents.py
@@ -9,18 +9,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.calls import Access
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resource_documents import (
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resource_documents import (
     check_configuration,
     load_documents,
     read_documents,
     selector_from_text,
     to_document,
 )
-from dewledge.core.configuration.resource_documents_check import SELECTORS_BY_EFFECT
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.resource_documents_check import SELECTORS_BY_EFFECT
+from dewledge.core.proxy.configuration.resources import (
     SELECT_ALL,
     CallerSpec,
     Confirmation,
--- a/tests/core/configuration/test_selectors.py
+++ b/tests/core/proxy/configuration/test_selectors.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.configuration.resources import (
     DatabaseSpec,
     Expression,
     GroupSpec,
@@ -14,7 +14,7 @@
     Selector,
     SelectorOperator,
 )
-from dewledge.core.configuration.selectors import LabelIndex, labels_of, matches
+from dewledge.core.proxy.configuration.selectors import LabelIndex, labels_of, matches
 
 KEYS = st.sampled_from(["app", "zone", "tier", "dewledge/name"])
 VALUES = st.sampled_from(["", "a", "b", "item-0", "item-1"])
--- a/tests/core/entry/entry_harness.py
+++ b/tests/core/proxy/entry/entry_harness.py
@@ -4,10 +4,18 @@
 from random import Random
 from typing import TypeVar
 
-from dewledge.core.calls import Access, CallerAnswer, CallerRequest, Operation, Rows, Statement
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.proxy.calls import (
+    Access,
+    CallerAnswer,
+    CallerRequest,
+    Operation,
+    Rows,
+    Statement,
+)
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     DatabaseSpec,
     GroupSpec,
@@ -17,12 +25,12 @@
     RuleSpec,
     Selector,
 )
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.effects import AnswerCaller, Effect, LogEvent, SendToPeer
-from dewledge.core.entry.entry import Entry
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.messages import (
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.effects import AnswerCaller, Effect, LogEvent, SendToPeer
+from dewledge.core.proxy.entry.entry import Entry
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.messages import (
     GroupStatusAnswer,
     PeerMessage,
     StatementDone,
@@ -30,7 +38,6 @@
     StatementRequest,
     StatementUnknown,
 )
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode
 
 GROUP = "g"
--- a/tests/core/entry/test_entry.py
+++ b/tests/core/proxy/entry/test_entry.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from dewledge.core.calls import Access, Operation, Outcome
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.messages import CancelRequest, StatementDone, StatementRequest
+from dewledge.core.proxy.calls import Access, Operation, Outcome
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.messages import CancelRequest, StatementDone, StatementRequest
 from dewledge.errors import ErrorCode
-from tests.core.entry.entry_harness import (
+from tests.core.proxy.entry.entry_harness import (
     CODEC,
     GROUP,
     OTHER_GROUP,
--- a/tests/core/entry/test_entry_failover.py
+++ b/tests/core/proxy/entry/test_entry_failover.py
@@ -3,12 +3,12 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.calls import Access, Outcome
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.messages import CancelRequest, GroupStatusRequest, StatementRequest
+from dewledge.core.proxy.calls import Access, Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.messages import CancelRequest, GroupStatusRequest, StatementRequest
 from dewledge.errors import ErrorCode
-from tests.core.entry.entry_harness import EntryHarness, position, status
+from tests.core.proxy.entry.entry_harness import EntryHarness, position, status
 
 PRIMARY = DatabaseRole.PRIMARY
 
--- a/tests/core/entry/test_entry_faults.py
+++ b/tests/core/proxy/entry/test_entry_faults.py
@@ -4,9 +4,9 @@
 import unittest
 from random import Random
 
-from dewledge.core.calls import Access, Outcome
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.messages import (
+from dewledge.core.proxy.calls import Access, Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.messages import (
     GroupStatusRequest,
     PeerMessage,
     StatementDone,
@@ -15,7 +15,7 @@
     StatementUnknown,
 )
 from dewledge.errors import ErrorCode
-from tests.core.entry.entry_harness import ZONES, EntryHarness, position, status
+from tests.core.proxy.entry.entry_harness import ZONES, EntryHarness, position, status
 
 SEEDS = 150
 REQUESTS = 60
--- a/tests/core/entry/test_entry_reads.py
+++ b/tests/core/proxy/entry/test_entry_reads.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from dewledge.core.calls import Outcome
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.messages import GroupStatusAnswer, GroupStatusRequest, StatementRequest
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest, StatementRequest
 from dewledge.errors import ErrorCode
-from tests.core.entry.entry_harness import (
+from tests.core.proxy.entry.entry_harness import (
     CODEC,
     GROUP,
     EntryHarness,
--- a/tests/core/entry/test_entry_retries.py
+++ b/tests/core/proxy/entry/test_entry_retries.py
@@ -3,12 +3,12 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.calls import Access, Operation, Outcome
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.settings import EntrySettings
-from dewledge.core.messages import StatementRequest
+from dewledge.core.proxy.calls import Access, Operation, Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.proxy.messages import StatementRequest
 from dewledge.errors import ErrorCode
-from tests.core.entry.entry_harness import EntryHarness, configuration, position
+from tests.core.proxy.entry.entry_harness import EntryHarness, configuration, position
 
 Fault = Callable[[EntryHarness], None]
 NO_RETRIES = EntrySettings(retry_ratio=0.0, retry_reserve=0.0)
--- a/tests/core/entry/test_group_description.py
+++ b/tests/core/proxy/entry/test_group_description.py
@@ -2,8 +2,9 @@
 
 import unittest
 
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.group_description import (
+from dewledge.core.positions import TermStart
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.group_description import (
     GroupDescription,
     describe,
     with_applied,
@@ -14,9 +15,8 @@
     with_status,
     with_unavailable,
 )
-from dewledge.core.entry.head_history import HeadHistory
-from dewledge.core.positions import TermStart
-from tests.core.entry.entry_harness import ZONES, position, status
+from dewledge.core.proxy.entry.head_history import HeadHistory
+from tests.core.proxy.entry.entry_harness import ZONES, position, status
 
 PRIMARY = DatabaseRole.PRIMARY
 
--- a/tests/core/entry/test_server_selection.py
+++ b/tests/core/proxy/entry/test_server_selection.py
@@ -5,17 +5,22 @@
 
 import msgspec
 
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.entry.group_description import (
+from dewledge.core.load.retry_budget import RetryBudget
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.entry.group_description import (
     GroupDescription,
     describe,
     with_gamble,
     with_lag_sample,
     with_status,
 )
-from dewledge.core.entry.server_selection import Freshness, ReadChoice, ReadQuery, choose_replica
-from dewledge.core.load.retry_budget import RetryBudget
-from tests.core.entry.entry_harness import ZONES, position, status
+from dewledge.core.proxy.entry.server_selection import (
+    Freshness,
+    ReadChoice,
+    ReadQuery,
+    choose_replica,
+)
+from tests.core.proxy.entry.entry_harness import ZONES, position, status
 
 QUERY = ReadQuery(
     floor=position(1, 10),
--- a/tests/core/entry/test_session_token.py
+++ b/tests/core/proxy/entry/test_session_token.py
@@ -5,14 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.entry.session_token import (
+from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.entry.session_token import (
     MAX_GROUPS,
     MAX_TOKEN_CHARACTERS,
     NO_FLOORS,
     SessionTokenCodec,
 )
-from dewledge.core.positions import LogPosition
-from dewledge.core.transaction_ids import gateway_of_transaction, make_transaction_id
+from dewledge.core.proxy.transaction_ids import gateway_of_transaction, make_transaction_id
 from dewledge.errors import BadSessionToken
 
 CODEC = SessionTokenCodec([b"new", b"old"])
--- a/tests/core/gateway/gateway_group_model.py
+++ b/tests/core/proxy/gateway/gateway_group_model.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.positions import LogPosition, TermStart
-from tests.core.gateway.gateway_harness import DATABASES
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from tests.core.proxy.gateway.gateway_harness import DATABASES
 
 
 class ModelDatabase:
--- a/tests/core/gateway/gateway_harness.py
+++ b/tests/core/proxy/gateway/gateway_harness.py
@@ -2,9 +2,10 @@
 
 from random import Random
 
-from dewledge.core.calls import Access, Operation, Rows, Statement
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     Confirmation,
     DatabaseSpec,
@@ -12,8 +13,8 @@
     Kind,
     Resource,
 )
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.effects import (
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.effects import (
     CloseConnection,
     Effect,
     LogEvent,
@@ -22,10 +23,10 @@
     RunJob,
     SendToPeer,
 )
-from dewledge.core.gateway.gateway import Gateway
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.jobs import Job, JobDone, JobNotRun, JobUnknown, StatusReading
-from dewledge.core.messages import (
+from dewledge.core.proxy.gateway.gateway import Gateway
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.jobs import Job, JobDone, JobNotRun, JobUnknown, StatusReading
+from dewledge.core.proxy.messages import (
     GroupStatusAnswer,
     PeerMessage,
     StatementDone,
@@ -33,7 +34,6 @@
     StatementRequest,
     StatementUnknown,
 )
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode
 
 GROUP = "cases"
--- a/tests/core/gateway/test_admission.py
+++ b/tests/core/proxy/gateway/test_admission.py
@@ -5,14 +5,14 @@
 from collections import Counter
 from random import Random
 
-from dewledge.core.calls import Access
-from dewledge.core.gateway.admission import wait_refusal
-from dewledge.core.jobs import Job
 from dewledge.core.load.service_rate import ServiceRate
-from dewledge.core.messages import StatementNotRun
 from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.calls import Access
+from dewledge.core.proxy.gateway.admission import wait_refusal
+from dewledge.core.proxy.jobs import Job
+from dewledge.core.proxy.messages import StatementNotRun
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import PRIMARY, GatewayHarness, make_configuration
+from tests.core.proxy.gateway.gateway_harness import PRIMARY, GatewayHarness, make_configuration
 
 SLOTS = 5
 SERVICE_TIME = 0.005
--- a/tests/core/gateway/test_confirmation.py
+++ b/tests/core/proxy/gateway/test_confirmation.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.configuration.resources import Confirmation
-from dewledge.core.database_status import DatabaseRole, DatabaseStatus
-from dewledge.core.gateway.confirmation import Claim, RoundEvidence, Verdict, holds, judge
 from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.proxy.configuration.resources import Confirmation
+from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.proxy.gateway.confirmation import Claim, RoundEvidence, Verdict, holds, judge
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import (
+from tests.core.proxy.gateway.gateway_harness import (
     DATABASES,
     PRIMARY,
     FixedPlacement,
--- a/tests/core/gateway/test_connection_pool.py
+++ b/tests/core/proxy/gateway/test_connection_pool.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from random import Random
 
-from dewledge.core.effects import CloseConnection, OpenConnection
-from dewledge.core.gateway.connection_pool import ConnectionPool
-from dewledge.core.gateway.context import GatewayContext
-from dewledge.core.gateway.settings import GatewaySettings
+from dewledge.core.proxy.effects import CloseConnection, OpenConnection
+from dewledge.core.proxy.gateway.connection_pool import ConnectionPool
+from dewledge.core.proxy.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.settings import GatewaySettings
 from dewledge.errors import ErrorCode
 
 LIMIT = ErrorCode.CONNECTION_LIMIT
--- a/tests/core/gateway/test_fair_queue.py
+++ b/tests/core/proxy/gateway/test_fair_queue.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from random import Random
 
-from dewledge.core.gateway.fair_queue import FairQueue, QueueEntry
+from dewledge.core.proxy.gateway.fair_queue import FairQueue, QueueEntry
 
 WEIGHTS = {"small": 1.0, "middle": 2.0, "large": 5.0}
 
--- a/tests/core/gateway/test_gateway.py
+++ b/tests/core/proxy/gateway/test_gateway.py
@@ -4,19 +4,19 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.calls import Access, Operation, Statement
-from dewledge.core.configuration.configuration import ChangeSet
-from dewledge.core.configuration.resources import DatabaseSpec, Kind, Resource
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.jobs import JobDone
-from dewledge.core.messages import (
+from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.calls import Access, Operation, Statement
+from dewledge.core.proxy.configuration.configuration import ChangeSet
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, Kind, Resource
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.jobs import JobDone
+from dewledge.core.proxy.messages import (
     CancelRequest,
     StatementDone,
     StatementNotRun,
 )
-from dewledge.core.positions import LogPosition
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import (
+from tests.core.proxy.gateway.gateway_harness import (
     PRIMARY,
     FixedPlacement,
     FixedPolicy,
--- a/tests/core/gateway/test_gateway_status.py
+++ b/tests/core/proxy/gateway/test_gateway_status.py
@@ -2,9 +2,15 @@
 
 import unittest
 
-from dewledge.core.messages import GroupStatusAnswer, GroupStatusRequest, StatementNotRun
+from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest, StatementNotRun
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import DATABASES, GROUP, PRIMARY, GatewayHarness, status
+from tests.core.proxy.gateway.gateway_harness import (
+    DATABASES,
+    GROUP,
+    PRIMARY,
+    GatewayHarness,
+    status,
+)
 
 
 def ready() -> GatewayHarness:
--- a/tests/core/gateway/test_open_failure_log.py
+++ b/tests/core/proxy/gateway/test_open_failure_log.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import PRIMARY, GatewayHarness
+from tests.core.proxy.gateway.gateway_harness import PRIMARY, GatewayHarness
 
 FAILED, OPENED = "connection_open_failed", "connection_opened_again"
 
--- a/tests/core/gateway/test_status_rounds.py
+++ b/tests/core/proxy/gateway/test_status_rounds.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.messages import GroupStatusAnswer, GroupStatusRequest
 from dewledge.core.positions import LogPosition
-from tests.core.gateway.gateway_harness import DATABASES, GROUP, GatewayHarness
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
+from tests.core.proxy.gateway.gateway_harness import DATABASES, GROUP, GatewayHarness
 
 ONE, TWO, THREE = DATABASES
 ROUND_TIME = 0.04
--- a/tests/core/gateway/test_transactions.py
+++ b/tests/core/proxy/gateway/test_transactions.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.calls import Access, Operation
 from dewledge.core.positions import LogPosition
+from dewledge.core.proxy.calls import Access, Operation
 from dewledge.errors import ErrorCode
-from tests.core.gateway.gateway_harness import (
+from tests.core.proxy.gateway.gateway_harness import (
     DATABASES,
     PRIMARY,
     FixedPlacement,
--- a/tests/core/gateway/test_waiting_room.py
+++ b/tests/core/proxy/gateway/test_waiting_room.py
@@ -3,14 +3,14 @@
 import unittest
 from random import Random
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.gateway.admission import Refusal
-from dewledge.core.gateway.context import GatewayContext
-from dewledge.core.gateway.request import GatewayRequest, RequestKey
-from dewledge.core.gateway.settings import GatewaySettings
-from dewledge.core.gateway.waiting_room import START_MARGIN, TimeNeeded, WaitingRoom
 from dewledge.core.load.service_rate import ServiceRate
-from dewledge.core.messages import StatementRequest
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.gateway.admission import Refusal
+from dewledge.core.proxy.gateway.context import GatewayContext
+from dewledge.core.proxy.gateway.request import GatewayRequest, RequestKey
+from dewledge.core.proxy.gateway.settings import GatewaySettings
+from dewledge.core.proxy.gateway.waiting_room import START_MARGIN, TimeNeeded, WaitingRoom
+from dewledge.core.proxy.messages import StatementRequest
 
 SERVICE_TIME = 0.1
 CONFIRMATION_TIME = 0.07
--- a/tests/core/membership/test_contact.py
+++ b/tests/core/proxy/membership/test_contact.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.membership.contact import LONGEST_WAIT, ContactPings
+from dewledge.core.proxy.membership.contact import LONGEST_WAIT, ContactPings
 
 
 class ContactPingsTest(unittest.TestCase):
--- a/tests/core/membership/test_isolation.py
+++ b/tests/core/proxy/membership/test_isolation.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.membership.isolation import IsolationGuard, IsolationSettings
+from dewledge.core.proxy.membership.isolation import IsolationGuard, IsolationSettings
 
 BOUND = 5.0
 
--- a/tests/core/membership/test_member.py
+++ b/tests/core/proxy/membership/test_member.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.membership.member import (
+from dewledge.core.proxy.membership.member import (
     Claim,
     Location,
     Member,
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/proxy/membership/test_membership.py
@@ -3,10 +3,10 @@
 import unittest
 from random import Random
 
-from dewledge.core.effects import LogEvent
-from dewledge.core.membership.member import Claim, Location, Member, MemberState
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.effects import LogEvent
+from dewledge.core.proxy.membership.member import Claim, Location, Member, MemberState
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.messages import (
     MEMBERSHIP_VERSION,
     Ack,
     Body,
@@ -25,7 +25,7 @@
     decode_datagram,
     encode_datagram,
 )
-from dewledge.core.membership.settings import (
+from dewledge.core.proxy.membership.settings import (
     MembershipSettings,
     confirmations_needed,
     direct_probe_time,
@@ -34,7 +34,7 @@
     suspicion_time,
     transmit_limit,
 )
-from dewledge.core.ports import MachineState
+from dewledge.core.proxy.ports import MachineState
 
 SETTINGS = MembershipSettings()
 
--- a/tests/core/membership/test_membership_messages.py
+++ b/tests/core/proxy/membership/test_membership_messages.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.membership.member import Claim, Location, Member, MemberState
-from dewledge.core.membership.membership import Membership
-from dewledge.core.membership.messages import (
+from dewledge.core.proxy.membership.member import Claim, Location, Member, MemberState
+from dewledge.core.proxy.membership.membership import Membership
+from dewledge.core.proxy.membership.messages import (
     MAX_DATAGRAM_BYTES,
     MEMBERSHIP_VERSION,
     Ack,
@@ -25,7 +25,7 @@
     decode_datagram,
     encode_datagram,
 )
-from dewledge.core.membership.settings import MembershipSettings
+from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.errors import ProtocolError
 
 KEY = b"a key shared by all members"
--- a/tests/core/membership/test_placement.py
+++ b/tests/core/proxy/membership/test_placement.py
@@ -3,10 +3,10 @@
 import unittest
 from random import Random
 
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resources import DatabaseSpec, Kind, Resource
-from dewledge.core.membership.member import Member, MemberState
-from dewledge.core.membership.placement import GatewayPlacement
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, Kind, Resource
+from dewledge.core.proxy.membership.member import Member, MemberState
+from dewledge.core.proxy.membership.placement import GatewayPlacement
 
 ZONES = ("north-0", "north-1", "south-0")
 DATABASES = tuple(f"db-{number:03d}" for number in range(120))
--- a/tests/load.py
+++ b/tests/load.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 
 CLIENT_SECONDS = 15.0
 
--- a/tests/process_cluster.py
+++ b/tests/process_cluster.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from dewledge.cli.http_client import ProxyClient
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.standin.deployment_resources import documents_of
 from dewledge.standin.deployments import PERMITS, Deployment
 from dewledge.standin.group_client import GroupClient
--- a/tests/processes/group_observer.py
+++ b/tests/processes/group_observer.py
@@ -3,8 +3,8 @@
 import threading
 import time
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.simulation.history import CommitRecord, ElectionRecord, History, WorkRecord
 from dewledge.simulation.workloads import markers_in, tags_in
 from dewledge.standin.group_client import GroupClient
--- a/tests/processes/mixed_load.py
+++ b/tests/processes/mixed_load.py
@@ -4,7 +4,7 @@
 import time
 from collections.abc import Callable, Sequence
 
-from dewledge.core.calls import Operation, Outcome
+from dewledge.core.proxy.calls import Operation, Outcome
 from dewledge.simulation.history import History, RequestRecord
 from tests.process_cluster import await_state
 from tests.processes.recorded_caller import RecordedCaller, Target, new_marker
--- a/tests/processes/observed_cluster.py
+++ b/tests/processes/observed_cluster.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 
 from dewledge.cli.http_client import HttpAnswer
-from dewledge.core.calls import Outcome
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.simulation.history import AbsenceRecord, History
 from dewledge.simulation.promises import check_all
 from dewledge.simulation.workloads import SCHEMA
--- a/tests/processes/recorded_caller.py
+++ b/tests/processes/recorded_caller.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Operation, Outcome, Statement
+from dewledge.core.proxy.calls import Access, Operation, Outcome, Statement
 from dewledge.errors import ErrorCode
 from dewledge.simulation.history import History, RequestRecord
 from dewledge.simulation.workloads import amend, append, read_record
--- a/tests/processes/test_configuration.py
+++ b/tests/processes/test_configuration.py
@@ -10,10 +10,10 @@
 
 from dewledge.adapters.http_platform import HttpTableService, PlatformClient
 from dewledge.cli.http_client import HttpAnswer
-from dewledge.core.calls import Outcome
-from dewledge.core.configuration.codec import decode_change
-from dewledge.core.configuration.store import change_key
-from dewledge.core.ports import Row
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.configuration.codec import decode_change
+from dewledge.core.proxy.configuration.store import change_key
+from dewledge.core.proxy.ports import Row
 from dewledge.errors import ErrorCode, StoreRateLimited
 from dewledge.simulation.history import AcceptanceRecord, History
 from dewledge.simulation.promises_operations import IN_FORCE_BOUND
--- a/tests/processes/test_drain_and_isolation.py
+++ b/tests/processes/test_drain_and_isolation.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import ErrorCode
 from dewledge.simulation.history import AcceptanceRecord, RequestRecord
 from dewledge.simulation.promises_operations import RETIRED_BOUND
--- a/tests/processes/test_overload.py
+++ b/tests/processes/test_overload.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Access, Outcome
+from dewledge.core.proxy.calls import Access, Outcome
 from dewledge.simulation.history import History, RequestRecord
 from dewledge.simulation.promises_reads import ANSWER_GRACE
 from tests.machine_stalls import MachineStalls
--- a/tests/processes/test_planned_stop.py
+++ b/tests/processes/test_planned_stop.py
@@ -3,7 +3,7 @@
 import signal
 import time
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.simulation.history import StopRecord
 from tests.process_cluster import ProxyProcess
 from tests.processes.observed_cluster import ClusterTestCase, Observation
--- a/tests/processes/test_submissions.py
+++ b/tests/processes/test_submissions.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.simulation.history import RequestRecord
 from tests.process_cluster import await_state
 from tests.processes.observed_cluster import ClusterTestCase, Observation, ObservedCluster
--- a/tests/processes/test_transactions.py
+++ b/tests/processes/test_transactions.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.calls import Operation, Outcome
-from dewledge.core.transaction_ids import gateway_of_transaction
+from dewledge.core.proxy.calls import Operation, Outcome
+from dewledge.core.proxy.transaction_ids import gateway_of_transaction
 from dewledge.simulation.history import RequestRecord
 from dewledge.standin.group_types import ActivityEntry, ActivityKind
 from tests.process_cluster import ProxyProcess, await_state
--- a/tests/processes/test_without_mechanism.py
+++ b/tests/processes/test_without_mechanism.py
@@ -7,11 +7,11 @@
 import msgspec
 
 from dewledge.adapters.job_runner import run_job
-from dewledge.core.calls import Outcome
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.gateway.confirmation import Claim, Verdict, judge
-from dewledge.core.jobs import Job, JobResult
-from dewledge.core.ports import DatabaseConnection
+from dewledge.core.proxy.calls import Outcome
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.gateway.confirmation import Claim, Verdict, judge
+from dewledge.core.proxy.jobs import Job, JobResult
+from dewledge.core.proxy.ports import DatabaseConnection
 from dewledge.embedded import ClusterPlan, EmbeddedCluster
 from dewledge.simulation.history import History
 from dewledge.simulation.promises import check_all
@@ -93,7 +93,7 @@
 
     def test_confirmation(self) -> None:
         self.assertEqual(self.cut_primary_under_load(), set())
-        with patch("dewledge.core.gateway.group_monitor.judge", _confirm_at_once):
+        with patch("dewledge.core.proxy.gateway.group_monitor.judge", _confirm_at_once):
             broken = self.cut_primary_under_load()
         self.assertIn(Promise.ACKNOWLEDGED_WRITES_STAND, broken)
 
--- a/tests/scale/test_faults.py
+++ b/tests/scale/test_faults.py
@@ -3,8 +3,8 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.configuration.configuration import ChangeSet, Configuration
-from dewledge.core.configuration.resources import Kind, ProxySpec, Resource
+from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration
+from dewledge.core.proxy.configuration.resources import Kind, ProxySpec, Resource
 from dewledge.scale.hollow_cluster import HollowCluster
 from dewledge.scale.hollow_network import NetworkFaults
 
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -6,7 +6,7 @@
 import msgspec
 from rich.console import Console
 
-from dewledge.core.configuration.resources import DatabaseSpec, Kind
+from dewledge.core.proxy.configuration.resources import DatabaseSpec, Kind
 from dewledge.scale.report import print_report
 from dewledge.scale.run import ScaleReport, run_scale
 from dewledge.scale.scenarios import Scenario
--- a/tests/shell/edge_services.py
+++ b/tests/shell/edge_services.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 
 from dewledge.core.caller_tokens import token_digest
-from dewledge.core.calls import CallerAnswer, CallerRequest, Outcome
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import EMPTY_CONFIGURATION, Configuration
-from dewledge.core.configuration.resources import (
+from dewledge.core.proxy.calls import CallerAnswer, CallerRequest, Outcome
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
+from dewledge.core.proxy.configuration.resources import (
     CallerSpec,
     GroupSpec,
     Kind,
@@ -15,9 +15,9 @@
     RuleSpec,
     Selector,
 )
-from dewledge.core.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
-from dewledge.core.gateway.report import DatabaseReport
-from dewledge.core.membership.member import Member
+from dewledge.core.proxy.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
+from dewledge.core.proxy.gateway.report import DatabaseReport
+from dewledge.core.proxy.membership.member import Member
 from dewledge.shell.http_edge import HttpEdge
 from dewledge.shell.http_messages import Exchange, HttpRequest, HttpResponse
 from dewledge.shell.metrics import ProxyMetrics
--- a/tests/shell/test_http_edge.py
+++ b/tests/shell/test_http_edge.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.calls import (
+from dewledge.core.proxy.calls import (
     Access,
     CallerAnswer,
     CallerRequest,
@@ -16,9 +16,9 @@
     Rows,
     Statement,
 )
-from dewledge.core.configuration.configuration import ChangeSet, ResourceKey
-from dewledge.core.configuration.resources import Kind
-from dewledge.core.configuration.store import ChangeLookedUp, LabelChange, ProposalFinished
+from dewledge.core.proxy.configuration.configuration import ChangeSet, ResourceKey
+from dewledge.core.proxy.configuration.resources import Kind
+from dewledge.core.proxy.configuration.store import ChangeLookedUp, LabelChange, ProposalFinished
 from dewledge.errors import ErrorCode
 from tests.shell.edge_services import (
     BOOTSTRAP_TOKEN,
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -10,9 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.calls import Access, Operation
-from dewledge.core.database_status import DatabaseRole
-from dewledge.core.messages import (
+from dewledge.core.positions import LOG_START
+from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.proxy.messages import (
     PROTOCOL_VERSION,
     ConfigurationDigest,
     GroupStatusAnswer,
@@ -22,7 +23,6 @@
     StatementDone,
     StatementRequest,
 )
-from dewledge.core.positions import LOG_START
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.frames import FrameReader, encode_frame
 from dewledge.shell.outbound_peer import (
--- a/tests/simulation/test_world.py
+++ b/tests/simulation/test_world.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.calls import CallerAnswer, CallerRequest
+from dewledge.core.proxy.calls import CallerAnswer, CallerRequest
 from dewledge.simulation.faults import Fault, FaultKind
 from dewledge.simulation.history import History
 from dewledge.simulation.population import PopulationSettings
--- a/tests/standin/test_deployments.py
+++ b/tests/standin/test_deployments.py
@@ -8,10 +8,10 @@
 from typer.testing import CliRunner
 
 from dewledge.cli.standin_commands import app
-from dewledge.core.calls import Access, Statement
-from dewledge.core.configuration.authorization import AccessPolicy
-from dewledge.core.configuration.configuration import Configuration
-from dewledge.core.configuration.resource_documents import check_configuration, load_documents
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.configuration.authorization import AccessPolicy
+from dewledge.core.proxy.configuration.configuration import Configuration
+from dewledge.core.proxy.configuration.resource_documents import check_configuration, load_documents
 from dewledge.standin.deployment_resources import demonstration_token, resources_of
 from dewledge.standin.deployments import DEPLOYMENTS, CallerRole
 from dewledge.standin.fixed_addresses import admin_address, database_addresses
--- a/tests/standin/test_group_server.py
+++ b/tests/standin/test_group_server.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from dewledge.adapters.http_database import HttpDatabaseDriver
-from dewledge.core.calls import Access, Statement
-from dewledge.core.database_status import DatabaseRole
+from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.errors import ProtocolError
 from dewledge.standin.admin_connection import AdminConnection
 from dewledge.standin.group_client import GroupClient
--- a/tests/test_process_path.py
+++ b/tests/test_process_path.py
@@ -4,7 +4,7 @@
 import unittest
 
 from dewledge.cli.http_client import HttpAnswer
-from dewledge.core.calls import Outcome
+from dewledge.core.proxy.calls import Outcome
 from dewledge.standin.deployment_resources import demonstration_token
 from dewledge.standin.platform_server import PlatformFaults
 from tests.load import Load
