--- a/src/dewledge/adapters/http_exchange.py
+++ b/src/dewledge/adapters/http_exchange.py
@@ -12,8 +12,8 @@
 import httptools
 import msgspec
 
-from dewledge.core.addresses import split_address
 from dewledge.core.proxy.ports import NO_LIMIT
+from dewledge.core.shared.addresses import split_address
 from dewledge.errors import ProtocolError
 
 RECEIVE_BYTES = 65536
--- a/src/dewledge/cli/http_client.py
+++ b/src/dewledge/cli/http_client.py
@@ -9,8 +9,8 @@
 import urllib3
 
 from dewledge.cli.output import EXIT_BAD_INPUT, CommandFailed
-from dewledge.core.addresses import check_remote_address
 from dewledge.core.proxy.calls import Outcome
+from dewledge.core.shared.addresses import check_remote_address
 from dewledge.errors import DewledgeError, ErrorCode, Finding, InvalidInput
 
 CONNECT_TIMEOUT = 3.0
--- a/src/dewledge/coordination.py
+++ b/src/dewledge/coordination.py
@@ -39,9 +39,6 @@
     `LogEvent` (one line for the log), `DewledgeError` and `ErrorCode`.
 """
 
-from dewledge.core.load.retry_budget import RetryBudget
-from dewledge.core.load.service_rate import ServiceRate
-from dewledge.core.positions import LOG_START, LogPosition, TermStart, is_cut_off, satisfies
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.configuration.authorization import AccessPolicy
 from dewledge.core.proxy.configuration.configuration import (
@@ -106,6 +103,9 @@
 from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.core.proxy.messages import decode as decode_message
 from dewledge.core.proxy.messages import encode as encode_message
+from dewledge.core.shared.positions import LOG_START, LogPosition, TermStart, is_cut_off, satisfies
+from dewledge.core.shared.retry_budget import RetryBudget
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import BadSessionToken, DewledgeError, ErrorCode, ProtocolError
 
 __all__ = [
--- a/src/dewledge/core/load/holder_health.py
+++ b/src/dewledge/core/load/holder_health.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dewledge.core.load.service_rate import UsualTime
+from dewledge.core.shared.service_rate import UsualTime
 
 HELD_UP_SECONDS = 0.4
 """A look that comes so late shows that this process itself stood still: silence counts anew."""
--- a/src/dewledge/core/load/wait_queue.py
+++ b/src/dewledge/core/load/wait_queue.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from dewledge.core.load.fair_share import FairShares
 from dewledge.core.load.wait_line import Key, WaitLine
+from dewledge.core.shared.fair_share import FairShares
 
 Rank = tuple[float, ...]
 """Urgency, standing, then what decides within a line: the lower comes first."""
--- a/src/dewledge/core/pooling/client_session.py
+++ b/src/dewledge/core/pooling/client_session.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from dewledge.core.caller_tokens import token_digest
 from dewledge.core.pooling.events import TransactionEnded
 from dewledge.core.pooling.operation_admission import Decision, OperationAdmission
 from dewledge.core.pooling.routes import Route
@@ -29,6 +28,7 @@
     TransactionState,
 )
 from dewledge.core.quota.admission import Refusal
+from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.errors import ErrorCode
 
 MAX_PIPELINED = 64
--- a/src/dewledge/core/pooling/codec.py
+++ b/src/dewledge/core/pooling/codec.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from dewledge.core.pooling.statements import ClientMessage, Failure, Reply, Statement
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 
 class ClientCodec(Protocol):
--- a/src/dewledge/core/pooling/connection_pool.py
+++ b/src/dewledge/core/pooling/connection_pool.py
@@ -5,7 +5,6 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.service_rate import ServiceRate
 from dewledge.core.load.slot_use import SlotUse
 from dewledge.core.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.load.wait_counts import WaitCounts
@@ -19,6 +18,7 @@
 from dewledge.core.pooling.slot_window import SlotWindow
 from dewledge.core.pooling.statements import TAKES_SLOT, Reply, StatementKind
 from dewledge.core.pooling.waiter import Demand, Denial, Waiter, servable_callers
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/pooling/connection_setup.py
+++ b/src/dewledge/core/pooling/connection_setup.py
@@ -13,7 +13,7 @@
     Statement,
     StatementKind,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 MAX_PREPARED_PER_CONNECTION = 200
 
--- a/src/dewledge/core/pooling/database_connection.py
+++ b/src/dewledge/core/pooling/database_connection.py
@@ -8,7 +8,7 @@
 from dewledge.core.load.holder_health import HolderState
 from dewledge.core.load.wait_queue import Charge
 from dewledge.core.pooling.statements import OWN_STATEMENT_ID, Reply, Statement, StatementKind
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 ReplyCallback = Callable[[Reply | None], None]
 """Called with the answer, or with None if the connection ended without one."""
--- a/src/dewledge/core/pooling/freshness.py
+++ b/src/dewledge/core/pooling/freshness.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 MIN_SPACING_SECONDS = 0.05
 KEEP_SECONDS = 10.0
--- a/src/dewledge/core/pooling/group.py
+++ b/src/dewledge/core/pooling/group.py
@@ -25,7 +25,7 @@
     read_floor,
     read_targets,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.holders import FALLBACK_CONNECTIONS, Holding
 from dewledge.core.succession.lead_right import Fencing, LeadRight
 
--- a/src/dewledge/core/pooling/position_learning.py
+++ b/src/dewledge/core/pooling/position_learning.py
@@ -2,7 +2,7 @@
 
 from dewledge.core.pooling.group import Group
 from dewledge.core.pooling.session_state import OpenTransaction, SessionState
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 
 class PositionLearner:
--- a/src/dewledge/core/pooling/replica_lag.py
+++ b/src/dewledge/core/pooling/replica_lag.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from dewledge.core.pooling.freshness import MIN_SPACING_SECONDS, FreshnessHistory
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 SPAN_SECONDS = 0.5
 """The estimate is the largest lag seen in this span and the one before it: long enough to hold
--- a/src/dewledge/core/pooling/services.py
+++ b/src/dewledge/core/pooling/services.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 
 from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.load.retry_budget import RetryBudget
 from dewledge.core.load.return_moments import ReturnMoments
 from dewledge.core.pooling.denials import Denials
 from dewledge.core.pooling.events import PoolingEvent
@@ -11,6 +10,7 @@
 from dewledge.core.pooling.routes import EMPTY_ROUTE_TABLE, RouteTable
 from dewledge.core.pooling.scheduling import Scheduler
 from dewledge.core.quota.admission import Admission, AdmitsAll
+from dewledge.core.shared.retry_budget import RetryBudget
 
 SECOND_READS_SHARE = 0.02
 SECOND_READS_RESERVE = 20.0
--- a/src/dewledge/core/pooling/session_state.py
+++ b/src/dewledge/core/pooling/session_state.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooling.database_connection import DatabaseConnection
 from dewledge.core.pooling.routes import NO_CALLER, Route
 from dewledge.core.pooling.statements import Statement, StatementKind
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 MAX_VALUES = 256
 MAX_PREPARED = 256
--- a/src/dewledge/core/pooling/slot_rates.py
+++ b/src/dewledge/core/pooling/slot_rates.py
@@ -1,7 +1,7 @@
 """How long statements, connections and openings of one pool usually take, and the wait from it."""
 
 from dewledge.core.load.expected_wait import ExpectedWait
-from dewledge.core.load.service_rate import ServiceRate
+from dewledge.core.shared.service_rate import ServiceRate
 
 SMOOTHING = 0.1
 """Of each measured time: half of the mean is of the last seven, a fraction of a second of a busy
--- a/src/dewledge/core/pooling/statements.py
+++ b/src/dewledge/core/pooling/statements.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
 OWN_STATEMENT_ID = "-"
--- a/src/dewledge/core/pooling/targets.py
+++ b/src/dewledge/core/pooling/targets.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooling.freshness import FreshnessHistory
 from dewledge.core.pooling.group_view import DatabaseRecord, GroupView
 from dewledge.core.pooling.routes import NO_CALLER, Consistency, Route
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 LOAD_PER_ZONE_STEP = 2
 """A database of another zone is preferred when it has so many statements less before it."""
--- a/src/dewledge/core/proxy/configuration/authorization.py
+++ b/src/dewledge/core/proxy/configuration/authorization.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from dewledge.core.caller_tokens import index_tokens, token_digest
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
 from dewledge.core.proxy.configuration.resources import (
@@ -16,6 +15,7 @@
     Selector,
 )
 from dewledge.core.proxy.configuration.selectors import LabelIndex
+from dewledge.core.shared.caller_tokens import index_tokens, token_digest
 
 BOOTSTRAP_OPERATOR = "bootstrap-operator"
 """The caller that presents the operator token of the settings; no Caller resource may be so named.
--- a/src/dewledge/core/proxy/configuration/resource_documents_check.py
+++ b/src/dewledge/core/proxy/configuration/resource_documents_check.py
@@ -3,7 +3,6 @@
 import re
 from collections.abc import Iterable
 
-from dewledge.core.addresses import check_remote_address
 from dewledge.core.proxy.configuration.authorization import BOOTSTRAP_OPERATOR
 from dewledge.core.proxy.configuration.codec import SPEC_TYPES
 from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
@@ -21,6 +20,7 @@
     SelectorOperator,
 )
 from dewledge.core.proxy.configuration.selectors import DERIVED_LABELS, GROUP_LABEL, NAME_LABEL
+from dewledge.core.shared.addresses import check_remote_address
 from dewledge.errors import ErrorCode, Finding
 
 NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._-]{0,61}[A-Za-z0-9])?")
--- a/src/dewledge/core/proxy/database_status.py
+++ b/src/dewledge/core/proxy/database_status.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.shared.positions import LogPosition, TermStart
 
 
 class DatabaseRole(StrEnum):
--- a/src/dewledge/core/proxy/entry/answer_handler.py
+++ b/src/dewledge/core/proxy/entry/answer_handler.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.positions import satisfies
 from dewledge.core.proxy.calls import Operation
 from dewledge.core.proxy.entry.group import EntryGroup
 from dewledge.core.proxy.entry.group_description import (
@@ -19,6 +18,7 @@
 from dewledge.core.proxy.entry.server_selection import Freshness
 from dewledge.core.proxy.entry.state import EntryState
 from dewledge.core.proxy.messages import StatementDone, StatementNotRun, StatementUnknown
+from dewledge.core.shared.positions import satisfies
 from dewledge.errors import ErrorCode
 
 _UNREACHABLE_CODES = frozenset({ErrorCode.DATABASE_UNREACHABLE})
--- a/src/dewledge/core/proxy/entry/group.py
+++ b/src/dewledge/core/proxy/entry/group.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Iterable
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.database_status import DatabaseStatus
 from dewledge.core.proxy.entry.failover_wait import FailoverWait
 from dewledge.core.proxy.entry.group_description import (
@@ -18,6 +17,7 @@
 from dewledge.core.proxy.entry.primary_doubt import PrimaryClaim
 from dewledge.core.proxy.entry.primary_watch import PrimaryWatch
 from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.shared.positions import LogPosition
 
 
 class EntryGroup:
--- a/src/dewledge/core/proxy/entry/group_description.py
+++ b/src/dewledge/core/proxy/entry/group_description.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from dewledge.core.positions import LOG_START, LogPosition, TermStart, is_cut_off
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LOG_START, LogPosition, TermStart, is_cut_off
 
 LAG_GAIN = 0.125
 LAG_DEVIATION_GAIN = 0.25
--- a/src/dewledge/core/proxy/entry/head_history.py
+++ b/src/dewledge/core/proxy/entry/head_history.py
@@ -2,7 +2,7 @@
 
 from bisect import bisect_left, bisect_right
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 _LEAST_SPACING = 0.002
 _MOST_ENTRIES = 1024
--- a/src/dewledge/core/proxy/entry/pending_requests.py
+++ b/src/dewledge/core/proxy/entry/pending_requests.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, CallerRequest, Operation
 from dewledge.core.proxy.entry.server_selection import Freshness
 from dewledge.core.proxy.entry.session_token import SessionFloors
 from dewledge.core.proxy.entry.settings import EntrySettings
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/proxy/entry/primary_doubt.py
+++ b/src/dewledge/core/proxy/entry/primary_doubt.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.entry.group_description import GroupDescription
+from dewledge.core.shared.positions import LogPosition
 
 
 class PrimaryClaim(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/proxy/entry/read_index.py
+++ b/src/dewledge/core/proxy/entry/read_index.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Callable
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.entry.group import EntryGroup
 from dewledge.core.proxy.entry.pending_requests import PendingRequest, RequestState
 from dewledge.core.proxy.entry.state import EntryState
 from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.shared.positions import LogPosition
 
 SAME_ROUND_AGES = 1e-6
 """Ages, in seconds, that differ by less are of the same status round."""
--- a/src/dewledge/core/proxy/entry/server_selection.py
+++ b/src/dewledge/core/proxy/entry/server_selection.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, is_cut_off, satisfies
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.entry.group_description import DatabaseDescription, GroupDescription
+from dewledge.core.shared.positions import LogPosition, is_cut_off, satisfies
 
 LAG_DEVIATIONS = 2.0
 """A replica is expected fresh once its lag and this many mean deviations have passed."""
--- a/src/dewledge/core/proxy/entry/session_token.py
+++ b/src/dewledge/core/proxy/entry/session_token.py
@@ -15,7 +15,7 @@
 import msgspec
 from itsdangerous import BadSignature, Signer
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import BadSessionToken
 
 MAX_TOKEN_CHARACTERS = 2048
--- a/src/dewledge/core/proxy/entry/state.py
+++ b/src/dewledge/core/proxy/entry/state.py
@@ -2,7 +2,6 @@
 
 from random import Random
 
-from dewledge.core.load.retry_budget import RetryBudget
 from dewledge.core.proxy.calls import CallerAnswer, Outcome
 from dewledge.core.proxy.configuration.authorization import AccessPolicy
 from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
@@ -13,6 +12,7 @@
 from dewledge.core.proxy.membership.placement import GatewayPlacement
 from dewledge.core.proxy.messages import PeerMessage
 from dewledge.core.proxy.timer_queue import TimerQueue
+from dewledge.core.shared.retry_budget import RetryBudget
 from dewledge.errors import ErrorCode
 
 _CORRELATION_START_BITS = 48
--- a/src/dewledge/core/proxy/gateway/confirmation.py
+++ b/src/dewledge/core/proxy/gateway/confirmation.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, is_cut_off
 from dewledge.core.proxy.configuration.resources import Confirmation
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition, is_cut_off
 
 
 class Verdict(Enum):
--- a/src/dewledge/core/proxy/gateway/database.py
+++ b/src/dewledge/core/proxy/gateway/database.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from dewledge.core.load.service_rate import ServiceRate
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.configuration.resources import DatabaseSpec
 from dewledge.core.proxy.gateway.admission import Refusal
@@ -29,6 +28,7 @@
     WaitingRoom,
 )
 from dewledge.core.proxy.jobs import JobDone, JobNotRun, JobResult, JobUnknown
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
 TIMED_OUT_SHARE = 0.95
--- a/src/dewledge/core/proxy/gateway/fair_queue.py
+++ b/src/dewledge/core/proxy/gateway/fair_queue.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from typing import Generic, TypeVar
 
-from dewledge.core.load.fair_share import FairShares
+from dewledge.core.shared.fair_share import FairShares
 
 Item = TypeVar("Item")
 
--- a/src/dewledge/core/proxy/gateway/group_monitor.py
+++ b/src/dewledge/core/proxy/gateway/group_monitor.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable, Mapping
 
-from dewledge.core.load.service_rate import UsualTime
 from dewledge.core.proxy.configuration.resources import Confirmation
 from dewledge.core.proxy.effects import SendToPeer
 from dewledge.core.proxy.gateway.confirmation import Claim, RoundEvidence, Verdict, judge
@@ -11,6 +10,7 @@
 from dewledge.core.proxy.gateway.status_rounds import StatusRound, StatusRounds
 from dewledge.core.proxy.jobs import StatusReading
 from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.shared.service_rate import UsualTime
 from dewledge.errors import ErrorCode
 
 RETRY_GROWTH = 1.5
--- a/src/dewledge/core/proxy/gateway/statement_conclusion.py
+++ b/src/dewledge/core/proxy/gateway/statement_conclusion.py
@@ -1,12 +1,12 @@
 """From a job's result to the answer: which of the three outcomes is true, and when it is known."""
 
-from dewledge.core.positions import satisfies
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.proxy.gateway.confirmation import Claim, Verdict
 from dewledge.core.proxy.gateway.group_monitor import GroupMonitor
 from dewledge.core.proxy.gateway.request import GatewayRequest, RequestRegistry
 from dewledge.core.proxy.jobs import JobDone, JobNotRun, JobUnknown
+from dewledge.core.shared.positions import satisfies
 from dewledge.errors import ErrorCode
 
 DOUBTFUL_CODES = frozenset(
--- a/src/dewledge/core/proxy/gateway/status_cache.py
+++ b/src/dewledge/core/proxy/gateway/status_cache.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from dewledge.core.positions import TermStart
 from dewledge.core.proxy.database_status import DatabaseStatus
 from dewledge.core.proxy.gateway.confirmation import primary_of
+from dewledge.core.shared.positions import TermStart
 
 KEPT_TERM_STARTS = 32
 
--- a/src/dewledge/core/proxy/gateway/transaction_operations.py
+++ b/src/dewledge/core/proxy/gateway/transaction_operations.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from dewledge.core.load.service_rate import ServiceRate
 from dewledge.core.proxy.calls import Access, Operation
 from dewledge.core.proxy.gateway.confirmation import Claim, Verdict
 from dewledge.core.proxy.gateway.connection_pool import ConnectionPool
@@ -15,6 +14,7 @@
 from dewledge.core.proxy.gateway.statement_conclusion import StatementConclusion
 from dewledge.core.proxy.gateway.transactions import RunningOperation, Transaction, TransactionTable
 from dewledge.core.proxy.jobs import JobDone, JobNotRun, JobResult, JobUnknown
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
 ROLLBACK_TIMEOUT = 1.0
--- a/src/dewledge/core/proxy/gateway/waiting_room.py
+++ b/src/dewledge/core/proxy/gateway/waiting_room.py
@@ -6,12 +6,12 @@
 
 from collections.abc import Callable
 
-from dewledge.core.load.service_rate import ServiceRate
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.gateway.admission import Refusal, full_refusal, wait_refusal
 from dewledge.core.proxy.gateway.context import GatewayContext
 from dewledge.core.proxy.gateway.fair_queue import FairQueue
 from dewledge.core.proxy.gateway.request import GatewayRequest
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
 START_MARGIN = 1.5
--- a/src/dewledge/core/proxy/jobs.py
+++ b/src/dewledge/core/proxy/jobs.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/proxy/messages.py
+++ b/src/dewledge/core/proxy/messages.py
@@ -8,9 +8,9 @@
 import cbor2
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode, ProtocolError
 
 PROTOCOL_VERSION = 1
--- a/src/dewledge/core/proxy/ports.py
+++ b/src/dewledge/core/proxy/ports.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition
 
 NO_LIMIT = float("inf")
 
--- a/src/dewledge/core/quota/token_patience.py
+++ b/src/dewledge/core/quota/token_patience.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from dewledge.core.load.service_rate import UsualTime
 from dewledge.core.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.quota.token_line import CLAIM_SECONDS
+from dewledge.core.shared.service_rate import UsualTime
 
 SERVING_SMOOTHING = 0.05
 """Of the running mean of serving times: the last some tens of operations count."""
--- a/src/dewledge/core/sharing/channel_session.py
+++ b/src/dewledge/core/sharing/channel_session.py
@@ -29,7 +29,7 @@
     StatementKind,
     TransactionState,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.channel_wait import MILLISECONDS, ChannelWait
 from dewledge.core.sharing.lead_proof import LeadProof
 from dewledge.core.sharing.messages import ChannelStatement, ProvenAge
--- a/src/dewledge/core/sharing/messages.py
+++ b/src/dewledge/core/sharing/messages.py
@@ -17,7 +17,7 @@
     StatementKind,
     TransactionState,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.table_cache import TableDelta
 from dewledge.errors import ErrorCode, ProtocolError
 
--- a/src/dewledge/core/succession/candidates.py
+++ b/src/dewledge/core/succession/candidates.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 
 from dewledge.core.pooling.group_view import GroupView
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.succession.messages import DatabaseStatus
 
 PANEL_SIZE = 15
--- a/src/dewledge/core/succession/messages.py
+++ b/src/dewledge/core/succession/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 
 class DatabaseStatus(msgspec.Struct, frozen=True):
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from dewledge.core.caller_tokens import index_tokens, token_digest
 from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole
 from dewledge.core.pooling.routes import Consistency, GroupPolicy, Route, RouteTable
 from dewledge.core.quota.limits import RateLimit
+from dewledge.core.shared.caller_tokens import index_tokens, token_digest
 from dewledge.errors import ProtocolError
 
 MILLISECONDS = 1000.0
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -11,7 +11,7 @@
     Statement,
     Terminate,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.platform.statement_texts import format_text, parse_text
 from dewledge.platform.wire_words import (
--- a/src/dewledge/pooler_settings.py
+++ b/src/dewledge/pooler_settings.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from dewledge.checked_values import build_checked, checked_by
-from dewledge.core.addresses import check_remote_address, split_address
 from dewledge.core.load.policy import LoadPolicy
 from dewledge.core.quota.limits import QuotaPolicy
+from dewledge.core.shared.addresses import check_remote_address, split_address
 from dewledge.errors import InvalidInput
 from dewledge.settings_text import NAME_PATTERN, read_toml
 
--- a/src/dewledge/scale/unit_costs.py
+++ b/src/dewledge/scale/unit_costs.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.configuration.codec import decode_snapshot, encode_snapshot
 from dewledge.core.proxy.configuration.configuration import Configuration
 from dewledge.core.proxy.configuration.spread import with_changes
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.proxy.membership.placement import GatewayPlacement
 from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest, decode, encode
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.scale.hollow_network import MESSAGE_OVERHEAD
 from dewledge.scale.memory import founders
 from dewledge.scale.workload import drain_change
--- a/src/dewledge/settings.py
+++ b/src/dewledge/settings.py
@@ -6,7 +6,7 @@
 
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, ValidationError
 
-from dewledge.core.addresses import check_remote_address, split_address
+from dewledge.core.shared.addresses import check_remote_address, split_address
 from dewledge.errors import ErrorCode, InvalidInput
 from dewledge.settings_text import NAME_PATTERN, read_toml
 from dewledge.validation import findings_of_validation
--- a/src/dewledge/shell/cost_nodes.py
+++ b/src/dewledge/shell/cost_nodes.py
@@ -14,7 +14,6 @@
 import msgspec
 
 from dewledge.cli.http_client import ProxyClient
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.calls import Access, Outcome, Rows, Statement
 from dewledge.core.proxy.configuration.resource_documents import to_document
 from dewledge.core.proxy.configuration.resources import (
@@ -29,6 +28,7 @@
 )
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver, ExecutionResult
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.errors import ConnectRefused, DewledgeError
 from dewledge.settings import ProxySettings
 from dewledge.shell.cost_callers import GROUP
--- a/src/dewledge/shell/pooling/channel_client.py
+++ b/src/dewledge/shell/pooling/channel_client.py
@@ -8,7 +8,7 @@
 from dewledge.core.load.report import LoadReport
 from dewledge.core.pooling.database_connection import DatabaseConnection
 from dewledge.core.pooling.statements import Statement
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.messages import (
     ChannelClosed,
     ChannelEnded,
--- a/src/dewledge/shell/pooling/database_opener.py
+++ b/src/dewledge/shell/pooling/database_opener.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooling.database_connection import DatabaseConnection
 from dewledge.core.pooling.group_view import DatabaseRecord
 from dewledge.core.pooling.statements import Reply, Statement
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.holders import FALLBACK_CONNECTIONS
 from dewledge.core.succession.reach_limit import ReachLimit
 from dewledge.errors import ErrorCode, ProtocolError
--- a/src/dewledge/shell/pooling/directory.py
+++ b/src/dewledge/shell/pooling/directory.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooling.place import Place
 from dewledge.core.pooling.read_choice import ReadChoice
 from dewledge.core.pooling.services import PoolServices
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.holders import Holding, holding_of, share_of_connections
 from dewledge.core.succession.lead_right import LeadRights
 from dewledge.core.succession.reach_limit import ReachLimit
--- a/src/dewledge/simulation/callers.py
+++ b/src/dewledge/simulation/callers.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, satisfies
 from dewledge.core.proxy.calls import (
     Access,
     CallerAnswer,
@@ -16,6 +15,7 @@
 )
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.shared.positions import LogPosition, satisfies
 from dewledge.simulation.core_factory import session_codec
 from dewledge.simulation.history import RequestRecord
 from dewledge.simulation.simulated_proxy import ProcessState, SimulatedProxy
--- a/src/dewledge/simulation/history.py
+++ b/src/dewledge/simulation/history.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Outcome, Scalar
 from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/simulation/naive.py
+++ b/src/dewledge/simulation/naive.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from dewledge.core.positions import LOG_START
 from dewledge.core.proxy.assembly.effects import ProxyEffect
 from dewledge.core.proxy.calls import Access, CallerRequest, Operation, Outcome
 from dewledge.core.proxy.configuration.store import StoreCall, StoreCaller
@@ -22,6 +21,7 @@
     StatementDone,
     StatementRequest,
 )
+from dewledge.core.shared.positions import LOG_START
 from dewledge.simulation.core_factory import session_codec
 from dewledge.simulation.interceptor import Interceptor
 from dewledge.simulation.simulated_proxy import SimulatedProxy
--- a/src/dewledge/standin/database_node.py
+++ b/src/dewledge/standin/database_node.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.standin.checkpoints import Checkpoint, Checkpoints
 from dewledge.standin.group_log import FIRST_TERM, GroupLog
 from dewledge.standin.group_messages import GroupMessage
--- a/src/dewledge/standin/group_log.py
+++ b/src/dewledge/standin/group_log.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.positions import LOG_START, LogPosition, TermStart
 from dewledge.core.proxy.calls import Statement
+from dewledge.core.shared.positions import LOG_START, LogPosition, TermStart
 from dewledge.standin.group_types import LogEntry
 
 FIRST_TERM = 1
--- a/src/dewledge/standin/group_messages.py
+++ b/src/dewledge/standin/group_messages.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition, TermStart
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.standin.group_types import LogEntry
 
 
--- a/src/dewledge/standin/group_types.py
+++ b/src/dewledge/standin/group_types.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import DatabaseError, ErrorCode
 from dewledge.standin.link_delays import LinkDelays, Place
 
--- a/src/dewledge/standin/http_server.py
+++ b/src/dewledge/standin/http_server.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from dewledge.adapters.http_exchange import RECEIVE_BYTES
-from dewledge.core.addresses import split_address
+from dewledge.core.shared.addresses import split_address
 
 LISTEN_BACKLOG = 512
 STOP_WAIT_SECONDS = 5.0
--- a/tests/bench/test_measures.py
+++ b/tests/bench/test_measures.py
@@ -9,9 +9,9 @@
     measure_latency,
     measure_reads,
 )
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Outcome
 from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from dewledge.simulation.history import (
     CommitRecord,
--- a/tests/core/pooling/harness.py
+++ b/tests/core/pooling/harness.py
@@ -22,7 +22,7 @@
     StatementKind,
     TransactionState,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
 GROUP = "menus"
--- a/tests/core/pooling/random_day.py
+++ b/tests/core/pooling/random_day.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooling.read_choice import ReadChoice
 from dewledge.core.pooling.routes import Consistency
 from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import (
     ModelDatabase,
--- a/tests/core/pooling/test_callers.py
+++ b/tests/core/pooling/test_callers.py
@@ -4,7 +4,6 @@
 
 import msgspec
 
-from dewledge.core.caller_tokens import token_digest
 from dewledge.core.load.policy import LoadPolicy
 from dewledge.core.load.verdict import RefusalCause
 from dewledge.core.pooling.connection_pool import ConnectionPool
@@ -14,6 +13,7 @@
 from dewledge.core.pooling.waiter import Waiter
 from dewledge.core.quota.admission import Application, Decided, Refusal, Wish
 from dewledge.core.quota.token_patience import KeptToken
+from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.core.sharing.holders import Holding
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import ModelGroup, ModelScheduler, PoolerHarness
--- a/tests/core/pooling/test_freshness.py
+++ b/tests/core/pooling/test_freshness.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooling.routes import Consistency
 from dewledge.core.pooling.targets import Proof, ReadNeed, read_floor, read_targets
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from tests.core.pooling.harness import GROUP, route
 
 
--- a/tests/core/pooling/test_read_choice.py
+++ b/tests/core/pooling/test_read_choice.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooling.routes import Consistency
 from dewledge.core.pooling.statements import StatementKind
 from dewledge.core.pooling.targets import Proof, expected_targets
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import PoolerHarness
 from tests.core.pooling.test_freshness import record
--- a/tests/core/pooling/test_replica_lag.py
+++ b/tests/core/pooling/test_replica_lag.py
@@ -4,7 +4,7 @@
 
 from dewledge.core.pooling.freshness import FreshnessHistory
 from dewledge.core.pooling.replica_lag import TRY_AGAIN_SECONDS, ReplicaLags
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 
 NOW = 1000.0
 
--- a/tests/core/pooling/test_silent_holder.py
+++ b/tests/core/pooling/test_silent_holder.py
@@ -7,11 +7,11 @@
 from collections.abc import Sequence
 
 from dewledge.core.load.holder_health import HolderState
-from dewledge.core.load.retry_budget import RetryBudget
 from dewledge.core.pooling.connection_pool import Denial
 from dewledge.core.pooling.database_connection import DatabaseConnection
 from dewledge.core.pooling.routes import Consistency
 from dewledge.core.pooling.statements import StatementKind
+from dewledge.core.shared.retry_budget import RetryBudget
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import PoolerHarness, SessionProbe
 from tests.core.pooling.test_connection_pool import PoolCase
--- a/tests/core/pooling/test_statement_run.py
+++ b/tests/core/pooling/test_statement_run.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooling.events import PrimaryRefuted
 from dewledge.core.pooling.routes import Consistency
 from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import PoolerHarness
 
--- a/tests/core/proxy/assembly/test_first_event_after_freeze.py
+++ b/tests/core/proxy/assembly/test_first_event_after_freeze.py
@@ -5,7 +5,6 @@
 from random import Random
 from typing import Any
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.assembly.core import ProxyCore
 from dewledge.core.proxy.assembly.effects import ProxyEffect
 from dewledge.core.proxy.assembly.parts import ProxyCoreSettings
@@ -24,6 +23,7 @@
     ConfigurationDigest,
     StatementRequest,
 )
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_harness import GROUP, PRIMARY, make_configuration
 
--- a/tests/core/proxy/configuration/test_authorization.py
+++ b/tests/core/proxy/configuration/test_authorization.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from dewledge.core.caller_tokens import token_digest
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.configuration.authorization import BOOTSTRAP_OPERATOR, AccessPolicy
 from dewledge.core.proxy.configuration.configuration import DRAIN_LABEL, Configuration
@@ -19,6 +18,7 @@
     Selector,
     SelectorOperator,
 )
+from dewledge.core.shared.caller_tokens import token_digest
 
 READ, WRITE = Access.READ, Access.WRITE
 NOT_PUBLIC = Expression("edge", SelectorOperator.NOT_IN, ("public",))
--- a/tests/core/proxy/entry/entry_harness.py
+++ b/tests/core/proxy/entry/entry_harness.py
@@ -4,7 +4,6 @@
 from random import Random
 from typing import TypeVar
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.calls import (
     Access,
     CallerAnswer,
@@ -38,6 +37,7 @@
     StatementRequest,
     StatementUnknown,
 )
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode
 
 GROUP = "g"
--- a/tests/core/proxy/entry/test_group_description.py
+++ b/tests/core/proxy/entry/test_group_description.py
@@ -2,7 +2,6 @@
 
 import unittest
 
-from dewledge.core.positions import TermStart
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.entry.group_description import (
     GroupDescription,
@@ -16,6 +15,7 @@
     with_unavailable,
 )
 from dewledge.core.proxy.entry.head_history import HeadHistory
+from dewledge.core.shared.positions import TermStart
 from tests.core.proxy.entry.entry_harness import ZONES, position, status
 
 PRIMARY = DatabaseRole.PRIMARY
--- a/tests/core/proxy/entry/test_server_selection.py
+++ b/tests/core/proxy/entry/test_server_selection.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-from dewledge.core.load.retry_budget import RetryBudget
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.entry.group_description import (
     GroupDescription,
@@ -20,6 +19,7 @@
     ReadQuery,
     choose_replica,
 )
+from dewledge.core.shared.retry_budget import RetryBudget
 from tests.core.proxy.entry.entry_harness import ZONES, position, status
 
 QUERY = ReadQuery(
--- a/tests/core/proxy/entry/test_session_token.py
+++ b/tests/core/proxy/entry/test_session_token.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.entry.session_token import (
     MAX_GROUPS,
     MAX_TOKEN_CHARACTERS,
@@ -13,6 +12,7 @@
     SessionTokenCodec,
 )
 from dewledge.core.proxy.transaction_ids import gateway_of_transaction, make_transaction_id
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import BadSessionToken
 
 CODEC = SessionTokenCodec([b"new", b"old"])
--- a/tests/core/proxy/gateway/gateway_group_model.py
+++ b/tests/core/proxy/gateway/gateway_group_model.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition, TermStart
 from tests.core.proxy.gateway.gateway_harness import DATABASES
 
 
--- a/tests/core/proxy/gateway/gateway_harness.py
+++ b/tests/core/proxy/gateway/gateway_harness.py
@@ -2,7 +2,6 @@
 
 from random import Random
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.configuration.configuration import Configuration
 from dewledge.core.proxy.configuration.resources import (
@@ -34,6 +33,7 @@
     StatementRequest,
     StatementUnknown,
 )
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode
 
 GROUP = "cases"
--- a/tests/core/proxy/gateway/test_admission.py
+++ b/tests/core/proxy/gateway/test_admission.py
@@ -5,12 +5,12 @@
 from collections import Counter
 from random import Random
 
-from dewledge.core.load.service_rate import ServiceRate
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access
 from dewledge.core.proxy.gateway.admission import wait_refusal
 from dewledge.core.proxy.jobs import Job
 from dewledge.core.proxy.messages import StatementNotRun
+from dewledge.core.shared.positions import LogPosition
+from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_harness import PRIMARY, GatewayHarness, make_configuration
 
--- a/tests/core/proxy/gateway/test_confirmation.py
+++ b/tests/core/proxy/gateway/test_confirmation.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.configuration.resources import Confirmation
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.proxy.gateway.confirmation import Claim, RoundEvidence, Verdict, holds, judge
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_harness import (
     DATABASES,
--- a/tests/core/proxy/gateway/test_gateway.py
+++ b/tests/core/proxy/gateway/test_gateway.py
@@ -4,7 +4,6 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Statement
 from dewledge.core.proxy.configuration.configuration import ChangeSet
 from dewledge.core.proxy.configuration.resources import DatabaseSpec, Kind, Resource
@@ -15,6 +14,7 @@
     StatementDone,
     StatementNotRun,
 )
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_harness import (
     PRIMARY,
--- a/tests/core/proxy/gateway/test_gateway_faults.py
+++ b/tests/core/proxy/gateway/test_gateway_faults.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from random import Random
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.effects import ReadStatuses
 from dewledge.core.proxy.jobs import Job, JobDone, JobNotRun, JobResult, JobUnknown
 from dewledge.core.proxy.messages import StatementDone, StatementNotRun
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_group_model import ModelDatabase, ModelGroup
 from tests.core.proxy.gateway.gateway_harness import (
--- a/tests/core/proxy/gateway/test_status_rounds.py
+++ b/tests/core/proxy/gateway/test_status_rounds.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.gateway.settings import GatewaySettings
 from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.shared.positions import LogPosition
 from tests.core.proxy.gateway.gateway_harness import DATABASES, GROUP, GatewayHarness
 
 ONE, TWO, THREE = DATABASES
--- a/tests/core/proxy/gateway/test_transactions.py
+++ b/tests/core/proxy/gateway/test_transactions.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.proxy.gateway.gateway_harness import (
     DATABASES,
--- a/tests/core/proxy/gateway/test_waiting_room.py
+++ b/tests/core/proxy/gateway/test_waiting_room.py
@@ -3,7 +3,6 @@
 import unittest
 from random import Random
 
-from dewledge.core.load.service_rate import ServiceRate
 from dewledge.core.proxy.calls import Access, Operation
 from dewledge.core.proxy.gateway.admission import Refusal
 from dewledge.core.proxy.gateway.context import GatewayContext
@@ -11,6 +10,7 @@
 from dewledge.core.proxy.gateway.settings import GatewaySettings
 from dewledge.core.proxy.gateway.waiting_room import START_MARGIN, TimeNeeded, WaitingRoom
 from dewledge.core.proxy.messages import StatementRequest
+from dewledge.core.shared.service_rate import ServiceRate
 
 SERVICE_TIME = 0.1
 CONFIRMATION_TIME = 0.07
--- a/tests/core/proxy/test_messages.py
+++ b/tests/core/proxy/test_messages.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from dewledge.core import messages
-from dewledge.core.positions import LogPosition, TermStart
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
+from dewledge.core.shared.positions import LogPosition, TermStart
 from dewledge.errors import ErrorCode, ProtocolError
 
 POSITION = LogPosition(2, 7)
--- a/tests/core/load/test_fair_share.py
+++ b/tests/core/shared/test_fair_share.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.fair_share import FairShares
+from dewledge.core.shared.fair_share import FairShares
 
 CALLERS = ("hot", "modest", "rare")
 STEPS = st.lists(
--- a/tests/core/test_positions.py
+++ b/tests/core/shared/test_positions.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.positions import LogPosition, TermStart, is_cut_off, satisfies
+from dewledge.core.shared.positions import LogPosition, TermStart, is_cut_off, satisfies
 
 TERM_STARTS = (TermStart(5, 0), TermStart(6, 105))
 
--- a/tests/core/sharing/model_channels.py
+++ b/tests/core/sharing/model_channels.py
@@ -6,7 +6,7 @@
 from dewledge.core.load.load_teller import LoadTeller
 from dewledge.core.pooling.database_connection import DatabaseConnection
 from dewledge.core.pooling.statements import Reply, Statement
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.sharing.channel_session import ChannelSession
 from dewledge.core.sharing.messages import (
     ChannelReply,
--- a/tests/core/succession/test_release.py
+++ b/tests/core/succession/test_release.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.succession.lead_right import RIGHT_SECONDS, Fencing, LeadRight
 from dewledge.core.succession.messages import (
     Claim,
--- a/tests/core/succession/test_succession.py
+++ b/tests/core/succession/test_succession.py
@@ -4,7 +4,7 @@
 from collections.abc import Sequence
 
 from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole, GroupView
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.succession.candidates import panel
 from dewledge.core.succession.messages import (
     AnnounceLeader,
--- a/tests/platform/test_wire_codec.py
+++ b/tests/platform/test_wire_codec.py
@@ -15,7 +15,7 @@
     Terminate,
     TransactionState,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.platform.statement_texts import format_text, parse_text
 from dewledge.platform.status_row import parse_status
--- a/tests/shell/edge_services.py
+++ b/tests/shell/edge_services.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable
 
-from dewledge.core.caller_tokens import token_digest
 from dewledge.core.proxy.calls import CallerAnswer, CallerRequest, Outcome
 from dewledge.core.proxy.configuration.authorization import AccessPolicy
 from dewledge.core.proxy.configuration.configuration import EMPTY_CONFIGURATION, Configuration
@@ -18,6 +17,7 @@
 from dewledge.core.proxy.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
 from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.core.proxy.membership.member import Member
+from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.shell.http_edge import HttpEdge
 from dewledge.shell.http_messages import Exchange, HttpRequest, HttpResponse
 from dewledge.shell.metrics import ProxyMetrics
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.caller_tokens import token_digest
 from dewledge.core.load.refusal_pace import ANSWERS_PER_SECOND, PAUSE_SECONDS
 from dewledge.core.pooling.events import PoolingEvent, SessionDenied
 from dewledge.core.pooling.services import PoolServices
+from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.platform.wire_codec import WireClientCodec
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.client_listener import ClientListener
--- a/tests/shell/test_database_workers.py
+++ b/tests/shell/test_database_workers.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from unittest.mock import patch
 
-from dewledge.core.positions import LOG_START, LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.proxy.effects import CloseConnection, OpenConnection, ReadStatuses, RunJob
 from dewledge.core.proxy.jobs import Job, JobDone, JobNotRun, JobResult, JobUnknown, StatusReading
 from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver, ExecutionResult
+from dewledge.core.shared.positions import LOG_START, LogPosition
 from dewledge.errors import ConnectionLimitReached, DatabaseError, ErrorCode
 from dewledge.shell.database_workers import LATEST_START_SECONDS, DatabaseWorkers
 from dewledge.shell.event_loop import EventLoop
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -10,7 +10,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.positions import LOG_START
 from dewledge.core.proxy.calls import Access, Operation
 from dewledge.core.proxy.database_status import DatabaseRole
 from dewledge.core.proxy.messages import (
@@ -23,6 +22,7 @@
     StatementDone,
     StatementRequest,
 )
+from dewledge.core.shared.positions import LOG_START
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.frames import FrameReader, encode_frame
 from dewledge.shell.outbound_peer import (
--- a/tests/simulation/histories.py
+++ b/tests/simulation/histories.py
@@ -2,8 +2,8 @@
 
 from typing import Any
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Outcome
+from dewledge.core.shared.positions import LogPosition
 from dewledge.simulation.history import CommitRecord, RequestRecord
 
 
--- a/tests/simulation/test_promises.py
+++ b/tests/simulation/test_promises.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Operation, Outcome
+from dewledge.core.shared.positions import LogPosition
 from dewledge.simulation.history import (
     AbsenceRecord,
     AcceptanceRecord,
--- a/tests/standin/group_model_case.py
+++ b/tests/standin/group_model_case.py
@@ -3,8 +3,8 @@
 import unittest
 from random import Random
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Access, Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.standin.group_model import GroupModel
 from dewledge.standin.group_types import (
     GroupTiming,
--- a/tests/standin/test_election.py
+++ b/tests/standin/test_election.py
@@ -4,8 +4,8 @@
 from random import Random
 from typing import NamedTuple
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.standin.database_node import DatabaseNode
 from dewledge.standin.election import Election
 from dewledge.standin.group_messages import GroupMessage, VoteReply, VoteRequest
--- a/tests/standin/test_group_model.py
+++ b/tests/standin/test_group_model.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from dewledge.core.positions import TermStart, is_cut_off, satisfies
 from dewledge.core.proxy.calls import Access, Statement
 from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.shared.positions import TermStart, is_cut_off, satisfies
 from dewledge.errors import (
     ConnectionBroken,
     ConnectionLimitReached,
--- a/tests/standin/test_group_model_safety.py
+++ b/tests/standin/test_group_model_safety.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from random import Random
 
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.database_status import DatabaseRole
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import (
     ConnectRefused,
     DatabaseError,
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,8 +10,8 @@
 from rich.console import Console
 
 from dewledge.cli.main import run
-from dewledge.core.positions import LogPosition
 from dewledge.core.proxy.calls import Outcome, Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.demo.caller import WriteLedger
 from dewledge.demo.narration import CheckFailed, Narrator
 from dewledge.demo.run import run_demo
--- a/tests/unfenced/model_databases.py
+++ b/tests/unfenced/model_databases.py
@@ -10,7 +10,7 @@
     StatementKind,
     TransactionState,
 )
-from dewledge.core.positions import LogPosition
+from dewledge.core.shared.positions import LogPosition
 from dewledge.core.succession.messages import DatabaseStatus
 from dewledge.errors import ErrorCode
 from tests.core.pooling.harness import ModelDatabase, ModelGroup, ModelTransport
