--- a/src/dewledge/core/pooling/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -7,10 +7,10 @@
 
 from collections.abc import Callable
 
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.held_connection import HeldConnection
-from dewledge.core.pooling.scheduling import Scheduler
-from dewledge.core.pooling.statements import Reply, Statement
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.scheduling import Scheduler
+from dewledge.core.pooler.statements.held_connection import HeldConnection
+from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.errors import ErrorCode
 
 _FAILURES = frozenset(
--- a/src/dewledge/core/pooling/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
 SILENT_AFTER_SECONDS = 0.25
 """Something is awaited and no answer came for so long: some round trips between regions and the
--- a/src/dewledge/core/pooling/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -2,22 +2,24 @@
 
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.choice import Completion
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.events import PoolingEvent
-from dewledge.core.pooling.freshness import FreshnessHistory
-from dewledge.core.pooling.group_view import LONG_AGO, DatabaseRecord, GroupView
-from dewledge.core.pooling.opener import Opener
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.pool_factory import PoolFactory, pool_limit
-from dewledge.core.pooling.read_choice import ReadChoice, report_of
-from dewledge.core.pooling.replica_lag import ReplicaLags
-from dewledge.core.pooling.rollback import roll_back_then_release
-from dewledge.core.pooling.routes import Route
-from dewledge.core.pooling.scheduling import Scheduler
-from dewledge.core.pooling.targets import (
+from dewledge.core.pooler.databases.freshness import FreshnessHistory
+from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.databases.replica_lag import ReplicaLags
+from dewledge.core.pooler.events import PoolingEvent
+from dewledge.core.pooler.failover.lead_right import Fencing, LeadRight
+from dewledge.core.pooler.load.choice import Completion
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.pool.pool_factory import PoolFactory, pool_limit
+from dewledge.core.pooler.scheduling import Scheduler
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sharing.holders import FALLBACK_CONNECTIONS, Holding
+from dewledge.core.pooler.statements.read_choice import ReadChoice, report_of
+from dewledge.core.pooler.statements.rollback import roll_back_then_release
+from dewledge.core.pooler.statements.targets import (
     Proof,
     ReadNeed,
     Target,
@@ -26,8 +28,6 @@
     read_targets,
 )
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.holders import FALLBACK_CONNECTIONS, Holding
-from dewledge.core.succession.lead_right import Fencing, LeadRight
 
 SEEK_AGAIN_SECONDS = 0.1
 """A read that seeks a floor at the primary has others wait for its answer for so long."""
--- a/src/dewledge/core/pooling/replica_lag.py
+++ b/src/dewledge/core/pooler/databases/replica_lag.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from dewledge.core.pooling.freshness import MIN_SPACING_SECONDS, FreshnessHistory
+from dewledge.core.pooler.databases.freshness import MIN_SPACING_SECONDS, FreshnessHistory
 from dewledge.core.shared.positions import LogPosition
 
 SPAN_SECONDS = 0.5
--- a/src/dewledge/core/pooling/events.py
+++ b/src/dewledge/core/pooler/events.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from dewledge.core.load.verdict import RefusalCause
+from dewledge.core.pooler.load.verdict import RefusalCause
 
 
 class PoolingEvent(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/succession/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -3,9 +3,9 @@
 import zlib
 from collections.abc import Iterable, Mapping, Sequence
 
-from dewledge.core.pooling.group_view import GroupView
+from dewledge.core.pooler.databases.group_view import GroupView
+from dewledge.core.pooler.failover.messages import DatabaseStatus
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.succession.messages import DatabaseStatus
 
 PANEL_SIZE = 15
 """So many processes judge a group's primary, however many there are."""
--- a/src/dewledge/core/succession/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.lead_right import Fencing, LeadRight
-from dewledge.core.succession.messages import Claim, WriteClaim
+from dewledge.core.pooler.failover.lead_right import Fencing, LeadRight
+from dewledge.core.pooler.failover.messages import Claim, WriteClaim
 
 NOBODY = ""
 """The leader of a claim under which no database may be used as primary."""
--- a/src/dewledge/core/succession/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.messages import ReachTested, WitnessReported
+from dewledge.core.pooler.failover.messages import ReachTested, WitnessReported
 
 CHECK_LIMIT_SECONDS = 0.45
 """Witnesses answer within this; then the majority of all processes must have said no."""
--- a/src/dewledge/core/succession/lead_release.py
+++ b/src/dewledge/core/pooler/failover/lead_release.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.claim_recall import ClaimRecall
-from dewledge.core.succession.lead_right import LONG_AGO
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.failover.claim_recall import ClaimRecall
+from dewledge.core.pooler.failover.lead_right import LONG_AGO
+from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
     DatabaseStatus,
--- a/src/dewledge/core/succession/lead_right.py
+++ b/src/dewledge/core/pooler/failover/lead_right.py
@@ -17,7 +17,7 @@
 
 from enum import StrEnum
 
-from dewledge.core.succession.messages import Claim
+from dewledge.core.pooler.failover.messages import Claim
 
 RIGHT_SECONDS = 1.75
 """How long a word on the newest claim is good for."""
--- a/src/dewledge/core/succession/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from dewledge.core.pooling.group_view import GroupView
-from dewledge.core.succession.candidates import eligible
-from dewledge.core.succession.lead_right import LeadRight
-from dewledge.core.succession.messages import LossCause
+from dewledge.core.pooler.databases.group_view import GroupView
+from dewledge.core.pooler.failover.candidates import eligible
+from dewledge.core.pooler.failover.lead_right import LeadRight
+from dewledge.core.pooler.failover.messages import LossCause
 
 ENTRY_GONE_SECONDS = 1.5
 NONE_KNOWN_SECONDS = 2.5
--- a/src/dewledge/core/succession/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -7,17 +7,17 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.candidates import choose, eligible
-from dewledge.core.succession.claim_writing import (
+from dewledge.core.pooler.failover.candidates import choose, eligible
+from dewledge.core.pooler.failover.claim_writing import (
     duty_claim,
     last_order,
     order_claim,
     withdrawn_claim,
 )
-from dewledge.core.succession.lead_release import STEP_DOWN_AGAIN_SECONDS, LeadRelease
-from dewledge.core.succession.lead_right import LONG_AGO, RIGHT_SECONDS, Fencing, LeadRight
-from dewledge.core.succession.loss_watch import Loss
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.failover.lead_release import STEP_DOWN_AGAIN_SECONDS, LeadRelease
+from dewledge.core.pooler.failover.lead_right import LONG_AGO, RIGHT_SECONDS, Fencing, LeadRight
+from dewledge.core.pooler.failover.loss_watch import Loss
+from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     Claim,
     ClaimKnown,
@@ -32,8 +32,8 @@
     SuccessionEffect,
     WriteClaim,
 )
-from dewledge.core.succession.situation import Situation, Step
-from dewledge.core.succession.survey import StatusSurvey
+from dewledge.core.pooler.failover.situation import Situation, Step
+from dewledge.core.pooler.failover.survey import StatusSurvey
 
 STATUS_LIMIT_SECONDS = 0.3
 CATCH_UP_LIMIT_SECONDS = 2.0
--- a/src/dewledge/core/succession/situation.py
+++ b/src/dewledge/core/pooler/failover/situation.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.pooling.group_view import GroupView
-from dewledge.core.succession.messages import Phase, RegisteredProcesses, SuccessionEffect
+from dewledge.core.pooler.databases.group_view import GroupView
+from dewledge.core.pooler.failover.messages import Phase, RegisteredProcesses, SuccessionEffect
 
 
 class Situation(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/succession/standing_claim.py
+++ b/src/dewledge/core/pooler/failover/standing_claim.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.claim_recall import ClaimRecall
-from dewledge.core.succession.claim_writing import standing_claim
-from dewledge.core.succession.lead_right import LONG_AGO, Fencing, LeadRight
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.failover.claim_recall import ClaimRecall
+from dewledge.core.pooler.failover.claim_writing import standing_claim
+from dewledge.core.pooler.failover.lead_right import LONG_AGO, Fencing, LeadRight
+from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
     SuccessionEffect,
     TellClaim,
 )
-from dewledge.core.succession.situation import Situation
+from dewledge.core.pooler.failover.situation import Situation
 
 STANDING_AGAIN_SECONDS = 3.0
 SETTLED_SECONDS = 1.0
--- a/src/dewledge/core/succession/succession.py
+++ b/src/dewledge/core/pooler/failover/succession.py
@@ -14,11 +14,11 @@
 
 from collections.abc import Callable, Sequence
 
-from dewledge.core.pooling.group_view import GroupView
-from dewledge.core.succession.evidence import CHECK_LIMIT_SECONDS, ReachEvidence
-from dewledge.core.succession.lead_right import LONG_AGO, Fencing, LeadRight
-from dewledge.core.succession.loss_watch import Loss, LossWatch
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.databases.group_view import GroupView
+from dewledge.core.pooler.failover.evidence import CHECK_LIMIT_SECONDS, ReachEvidence
+from dewledge.core.pooler.failover.lead_right import LONG_AGO, Fencing, LeadRight
+from dewledge.core.pooler.failover.loss_watch import Loss, LossWatch
+from dewledge.core.pooler.failover.messages import (
     AskWitnesses,
     Claim,
     ClaimKnown,
@@ -39,9 +39,9 @@
     TryLeader,
     WitnessReported,
 )
-from dewledge.core.succession.replacement import PrimaryReplacement
-from dewledge.core.succession.situation import Situation, Step
-from dewledge.core.succession.standing_claim import StandingClaim
+from dewledge.core.pooler.failover.replacement import PrimaryReplacement
+from dewledge.core.pooler.failover.situation import Situation, Step
+from dewledge.core.pooler.failover.standing_claim import StandingClaim
 
 CHECK_AGAIN_SECONDS = 0.4
 ASK_AFTER_SECONDS = 0.1
--- a/src/dewledge/core/succession/survey.py
+++ b/src/dewledge/core/pooler/failover/survey.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.succession.messages import DatabaseStatus, ReadStatus, StatusRead
+from dewledge.core.pooler.failover.messages import DatabaseStatus, ReadStatus, StatusRead
 
 ASK_AGAIN_SECONDS = 0.15
 
--- a/src/dewledge/core/succession/vouching.py
+++ b/src/dewledge/core/pooler/failover/vouching.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from dewledge.core.succession.claim_recall import is_majority
-from dewledge.core.succession.lead_right import LONG_AGO, LeadRight
-from dewledge.core.succession.messages import Claim
+from dewledge.core.pooler.failover.claim_recall import is_majority
+from dewledge.core.pooler.failover.lead_right import LONG_AGO, LeadRight
+from dewledge.core.pooler.failover.messages import Claim
 
 ASK_AFTER_SECONDS = 1.25
 """A store's word that is older than this is backed by the voters'."""
--- a/src/dewledge/core/load/drain_rate.py
+++ b/src/dewledge/core/pooler/load/drain_rate.py
@@ -6,7 +6,7 @@
 
 import math
 
-from dewledge.core.load.expected_wait import ExpectedWait
+from dewledge.core.pooler.load.expected_wait import ExpectedWait
 
 SMOOTHING = 0.15
 """Of each measured interval: half of the mean is of the last four or five, so that a queue that
--- a/src/dewledge/core/load/load_teller.py
+++ b/src/dewledge/core/pooler/load/load_teller.py
@@ -1,7 +1,7 @@
 """When a holder tells the load before a database with an answer: not where nothing has changed."""
 
-from dewledge.core.load.load_book import WORD_HALF_LIFE_SECONDS
-from dewledge.core.load.report import LoadReport
+from dewledge.core.pooler.load.load_book import WORD_HALF_LIFE_SECONDS
+from dewledge.core.pooler.load.report import LoadReport
 
 COUNT_CHANGE = 1
 """Counts that differ by no more say the same: one statement came or went."""
--- a/src/dewledge/core/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dewledge.core.load.wait_line import Key, WaitLine
+from dewledge.core.pooler.load.wait_line import Key, WaitLine
 from dewledge.core.shared.fair_share import FairShares
 
 Rank = tuple[float, ...]
--- a/src/dewledge/core/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.load.wait_counts import WaitCounts
+from dewledge.core.pooler.load.wait_counts import WaitCounts
 
 SUMMARY_SECONDS = 5.0
 """Between two lines of one database: as often as a collector of metrics usually asks."""
--- a/src/dewledge/core/pooling/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -3,9 +3,9 @@
 from collections import Counter
 from collections.abc import Callable
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.database_silence import DatabaseSilence
-from dewledge.core.pooling.opener import Opener
+from dewledge.core.pooler.databases.database_silence import DatabaseSilence
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.opener import Opener
 from dewledge.errors import ErrorCode
 
 OPEN_BACKOFF_SECONDS = 0.25
--- a/src/dewledge/core/pooling/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -5,19 +5,19 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.slot_use import SlotUse
-from dewledge.core.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
-from dewledge.core.load.wait_counts import WaitCounts
-from dewledge.core.pooling.connection_openings import ConnectionOpenings
-from dewledge.core.pooling.connection_shares import ConnectionShares
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.database_silence import DatabaseSilence
-from dewledge.core.pooling.idle_connections import IdleConnections
-from dewledge.core.pooling.opener import Opener
-from dewledge.core.pooling.pool_waits import Capacity, HeldToShare, PoolWaits
-from dewledge.core.pooling.slot_window import SlotWindow
-from dewledge.core.pooling.statements import TAKES_SLOT, Reply, StatementKind
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter, servable_callers
+from dewledge.core.pooler.databases.database_silence import DatabaseSilence
+from dewledge.core.pooler.load.slot_use import SlotUse
+from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
+from dewledge.core.pooler.load.wait_counts import WaitCounts
+from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings
+from dewledge.core.pooler.pool.connection_shares import ConnectionShares
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.idle_connections import IdleConnections
+from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.pool.pool_waits import Capacity, HeldToShare, PoolWaits
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, servable_callers
+from dewledge.core.pooler.statements.statements import TAKES_SLOT, Reply, StatementKind
 from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
--- a/src/dewledge/core/pooling/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Collection, Iterable, Mapping, Sequence
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
 
 class ConnectionShares:
--- a/src/dewledge/core/pooling/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -5,9 +5,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.load.wait_queue import Charge
-from dewledge.core.pooling.statements import OWN_STATEMENT_ID, Reply, Statement, StatementKind
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.load.wait_queue import Charge
+from dewledge.core.pooler.statements.statements import (
+    OWN_STATEMENT_ID,
+    Reply,
+    Statement,
+    StatementKind,
+)
 from dewledge.core.shared.positions import LogPosition
 
 ReplyCallback = Callable[[Reply | None], None]
--- a/src/dewledge/core/pooling/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable, Iterator
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.routes import NO_CALLER
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.routes import NO_CALLER
 
 IDLE_SECONDS = 1.5
 CALLER_IDLE_SECONDS = 1.5
--- a/src/dewledge/core/pooling/opener.py
+++ b/src/dewledge/core/pooler/pool/opener.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
 
 
--- a/src/dewledge/core/pooling/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Callable
 
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_silence import DatabaseSilence
-from dewledge.core.pooling.events import (
+from dewledge.core.pooler.databases.database_silence import DatabaseSilence
+from dewledge.core.pooler.events import (
     CallerHeldToShare,
     DatabaseFull,
     DatabaseHasRoom,
     DatabaseSilenceJudged,
     PoolingEvent,
 )
-from dewledge.core.pooling.opener import Opener
-from dewledge.core.pooling.pool_waits import HeldToShare
-from dewledge.core.pooling.slot_window import SlotWindow
-from dewledge.core.sharing.holders import Holding
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.pool.pool_waits import HeldToShare
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from dewledge.core.pooler.sharing.holders import Holding
 
 CHANNELS_PER_DATABASE = 64
 """How many statements may be under way through holders of one database; the queue is there."""
--- a/src/dewledge/core/pooling/slot_rates.py
+++ b/src/dewledge/core/pooler/pool/slot_rates.py
@@ -1,6 +1,6 @@
 """How long statements, connections and openings of one pool usually take, and the wait from it."""
 
-from dewledge.core.load.expected_wait import ExpectedWait
+from dewledge.core.pooler.load.expected_wait import ExpectedWait
 from dewledge.core.shared.service_rate import ServiceRate
 
 SMOOTHING = 0.1
--- a/src/dewledge/core/pooling/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -1,8 +1,8 @@
 """The event of a statement that a queue refused."""
 
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.pooling.events import WaitRefused
-from dewledge.core.pooling.waiter import Waiter
+from dewledge.core.pooler.events import WaitRefused
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.pool.waiter import Waiter
 
 MILLISECONDS = 1000
 
--- a/src/dewledge/core/pooling/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable, Iterable, Sequence
 from enum import IntEnum, StrEnum
 
-from dewledge.core.load.expected_wait import ExpectedWait
-from dewledge.core.load.patience import Patience, Standing
-from dewledge.core.load.verdict import Refuse
-from dewledge.core.load.wait_queue import Rank
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.routes import NO_CALLER
+from dewledge.core.pooler.load.expected_wait import ExpectedWait
+from dewledge.core.pooler.load.patience import Patience, Standing
+from dewledge.core.pooler.load.verdict import Refuse
+from dewledge.core.pooler.load.wait_queue import Rank
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.routes import NO_CALLER
 
 MOST_WORK_SHARE = 0.5
 """Of its time: more is never set aside for its work, so that statements go on to a database whose
--- a/src/dewledge/core/quota/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.quota.token_patience import KeptToken
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.rate_limits.token_patience import KeptToken
 
 
 class Wish(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/quota/caller_lines.py
+++ b/src/dewledge/core/pooler/rate_limits/caller_lines.py
@@ -7,11 +7,11 @@
 as usual. With one urgency it is one line.
 """
 
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.recent_demand import RecentDemand
-from dewledge.core.quota.reserved_bucket import ReservedBucket
-from dewledge.core.quota.token_bucket import TokenBucket
-from dewledge.core.quota.token_line import Given, Promised, TokenLine
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
+from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
 
 LEAST_URGENT = 7
 """What is less urgent stands with this: bounds the lines of a caller. Operators use a few."""
--- a/src/dewledge/core/quota/former_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/former_votes.py
@@ -7,8 +7,8 @@
 import math
 from collections.abc import Mapping
 
-from dewledge.core.quota.slots import Slot
-from dewledge.core.quota.voter import Voter
+from dewledge.core.pooler.rate_limits.slots import Slot
+from dewledge.core.pooler.rate_limits.voter import Voter
 
 
 class FormerVotes:
--- a/src/dewledge/core/quota/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -11,21 +11,20 @@
 
 import msgspec
 
-from dewledge.core.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.pooling.scheduling import Scheduler
-from dewledge.core.quota.admission import Application, Decided, Refusal, Wish
-from dewledge.core.quota.former_votes import FormerVotes
-from dewledge.core.quota.grantor import MILLISECONDS, VOTE_SECONDS
-from dewledge.core.quota.limits import TOKEN_SECONDS, QuotaPolicy, RateLimit
-from dewledge.core.quota.messages import (
+from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
+from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
+from dewledge.core.pooler.rate_limits.former_votes import FormerVotes
+from dewledge.core.pooler.rate_limits.grantor import MILLISECONDS, VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS, QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.messages import (
     BEARS_MOST_MS,
     QuotaAnswer,
     QuotaQuestion,
     TokenGrant,
     TokenWant,
 )
-from dewledge.core.quota.own_shares import OwnShares
-from dewledge.core.quota.slots import (
+from dewledge.core.pooler.rate_limits.own_shares import OwnShares
+from dewledge.core.pooler.rate_limits.slots import (
     Slot,
     candidates_after,
     candidates_of,
@@ -34,13 +33,14 @@
     slot_of,
     voting_slots,
 )
-from dewledge.core.quota.token_patience import (
+from dewledge.core.pooler.rate_limits.token_patience import (
     FIXED_HOLD_SECONDS,
     KeptToken,
     TokenPatience,
     judge,
 )
-from dewledge.core.quota.voter import Voter
+from dewledge.core.pooler.rate_limits.voter import Voter
+from dewledge.core.pooler.scheduling import Scheduler
 
 VOTE_SPACING_SECONDS = 0.3
 """A third of a vote's time, so that two may be lost."""
--- a/src/dewledge/core/quota/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -16,18 +16,18 @@
 
 import msgspec
 
-from dewledge.core.quota.caller_lines import CallerLines
-from dewledge.core.quota.limits import QuotaPolicy, RateLimit
-from dewledge.core.quota.messages import (
+from dewledge.core.pooler.rate_limits.caller_lines import CallerLines
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.messages import (
     QuotaAnswer,
     QuotaQuestion,
     TokenGrant,
     TokenWant,
 )
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.slots import Slot, voters_after, voters_of
-from dewledge.core.quota.token_bucket import TokenBucket
-from dewledge.core.quota.token_line import Given
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.slots import Slot, voters_after, voters_of
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_line import Given
 
 VOTE_SECONDS = 1.0
 """Two votes may be lost on the way without being missed; and so long a vote counts for a process
--- a/src/dewledge/core/quota/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.quota.slots import CANDIDATES
+from dewledge.core.pooler.rate_limits.slots import CANDIDATES
 
 TOKEN_SECONDS = 0.25
 """A token ends so long after it was asked for, so what is granted in a window may be used that much
--- a/src/dewledge/core/quota/messages.py
+++ b/src/dewledge/core/pooler/rate_limits/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.quota.slots import Slot
+from dewledge.core.pooler.rate_limits.slots import Slot
 
 BEARS_MOST_MS = 60_000
 """What lets an operation wait for longer than this lets it wait for as long as tokens are kept."""
--- a/src/dewledge/core/quota/own_share.py
+++ b/src/dewledge/core/pooler/rate_limits/own_share.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from dewledge.core.quota.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 
 CREDIT = 1.0
 """What of the share may be saved up: one operation, which the reserve is less for."""
--- a/src/dewledge/core/quota/own_shares.py
+++ b/src/dewledge/core/pooler/rate_limits/own_shares.py
@@ -2,9 +2,15 @@
 
 from collections.abc import Collection, Mapping
 
-from dewledge.core.quota.limits import QuotaPolicy, RateLimit
-from dewledge.core.quota.own_share import OwnShare
-from dewledge.core.quota.slots import is_voter, place_of, slot_count, slot_of, voters_of
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.own_share import OwnShare
+from dewledge.core.pooler.rate_limits.slots import (
+    is_voter,
+    place_of,
+    slot_count,
+    slot_of,
+    voters_of,
+)
 
 
 class OwnShares:
--- a/src/dewledge/core/quota/reserved_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
@@ -2,7 +2,7 @@
 
 import math
 
-from dewledge.core.quota.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 
 RESERVE_SECONDS = 0.1
 """Of the usual demand of what is more urgent is set aside: some round trips between processes, in
--- a/src/dewledge/core/quota/token_line.py
+++ b/src/dewledge/core/pooler/rate_limits/token_line.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from dewledge.core.quota.limits import TOKEN_SECONDS
-from dewledge.core.quota.line_watch import STANDING_SECONDS, LineWatch
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.token_bucket import ROUNDING, Tokens
-from dewledge.core.quota.told_moments import TOLD_SHARE, ToldMoments
+from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
+from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS, LineWatch
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.token_bucket import ROUNDING, Tokens
+from dewledge.core.pooler.rate_limits.told_moments import TOLD_SHARE, ToldMoments
 
 KEPT_SECONDS = 2.0
 """So far ahead tokens are kept for who has asked. Statements may take one to some seconds; what is
--- a/src/dewledge/core/quota/token_patience.py
+++ b/src/dewledge/core/pooler/rate_limits/token_patience.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from dewledge.core.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
-from dewledge.core.quota.token_line import CLAIM_SECONDS
+from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
+from dewledge.core.pooler.rate_limits.token_line import CLAIM_SECONDS
 from dewledge.core.shared.service_rate import UsualTime
 
 SERVING_SMOOTHING = 0.05
--- a/src/dewledge/core/quota/told_moments.py
+++ b/src/dewledge/core/pooler/rate_limits/told_moments.py
@@ -6,7 +6,7 @@
 
 import itertools
 
-from dewledge.core.quota.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
 
 TOLD_SHARE = 0.5
 """Of the rate, for those that come back. With all of it whoever asks for the first time would be
--- a/src/dewledge/core/quota/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -7,8 +7,8 @@
 import math
 from collections.abc import Sequence
 
-from dewledge.core.quota.grantor import VOTE_SECONDS
-from dewledge.core.quota.messages import QuotaAnswer
+from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
 
 SILENT_SECONDS = 0.7
 """A candidate without an answer for so long is left for the next: two lost questions are borne."""
--- /dev/null
+++ b/src/dewledge/core/pooler/sessions/__init__.py
@@ -0,0 +1,1 @@
+"""Client sessions of the pooler: start, authorisation, routes, transactions, admission."""
--- a/src/dewledge/core/pooling/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -4,19 +4,20 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from dewledge.core.pooling.events import TransactionEnded
-from dewledge.core.pooling.operation_admission import Decision, OperationAdmission
-from dewledge.core.pooling.routes import Route
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import (
+from dewledge.core.pooler.events import TransactionEnded
+from dewledge.core.pooler.rate_limits.admission import Refusal
+from dewledge.core.pooler.sessions.operation_admission import Decision, OperationAdmission
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import (
     MAX_PREPARED,
     MAX_VALUES,
     OpenTransaction,
     PreparedShape,
     SessionState,
 )
-from dewledge.core.pooling.statement_run import StatementRun
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.statements.statement_run import StatementRun
+from dewledge.core.pooler.statements.statements import (
     ClientMessage,
     Failure,
     MalformedInput,
@@ -27,7 +28,6 @@
     Terminate,
     TransactionState,
 )
-from dewledge.core.quota.admission import Refusal
 from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.errors import ErrorCode
 
--- a/src/dewledge/core/pooling/codec.py
+++ b/src/dewledge/core/pooler/sessions/codec.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from dewledge.core.pooling.statements import ClientMessage, Failure, Reply, Statement
+from dewledge.core.pooler.statements.statements import ClientMessage, Failure, Reply, Statement
 from dewledge.core.shared.positions import LogPosition
 
 
--- a/src/dewledge/core/pooling/denials.py
+++ b/src/dewledge/core/pooler/sessions/denials.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from dewledge.core.pooling.events import SessionDenied
-from dewledge.core.pooling.scheduling import Scheduler
+from dewledge.core.pooler.events import SessionDenied
+from dewledge.core.pooler.scheduling import Scheduler
 
 LINE_SECONDS = 1.0
 
--- a/src/dewledge/core/pooling/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from dewledge.core.load.ticket import Ticket
-from dewledge.core.pooling.events import OperationHeld, OperationNotAdmitted
-from dewledge.core.pooling.routes import Route
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import SessionState
-from dewledge.core.pooling.statements import Statement
-from dewledge.core.quota.admission import Application, Refusal, Wish
-from dewledge.core.quota.token_patience import KeptTokens
+from dewledge.core.pooler.events import OperationHeld, OperationNotAdmitted
+from dewledge.core.pooler.load.ticket import Ticket
+from dewledge.core.pooler.rate_limits.admission import Application, Refusal, Wish
+from dewledge.core.pooler.rate_limits.token_patience import KeptTokens
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import SessionState
+from dewledge.core.pooler.statements.statements import Statement
 
 MILLISECONDS = 1000
 HELD_MS = 100
--- a/src/dewledge/core/pooling/routes.py
+++ b/src/dewledge/core/pooler/sessions/routes.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.quota.limits import RateLimit
+from dewledge.core.pooler.rate_limits.limits import RateLimit
 
 NO_CALLER = ""
 """The name of the caller where nobody has to show a token."""
--- a/src/dewledge/core/pooling/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Callable
 
-from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.load.return_moments import ReturnMoments
-from dewledge.core.pooling.denials import Denials
-from dewledge.core.pooling.events import PoolingEvent
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.routes import EMPTY_ROUTE_TABLE, RouteTable
-from dewledge.core.pooling.scheduling import Scheduler
-from dewledge.core.quota.admission import Admission, AdmitsAll
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.events import PoolingEvent
+from dewledge.core.pooler.load.policy import LoadPolicy
+from dewledge.core.pooler.load.return_moments import ReturnMoments
+from dewledge.core.pooler.rate_limits.admission import Admission, AdmitsAll
+from dewledge.core.pooler.scheduling import Scheduler
+from dewledge.core.pooler.sessions.denials import Denials
+from dewledge.core.pooler.sessions.routes import EMPTY_ROUTE_TABLE, RouteTable
 from dewledge.core.shared.retry_budget import RetryBudget
 
 SECOND_READS_SHARE = 0.02
--- a/src/dewledge/core/pooling/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -2,10 +2,10 @@
 
 import msgspec
 
-from dewledge.core.load.ticket import Ticket
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.routes import NO_CALLER, Route
-from dewledge.core.pooling.statements import Statement, StatementKind
+from dewledge.core.pooler.load.ticket import Ticket
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.routes import NO_CALLER, Route
+from dewledge.core.pooler.statements.statements import Statement, StatementKind
 from dewledge.core.shared.positions import LogPosition
 
 MAX_VALUES = 256
--- a/src/dewledge/core/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -12,17 +12,20 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from dewledge.core.load.patience import FUTILE_SECONDS
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.connection_setup import plan_setup, send_setup
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.routes import NO_CALLER
-from dewledge.core.pooling.scheduling import ScheduledCall
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import PreparedShape, SessionState
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.patience import FUTILE_SECONDS
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.scheduling import ScheduledCall
+from dewledge.core.pooler.sessions.routes import NO_CALLER
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
+from dewledge.core.pooler.sharing.channel_wait import MILLISECONDS, ChannelWait
+from dewledge.core.pooler.sharing.lead_proof import LeadProof
+from dewledge.core.pooler.sharing.messages import ChannelStatement, ProvenAge
+from dewledge.core.pooler.statements.connection_setup import plan_setup, send_setup
+from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Statement,
@@ -30,9 +33,6 @@
     TransactionState,
 )
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.channel_wait import MILLISECONDS, ChannelWait
-from dewledge.core.sharing.lead_proof import LeadProof
-from dewledge.core.sharing.messages import ChannelStatement, ProvenAge
 from dewledge.errors import ErrorCode
 
 SLOT_PAUSE_SECONDS = 0.01
--- a/src/dewledge/core/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -3,18 +3,23 @@
 import math
 from collections.abc import Callable
 
-from dewledge.core.load.patience import Patience
-from dewledge.core.load.verdict import Refuse, WaitUntil
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.scheduling import ScheduledCall
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import SessionState
-from dewledge.core.pooling.statements import OWN_QUESTIONS, TAKES_SLOT, Failure, StatementKind
-from dewledge.core.pooling.wait_event import wait_refused
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter
-from dewledge.core.sharing.messages import ChannelStatement
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.patience import Patience
+from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.wait_event import wait_refused
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.scheduling import ScheduledCall
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import SessionState
+from dewledge.core.pooler.sharing.messages import ChannelStatement
+from dewledge.core.pooler.statements.statements import (
+    OWN_QUESTIONS,
+    TAKES_SLOT,
+    Failure,
+    StatementKind,
+)
 from dewledge.errors import ErrorCode
 
 QUEUE_LIMIT_SECONDS = 0.25
--- a/src/dewledge/core/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -11,8 +11,8 @@
 import msgspec
 import xxhash
 
-from dewledge.core.pooling.routes import NO_CALLER
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.sessions.routes import NO_CALLER
+from dewledge.core.pooler.sharing.members import Member
 
 RESERVED_SHARE = 0.1
 """Of a database's limit, kept free for processes that have just started."""
--- a/src/dewledge/core/sharing/lead_proof.py
+++ b/src/dewledge/core/pooler/sharing/lead_proof.py
@@ -1,6 +1,6 @@
 """Which answers on one connection prove that the database leads."""
 
-from dewledge.core.pooling.statements import StatementKind
+from dewledge.core.pooler.statements.statements import StatementKind
 
 
 class LeadProof:
--- a/src/dewledge/core/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -9,8 +9,9 @@
 import cbor2
 import msgspec
 
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.sharing.table_cache import TableDelta
+from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Statement,
@@ -18,7 +19,6 @@
     TransactionState,
 )
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.table_cache import TableDelta
 from dewledge.errors import ErrorCode, ProtocolError
 
 WAIT_SHARE = 0.85
--- a/src/dewledge/core/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -10,7 +10,7 @@
 import msgspec
 import xxhash
 
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.sharing.members import Member
 
 MOST_READING_ALL = 3
 """Up to so many processes each read the store themselves."""
--- a/src/dewledge/core/sharing/table_cache.py
+++ b/src/dewledge/core/pooler/sharing/table_cache.py
@@ -5,7 +5,7 @@
 import msgspec
 import xxhash
 
-from dewledge.core.coordination_store import StoreRow
+from dewledge.core.pooler.coordination_store import StoreRow
 
 MAX_REMOVED = 2000
 """So many removed rows are remembered; who is further behind gets the whole table."""
--- /dev/null
+++ b/src/dewledge/core/pooler/statements/__init__.py
@@ -0,0 +1,1 @@
+"""One statement of a session: choice of a database, setup, sending, answer, retry."""
--- a/src/dewledge/core/pooling/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -5,9 +5,9 @@
 import msgspec
 import xxhash
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.session_state import PreparedShape, SessionState
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
+from dewledge.core.pooler.statements.statements import (
     OWN_STATEMENT_ID,
     Reply,
     Statement,
--- a/src/dewledge/core/pooling/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -3,21 +3,21 @@
 import math
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.patience import FUTILE_SECONDS, Patience
-from dewledge.core.load.return_moments import ReturnMoments
-from dewledge.core.load.ticket import Ticket, arrival_of
-from dewledge.core.load.verdict import Refuse, WaitUntil
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group import SEEK_AGAIN_SECONDS, Group
-from dewledge.core.pooling.routes import Consistency, Route
-from dewledge.core.pooling.run_record import RunRecord
-from dewledge.core.pooling.run_timers import RunTimers
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import OpenTransaction, SessionState
-from dewledge.core.pooling.statements import Failure
-from dewledge.core.pooling.targets import Proof, ReadNeed, Target
-from dewledge.core.pooling.wait_event import wait_refused
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.databases.group import SEEK_AGAIN_SECONDS, Group
+from dewledge.core.pooler.load.patience import FUTILE_SECONDS, Patience
+from dewledge.core.pooler.load.return_moments import ReturnMoments
+from dewledge.core.pooler.load.ticket import Ticket, arrival_of
+from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.wait_event import wait_refused
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.sessions.routes import Consistency, Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
+from dewledge.core.pooler.statements.run_record import RunRecord
+from dewledge.core.pooler.statements.run_timers import RunTimers
+from dewledge.core.pooler.statements.statements import Failure
+from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
 from dewledge.errors import ErrorCode
 
 RETRY_PAUSE_SECONDS = 0.03
--- a/src/dewledge/core/pooling/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.pooling.database_connection import DatabaseConnection, ignore_holder
-from dewledge.core.pooling.events import PrimaryRefuted
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.services import PoolServices
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.events import PrimaryRefuted
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection, ignore_holder
+from dewledge.core.pooler.sessions.services import PoolServices
 
 
 class HeldConnection:
--- a/src/dewledge/core/pooling/lead_use.py
+++ b/src/dewledge/core/pooler/statements/lead_use.py
@@ -1,9 +1,9 @@
 """Whether one statement may use its database as primary, and what it has shown of the database."""
 
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.session_state import OpenTransaction
-from dewledge.core.pooling.statements import StatementKind
-from dewledge.core.pooling.targets import Proof, Target
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.sessions.session_state import OpenTransaction
+from dewledge.core.pooler.statements.statements import StatementKind
+from dewledge.core.pooler.statements.targets import Proof, Target
 
 
 class LeadUse:
--- a/src/dewledge/core/pooling/position_learning.py
+++ b/src/dewledge/core/pooler/statements/position_learning.py
@@ -1,7 +1,7 @@
 """What an answer tells of the log: floors of the session, proven positions of the group."""
 
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.session_state import OpenTransaction, SessionState
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
 from dewledge.core.shared.positions import LogPosition
 
 
--- a/src/dewledge/core/pooling/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.choice import Candidate, Completion, order
-from dewledge.core.load.load_book import KnownLoad, LoadBook
-from dewledge.core.load.load_teller import bounded_report
-from dewledge.core.load.report import LoadReport
-from dewledge.core.load.shown_failures import ShownFailures
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.group_view import DatabaseRecord
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.load.choice import Candidate, Completion, order
+from dewledge.core.pooler.load.load_book import KnownLoad, LoadBook
+from dewledge.core.pooler.load.load_teller import bounded_report
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.load.shown_failures import ShownFailures
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 
 WAY_SECONDS = (0.001, 0.004, 0.03)
 """A round trip within a zone, between two of a region, between regions: what is usual of networks.
--- a/src/dewledge/core/pooling/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -1,9 +1,9 @@
 """Ends a transaction on a connection that is to serve others again."""
 
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.scheduling import Scheduler
-from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.scheduling import Scheduler
+from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 
 ROLLBACK_LIMIT_SECONDS = 2.0
 """Longer than any rollback takes: a connection that has not answered by then is closed."""
--- a/src/dewledge/core/pooling/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -1,11 +1,11 @@
 """What one statement went through, for its line in the log."""
 
-from dewledge.core.pooling.events import StatementAnswered
-from dewledge.core.pooling.routes import Route
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import SessionState
-from dewledge.core.pooling.statements import Reply, Statement
-from dewledge.core.pooling.targets import Target
+from dewledge.core.pooler.events import StatementAnswered
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import SessionState
+from dewledge.core.pooler.statements.statements import Reply, Statement
+from dewledge.core.pooler.statements.targets import Target
 
 MILLISECONDS = 1000
 
--- a/src/dewledge/core/pooling/run_timers.py
+++ b/src/dewledge/core/pooler/statements/run_timers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from dewledge.core.pooling.scheduling import ScheduledCall, Scheduler
+from dewledge.core.pooler.scheduling import ScheduledCall, Scheduler
 
 
 class RunTimers:
--- a/src/dewledge/core/pooling/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -8,25 +8,25 @@
 import math
 from collections.abc import Callable
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.pooling.answer_watch import SUSPECT_AFTER_SECONDS, AnswerWatch
-from dewledge.core.pooling.connection_setup import (
+from dewledge.core.pooler.databases.answer_watch import SUSPECT_AFTER_SECONDS, AnswerWatch
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import SessionState
+from dewledge.core.pooler.statements.connection_setup import (
     plan_setup,
     send_setup,
     statement_for_database,
 )
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.database_search import RETRY_PAUSE_SECONDS, DatabaseSearch
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.held_connection import HeldConnection
-from dewledge.core.pooling.lead_use import LeadUse
-from dewledge.core.pooling.position_learning import PositionLearner
-from dewledge.core.pooling.routes import Route
-from dewledge.core.pooling.run_record import RunRecord
-from dewledge.core.pooling.run_timers import RunTimers
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.session_state import SessionState
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.statements.database_search import RETRY_PAUSE_SECONDS, DatabaseSearch
+from dewledge.core.pooler.statements.held_connection import HeldConnection
+from dewledge.core.pooler.statements.lead_use import LeadUse
+from dewledge.core.pooler.statements.position_learning import PositionLearner
+from dewledge.core.pooler.statements.run_record import RunRecord
+from dewledge.core.pooler.statements.run_timers import RunTimers
+from dewledge.core.pooler.statements.statements import (
     NOT_RUN_CODES,
     Failure,
     Reply,
--- a/src/dewledge/core/pooling/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from dewledge.core.load.choice import Candidate, Completion
-from dewledge.core.pooling.freshness import FreshnessHistory
-from dewledge.core.pooling.group_view import DatabaseRecord, GroupView
-from dewledge.core.pooling.routes import NO_CALLER, Consistency, Route
+from dewledge.core.pooler.databases.freshness import FreshnessHistory
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, GroupView
+from dewledge.core.pooler.load.choice import Candidate, Completion
+from dewledge.core.pooler.sessions.routes import NO_CALLER, Consistency, Route
 from dewledge.core.shared.positions import LogPosition
 
 LOAD_PER_ZONE_STEP = 2
--- a/src/dewledge/explain/lost_refusals.py
+++ b/src/dewledge/explain/lost_refusals.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from dewledge.core.quota.slots import slot_of
+from dewledge.core.pooler.rate_limits.slots import slot_of
 from dewledge.explain.log_lines import LogRecord
 from dewledge.explain.lost_cause import (
     COMING_BACK,
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooling.routes import Consistency, GroupPolicy, Route, RouteTable
-from dewledge.core.quota.limits import RateLimit
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, Route, RouteTable
 from dewledge.core.shared.caller_tokens import index_tokens, token_digest
 from dewledge.errors import ProtocolError
 
--- a/src/dewledge/platform/statement_texts.py
+++ b/src/dewledge/platform/statement_texts.py
@@ -1,6 +1,6 @@
 """The texts of statements, to and from the product's own types."""
 
-from dewledge.core.pooling.statements import MalformedInput, Statement, StatementKind
+from dewledge.core.pooler.statements.statements import MalformedInput, Statement, StatementKind
 from dewledge.platform.wire_words import OWN_TEXTS, READ_WORD, STEP_DOWN_WORD, WRITE_WORD
 
 _ACCESS = {READ_WORD: False, WRITE_WORD: True}
--- a/src/dewledge/platform/status_row.py
+++ b/src/dewledge/platform/status_row.py
@@ -1,7 +1,7 @@
 """The row by which a database tells its state."""
 
-from dewledge.core.pooling.statements import Reply
-from dewledge.core.succession.messages import DatabaseStatus
+from dewledge.core.pooler.failover.messages import DatabaseStatus
+from dewledge.core.pooler.statements.statements import Reply
 from dewledge.errors import ProtocolError
 from dewledge.platform.wire_codec import parse_position
 
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -18,7 +18,7 @@
     ServerUnreachable,
     SocketOption,
 )
-from dewledge.core.coordination_store import (
+from dewledge.core.pooler.coordination_store import (
     CALL_LIMIT_SECONDS,
     FeedAnswer,
     HistoryLost,
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.statements.statements import (
     ClientMessage,
     Failure,
     MalformedInput,
--- a/src/dewledge/platform/wire_words.py
+++ b/src/dewledge/platform/wire_words.py
@@ -1,6 +1,6 @@
 """The words of the wire, and what they are called inside the product."""
 
-from dewledge.core.pooling.statements import StatementKind, TransactionState
+from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.errors import ErrorCode
 
 MAX_LINE_BYTES = 1024 * 1024
--- a/src/dewledge/pooler_settings.py
+++ b/src/dewledge/pooler_settings.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from dewledge.checked_values import build_checked, checked_by
-from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.quota.limits import QuotaPolicy
+from dewledge.core.pooler.load.policy import LoadPolicy
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.core.shared.addresses import check_remote_address, split_address
 from dewledge.errors import InvalidInput
 from dewledge.settings_text import NAME_PATTERN, read_toml
--- a/src/dewledge/shell/pooling/channel_client.py
+++ b/src/dewledge/shell/pooling/channel_client.py
@@ -4,12 +4,10 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.statements import Statement
-from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.messages import (
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sharing.messages import (
     ChannelClosed,
     ChannelEnded,
     ChannelOpened,
@@ -19,6 +17,8 @@
     wait_at_holder,
     waited_already,
 )
+from dewledge.core.pooler.statements.statements import Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.outgoing_link import OutgoingLink
--- a/src/dewledge/shell/pooling/channel_server.py
+++ b/src/dewledge/shell/pooling/channel_server.py
@@ -5,13 +5,12 @@
 
 from loguru import logger
 
-from dewledge.core.load.load_teller import LoadTeller
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.statements import Reply
-from dewledge.core.sharing.channel_session import ChannelSession
-from dewledge.core.sharing.messages import (
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.load_teller import LoadTeller
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.channel_session import ChannelSession
+from dewledge.core.pooler.sharing.messages import (
     ChannelClosed,
     ChannelEnded,
     ChannelOpened,
@@ -25,6 +24,7 @@
     ProvenAge,
     channel_reply,
 )
+from dewledge.core.pooler.statements.statements import Reply
 from dewledge.shell.event_loop import READABLE, EventLoop
 from dewledge.shell.pooling.framed_stream import FramedStream
 from dewledge.shell.sockets import listen_tcp
--- a/src/dewledge/shell/pooling/claim_keeper.py
+++ b/src/dewledge/shell/pooling/claim_keeper.py
@@ -5,11 +5,11 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import CoordinationStore, StoreRow, StoreWrite
-from dewledge.core.pooling.group import Group
-from dewledge.core.succession.lead_right import Fencing, LeadRights
-from dewledge.core.succession.messages import Claim, ClaimKnown
-from dewledge.core.succession.vouching import VouchAnswer, Vouching, VouchQuestion
+from dewledge.core.pooler.coordination_store import CoordinationStore, StoreRow, StoreWrite
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
+from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
+from dewledge.core.pooler.failover.vouching import VouchAnswer, Vouching, VouchQuestion
 from dewledge.errors import StoreError
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.coordination_rows import (
--- a/src/dewledge/shell/pooling/client_listener.py
+++ b/src/dewledge/shell/pooling/client_listener.py
@@ -7,11 +7,11 @@
 
 from loguru import logger
 
-from dewledge.core.load.refusal_pace import RefusalPace
-from dewledge.core.pooling.client_session import ClientSession
-from dewledge.core.pooling.codec import ClientCodec
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.statements import Failure, Reply
+from dewledge.core.pooler.load.refusal_pace import RefusalPace
+from dewledge.core.pooler.sessions.client_session import ClientSession
+from dewledge.core.pooler.sessions.codec import ClientCodec
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.statements.statements import Failure, Reply
 from dewledge.errors import ErrorCode
 from dewledge.shell.event_loop import READABLE, EventLoop, Timer
 from dewledge.shell.pooling.byte_stream import ByteStream
--- a/src/dewledge/shell/pooling/coordination_rows.py
+++ b/src/dewledge/shell/pooling/coordination_rows.py
@@ -5,9 +5,9 @@
 import cbor2
 import msgspec
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.sharing.members import Member
-from dewledge.core.succession.messages import Claim
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.failover.messages import Claim
+from dewledge.core.pooler.sharing.members import Member
 
 TABLE = "dewledge"
 MEMBER_PREFIX = "member/"
--- a/src/dewledge/shell/pooling/database_opener.py
+++ b/src/dewledge/shell/pooling/database_opener.py
@@ -7,13 +7,13 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from dewledge.core.pooling.codec import DatabaseCodec
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.pooling.statements import Reply, Statement
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.codec import DatabaseCodec
+from dewledge.core.pooler.sharing.holders import FALLBACK_CONNECTIONS
+from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.holders import FALLBACK_CONNECTIONS
-from dewledge.core.succession.reach_limit import ReachLimit
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.byte_stream import ByteStream, Connecting
--- a/src/dewledge/shell/pooling/directory.py
+++ b/src/dewledge/shell/pooling/directory.py
@@ -5,17 +5,17 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.read_choice import ReadChoice
-from dewledge.core.pooling.services import PoolServices
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.failover.lead_right import LeadRights
+from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.holders import Holding, holding_of, share_of_connections
+from dewledge.core.pooler.statements.read_choice import ReadChoice
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.holders import Holding, holding_of, share_of_connections
-from dewledge.core.succession.lead_right import LeadRights
-from dewledge.core.succession.reach_limit import ReachLimit
 from dewledge.errors import ProtocolError
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.event_loop import EventLoop
--- a/src/dewledge/shell/pooling/event_log.py
+++ b/src/dewledge/shell/pooling/event_log.py
@@ -6,7 +6,7 @@
 import msgspec
 from loguru import logger
 
-from dewledge.core.pooling.events import StatementAnswered
+from dewledge.core.pooler.events import StatementAnswered
 from dewledge.shell.log import format_line
 from dewledge.shell.pooling.log_writer import LogWriter
 from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
--- a/src/dewledge/shell/pooling/followed_table.py
+++ b/src/dewledge/shell/pooling/followed_table.py
@@ -5,10 +5,10 @@
 import msgspec
 from loguru import logger
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.sharing.messages import TableNews
-from dewledge.core.sharing.packing import LEAST_COMPRESSED_BYTES, pack_value, unpack_value
-from dewledge.core.sharing.table_cache import TableCache, TableDelta
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.sharing.messages import TableNews
+from dewledge.core.pooler.sharing.packing import LEAST_COMPRESSED_BYTES, pack_value, unpack_value
+from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 
 RowsCallback = Callable[[tuple[StoreRow, ...], int], None]
 """Takes rows and the version of the table."""
--- a/src/dewledge/shell/pooling/framed_stream.py
+++ b/src/dewledge/shell/pooling/framed_stream.py
@@ -5,7 +5,7 @@
 
 from loguru import logger
 
-from dewledge.core.sharing.messages import PeerLinkMessage, decode, encode
+from dewledge.core.pooler.sharing.messages import PeerLinkMessage, decode, encode
 from dewledge.errors import ProtocolError
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.frames import FrameReader, frame_of
--- a/src/dewledge/shell/pooling/member_table.py
+++ b/src/dewledge/shell/pooling/member_table.py
@@ -8,8 +8,8 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import CoordinationStore, StoreRow, StoreWrite
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.coordination_store import CoordinationStore, StoreRow, StoreWrite
+from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreConditionFailed, StoreError, StoreOutcomeUnknown
 from dewledge.shell.pooling.coordination_rows import (
     MEMBER_PREFIX,
--- a/src/dewledge/shell/pooling/outgoing_link.py
+++ b/src/dewledge/shell/pooling/outgoing_link.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from dewledge.core.load.holder_health import HolderHealth, HolderRules, HolderState
-from dewledge.core.sharing.messages import Leaving, LinkOpened, PeerLinkMessage, Ping, Pong
+from dewledge.core.pooler.load.holder_health import HolderHealth, HolderRules, HolderState
+from dewledge.core.pooler.sharing.messages import Leaving, LinkOpened, PeerLinkMessage, Ping, Pong
 from dewledge.shell.event_loop import EventLoop, Timer
 from dewledge.shell.pooling.byte_stream import Connecting
 from dewledge.shell.pooling.framed_stream import FramedStream
--- a/src/dewledge/shell/pooling/outgoing_links.py
+++ b/src/dewledge/shell/pooling/outgoing_links.py
@@ -4,9 +4,9 @@
 from random import Random
 from typing import Protocol
 
-from dewledge.core.load.holder_health import WITHOUT_PROBES, HolderRules, HolderState
-from dewledge.core.pooling.events import HolderJudged, PoolingEvent
-from dewledge.core.sharing.messages import PeerLinkMessage
+from dewledge.core.pooler.events import HolderJudged, PoolingEvent
+from dewledge.core.pooler.load.holder_health import WITHOUT_PROBES, HolderRules, HolderState
+from dewledge.core.pooler.sharing.messages import PeerLinkMessage
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.outgoing_link import OutgoingLink
 
--- a/src/dewledge/shell/pooling/own_way.py
+++ b/src/dewledge/shell/pooling/own_way.py
@@ -6,8 +6,8 @@
 
 from collections.abc import Callable
 
-from dewledge.core.load.holder_health import HolderHealth, HolderRules, HolderState
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.load.holder_health import HolderHealth, HolderRules, HolderState
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
 from dewledge.shell.event_loop import EventLoop
 
--- a/src/dewledge/shell/pooling/peer_messages.py
+++ b/src/dewledge/shell/pooling/peer_messages.py
@@ -3,9 +3,9 @@
 import cbor2
 import msgspec
 
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.succession.messages import Claim
-from dewledge.core.succession.vouching import VouchAnswer, VouchQuestion
+from dewledge.core.pooler.failover.messages import Claim
+from dewledge.core.pooler.failover.vouching import VouchAnswer, VouchQuestion
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
 from dewledge.errors import ProtocolError
 
 MAX_BYTES = 8192
--- a/src/dewledge/shell/pooling/platform_adapter.py
+++ b/src/dewledge/shell/pooling/platform_adapter.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from dewledge.core.coordination_store import CoordinationStore, DutyCalls
-from dewledge.core.pooling.codec import ClientCodec, DatabaseCodec
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.pooling.routes import RouteTable
-from dewledge.core.pooling.statements import Reply
-from dewledge.core.succession.messages import DatabaseStatus
+from dewledge.core.pooler.coordination_store import CoordinationStore, DutyCalls
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.failover.messages import DatabaseStatus
+from dewledge.core.pooler.sessions.codec import ClientCodec, DatabaseCodec
+from dewledge.core.pooler.sessions.routes import RouteTable
+from dewledge.core.pooler.statements.statements import Reply
 
 
 class PlatformAdapter(msgspec.Struct, frozen=True):
--- a/src/dewledge/shell/pooling/pooler_metrics.py
+++ b/src/dewledge/shell/pooling/pooler_metrics.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from dewledge.core.pooling.events import StatementAnswered
+from dewledge.core.pooler.events import StatementAnswered
 
 if TYPE_CHECKING:
     from prometheus_client import Metric
--- a/src/dewledge/shell/pooling/pooler_process.py
+++ b/src/dewledge/shell/pooling/pooler_process.py
@@ -7,11 +7,11 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.sharing.members import Member
-from dewledge.core.succession.lead_right import Fencing, LeadRights
-from dewledge.core.succession.messages import RegisteredProcesses
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
+from dewledge.core.pooler.failover.messages import RegisteredProcesses
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.http_messages import Exchange, HttpLimits, HttpResponse
--- a/src/dewledge/shell/pooling/process_gauges.py
+++ b/src/dewledge/shell/pooling/process_gauges.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Sequence
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.services import PoolServices
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.shell.pooling.channel_server import ChannelServer
 from dewledge.shell.pooling.client_listener import ClientListener
 from dewledge.shell.pooling.member_table import MemberTable
--- a/src/dewledge/shell/pooling/quota_driver.py
+++ b/src/dewledge/shell/pooling/quota_driver.py
@@ -1,10 +1,10 @@
 """Has the process's admission and its part in granting run on the loop and the datagrams."""
 
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.quota.gate import SEARCH_SPACING_SECONDS, QuotaGate
-from dewledge.core.quota.grantor import Grantor
-from dewledge.core.quota.limits import QuotaPolicy
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.gate import SEARCH_SPACING_SECONDS, QuotaGate
+from dewledge.core.pooler.rate_limits.grantor import Grantor
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.event_log import EventLog
 from dewledge.shell.pooling.member_table import MemberTable
--- a/src/dewledge/shell/pooling/stall_watch.py
+++ b/src/dewledge/shell/pooling/stall_watch.py
@@ -1,6 +1,6 @@
 """Notices that the process stood still: frozen, or without a processor, for longer than usual."""
 
-from dewledge.core.pooling.events import ProcessStoodStill
+from dewledge.core.pooler.events import ProcessStoodStill
 
 STALL_SECONDS = 0.3
 """A tick that comes so much too late is told: more than a slow machine's turn between two ticks,
--- a/src/dewledge/shell/pooling/succession_calls.py
+++ b/src/dewledge/shell/pooling/succession_calls.py
@@ -5,8 +5,13 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import CoordinationStore, DutyCalls, StoreRow, StoreWrite
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.coordination_store import (
+    CoordinationStore,
+    DutyCalls,
+    StoreRow,
+    StoreWrite,
+)
+from dewledge.core.pooler.failover.messages import (
     ClaimRefused,
     Promote,
     PromotionAnswered,
--- a/src/dewledge/shell/pooling/succession_driver.py
+++ b/src/dewledge/shell/pooling/succession_driver.py
@@ -6,15 +6,12 @@
 import msgspec
 from loguru import logger
 
-from dewledge.core.coordination_store import CoordinationStore, DutyCalls, StoreRow
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.pooling.statements import Reply, StatementKind
-from dewledge.core.pooling.waiter import Denial, Waiter
-from dewledge.core.succession.candidates import panel
-from dewledge.core.succession.lead_right import LeadRights
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.coordination_store import CoordinationStore, DutyCalls, StoreRow
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.lead_right import LeadRights
+from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskWitnesses,
     Claim,
@@ -39,7 +36,10 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.succession.succession import GroupSuccession
+from dewledge.core.pooler.failover.succession import GroupSuccession
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.waiter import Denial, Waiter
+from dewledge.core.pooler.statements.statements import Reply, StatementKind
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.coordination_rows import CLAIM_PREFIX, read_claim
 from dewledge.shell.pooling.peer_messages import LeaderNotice, WitnessAnswer
--- a/src/dewledge/shell/pooling/table_follower.py
+++ b/src/dewledge/shell/pooling/table_follower.py
@@ -13,7 +13,7 @@
 
 from loguru import logger
 
-from dewledge.core.sharing.messages import (
+from dewledge.core.pooler.sharing.messages import (
     FollowTables,
     PeerLinkMessage,
     TableNews,
--- a/src/dewledge/shell/pooling/table_publisher.py
+++ b/src/dewledge/shell/pooling/table_publisher.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.core.sharing.messages import FollowTables, TableNews, TablesAnswered
+from dewledge.core.pooler.sharing.messages import FollowTables, TableNews, TablesAnswered
 from dewledge.shell.event_loop import EventLoop, Timer
 from dewledge.shell.pooling.channel_server import IncomingLink
 from dewledge.shell.pooling.followed_table import FollowedTable
--- a/src/dewledge/shell/pooling/table_reading.py
+++ b/src/dewledge/shell/pooling/table_reading.py
@@ -6,9 +6,9 @@
 
 from loguru import logger
 
-from dewledge.core.sharing.messages import FollowTables
-from dewledge.core.sharing.readers import MOST_READING_ALL, ReadingPlan, reading_plan
-from dewledge.core.sharing.table_cache import TableDelta
+from dewledge.core.pooler.sharing.messages import FollowTables
+from dewledge.core.pooler.sharing.readers import MOST_READING_ALL, ReadingPlan, reading_plan
+from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.channel_server import IncomingLink
--- a/src/dewledge/shell/pooling/table_watcher.py
+++ b/src/dewledge/shell/pooling/table_watcher.py
@@ -11,12 +11,12 @@
 
 from loguru import logger
 
-from dewledge.core.coordination_store import (
+from dewledge.core.pooler.coordination_store import (
     CALL_LIMIT_SECONDS,
     CoordinationStore,
     HistoryLost,
 )
-from dewledge.core.sharing.table_cache import TableDelta
+from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.errors import StoreError
 
 RETRY_SECONDS = 0.4
--- a/src/dewledge/shell/pooling/wait_gauges.py
+++ b/src/dewledge/shell/pooling/wait_gauges.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Mapping
 
-from dewledge.core.load.wait_counts import WaitCounts
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.group import Group
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.wait_counts import WaitCounts
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
 
 _COUNTS: tuple[tuple[str, str, Callable[[WaitCounts], int]], ...] = (
--- a/src/dewledge/shell/pooling/wait_teller.py
+++ b/src/dewledge/shell/pooling/wait_teller.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from dewledge.core.load.wait_counts import WaitCounts
-from dewledge.core.load.wait_summaries import SUMMARY_SECONDS, QueueName, WaitSummaries
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.scheduling import Scheduler
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.load.wait_counts import WaitCounts
+from dewledge.core.pooler.load.wait_summaries import SUMMARY_SECONDS, QueueName, WaitSummaries
+from dewledge.core.pooler.scheduling import Scheduler
 
 
 class WaitTeller:
--- a/src/dewledge/shell/pooling/witnesses.py
+++ b/src/dewledge/shell/pooling/witnesses.py
@@ -3,8 +3,8 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.succession.reach_limit import ReachLimit
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.failover.reach_limit import ReachLimit
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.byte_stream import Connecting
 from dewledge.shell.pooling.peer_messages import LeaderNotice, WitnessAnswer, WitnessQuestion
--- a/tests/core/succession/test_lead_right.py
+++ b/tests/core/pooler/failover/test_lead_right.py
@@ -2,21 +2,21 @@
 
 import unittest
 
-from dewledge.core.succession.claim_recall import ClaimRecall, is_majority
-from dewledge.core.succession.claim_writing import (
+from dewledge.core.pooler.failover.claim_recall import ClaimRecall, is_majority
+from dewledge.core.pooler.failover.claim_writing import (
     duty_claim,
     order_claim,
     standing_claim,
     withdrawn_claim,
 )
-from dewledge.core.succession.lead_right import (
+from dewledge.core.pooler.failover.lead_right import (
     RIGHT_SECONDS,
     Fencing,
     LeadRight,
     LeadRights,
 )
-from dewledge.core.succession.messages import Claim, RegisteredProcesses, WriteClaim
-from dewledge.core.succession.vouching import VouchAnswer, Vouching, VouchQuestion
+from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses, WriteClaim
+from dewledge.core.pooler.failover.vouching import VouchAnswer, Vouching, VouchQuestion
 
 NOW = 1000.0
 VOTERS = ("a", "b", "c", "d", "e")
--- a/tests/core/succession/test_reach_limit.py
+++ b/tests/core/pooler/failover/test_reach_limit.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.succession.reach_limit import LEAST_SECONDS, MOST_SECONDS, ReachLimit
+from dewledge.core.pooler.failover.reach_limit import LEAST_SECONDS, MOST_SECONDS, ReachLimit
 
 
 class ReachLimitTest(unittest.TestCase):
--- a/tests/core/succession/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -3,9 +3,8 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.shared.positions import LogPosition
-from dewledge.core.succession.lead_right import RIGHT_SECONDS, Fencing, LeadRight
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.failover.lead_right import RIGHT_SECONDS, Fencing, LeadRight
+from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
     ClaimSeen,
@@ -25,8 +24,9 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.succession.succession import GroupSuccession
-from tests.core.succession.test_succession import MEMBERS, SuccessionCase
+from dewledge.core.pooler.failover.succession import GroupSuccession
+from dewledge.core.shared.positions import LogPosition
+from tests.core.pooler.failover.test_succession import MEMBERS, SuccessionCase
 
 
 class UnfencedCase(SuccessionCase):
--- a/tests/core/succession/test_succession.py
+++ b/tests/core/pooler/failover/test_succession.py
@@ -3,10 +3,9 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole, GroupView
-from dewledge.core.shared.positions import LogPosition
-from dewledge.core.succession.candidates import panel
-from dewledge.core.succession.messages import (
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
+from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskWitnesses,
     Claim,
@@ -28,8 +27,9 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.succession.standing_claim import SETTLED_SECONDS
-from dewledge.core.succession.succession import GroupSuccession
+from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
+from dewledge.core.pooler.failover.succession import GroupSuccession
+from dewledge.core.shared.positions import LogPosition
 
 MEMBERS = ("a", "b", "c")
 
--- a/tests/core/pooling/harness.py
+++ b/tests/core/pooler/harness.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from dewledge.core.pooling.client_session import ClientSession
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.events import PoolingEvent, StatementAnswered
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooling.opener import Opener
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.routes import Consistency, GroupPolicy, Route, RouteTable
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.events import PoolingEvent, StatementAnswered
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.sessions.client_session import ClientSession
+from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, Route, RouteTable
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Startup,
--- a/tests/core/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.load.choice import Candidate, Completion, order
-from dewledge.core.load.load_book import LoadBook
-from dewledge.core.load.report import LoadReport
-from dewledge.core.load.shown_failures import MOST_DATABASES, ShownFailures
+from dewledge.core.pooler.load.choice import Candidate, Completion, order
+from dewledge.core.pooler.load.load_book import LoadBook
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.load.shown_failures import MOST_DATABASES, ShownFailures
 
 WORK = 0.01
 NEAR = 0.001
--- a/tests/core/load/test_holder_health.py
+++ b/tests/core/pooler/load/test_holder_health.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.holder_health import (
+from dewledge.core.pooler.load.holder_health import (
     LOST_AFTER_SECONDS,
     WITHOUT_PROBES,
     HolderHealth,
--- a/tests/core/load/test_load_book.py
+++ b/tests/core/pooler/load/test_load_book.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.load.load_book import (
+from dewledge.core.pooler.load.load_book import (
     MOST_DATABASES,
     MOST_HOLDERS,
     SERVICE_HALF_LIFE_SECONDS,
@@ -16,10 +16,10 @@
     KnownLoad,
     LoadBook,
 )
-from dewledge.core.load.load_teller import LoadTeller, bounded_report
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.statements import Reply, TransactionState
-from dewledge.core.sharing.messages import channel_reply, decode, encode
+from dewledge.core.pooler.load.load_teller import LoadTeller, bounded_report
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.sharing.messages import channel_reply, decode, encode
+from dewledge.core.pooler.statements.statements import Reply, TransactionState
 
 MOST_BYTES = 16
 NOW = 100.0
--- a/tests/core/load/test_patience.py
+++ b/tests/core/pooler/load/test_patience.py
@@ -6,15 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.load.expected_wait import ExpectedWait
-from dewledge.core.load.patience import Patience, Standing, judged_again_at, may_wait
-from dewledge.core.load.return_moments import (
+from dewledge.core.pooler.load.expected_wait import ExpectedWait
+from dewledge.core.pooler.load.patience import Patience, Standing, judged_again_at, may_wait
+from dewledge.core.pooler.load.return_moments import (
     LEAST_RETURN_SECONDS,
     LONGEST_RETURN_SECONDS,
     ReturnMoments,
 )
-from dewledge.core.load.ticket import Ticket, arrival_of
-from dewledge.core.load.wait_counts import WaitRecord
+from dewledge.core.pooler.load.ticket import Ticket, arrival_of
+from dewledge.core.pooler.load.wait_counts import WaitRecord
 
 HURRIED = Patience(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
 SECONDS = st.floats(0, 20, allow_nan=False)
--- a/tests/core/load/test_refusal_pace.py
+++ b/tests/core/pooler/load/test_refusal_pace.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.load.refusal_pace import (
+from dewledge.core.pooler.load.refusal_pace import (
     ANSWERS_PER_SECOND,
     MOST_HELD,
     PAUSE_SECONDS,
--- a/tests/core/load/test_slot_use.py
+++ b/tests/core/pooler/load/test_slot_use.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.load.slot_use import MOST_CALLERS, SlotUse
+from dewledge.core.pooler.load.slot_use import MOST_CALLERS, SlotUse
 
 
 class SlotUseTest(unittest.TestCase):
--- a/tests/core/load/test_wait_queue.py
+++ b/tests/core/pooler/load/test_wait_queue.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.wait_queue import Rank, WaitQueue
+from dewledge.core.pooler.load.wait_queue import Rank, WaitQueue
 
 FOREVER = float("inf")
 
--- a/tests/core/load/test_wait_summaries.py
+++ b/tests/core/pooler/load/test_wait_summaries.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 
 from dewledge.cli.main import run
-from dewledge.core.load.wait_counts import WaitCounts
-from dewledge.core.load.wait_summaries import QueueName, WaitsCounted, WaitSummaries
+from dewledge.core.pooler.load.wait_counts import WaitCounts
+from dewledge.core.pooler.load.wait_summaries import QueueName, WaitsCounted, WaitSummaries
 from dewledge.errors import ErrorCode
 
 QUEUE = QueueName("sales", "i-1")
--- a/tests/core/pooling/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -3,20 +3,20 @@
 import random
 from dataclasses import dataclass, field
 
-from dewledge.core.pooling.group_view import DatabaseRole
-from dewledge.core.pooling.read_choice import ReadChoice
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
+from dewledge.core.pooler.databases.group_view import DatabaseRole
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import (
+from tests.core.pooler.harness import (
     ModelDatabase,
     ModelGroup,
     ModelScheduler,
     PoolerHarness,
     SessionProbe,
 )
-from tests.core.sharing.model_channels import SharingHarness
+from tests.core.pooler.sharing.model_channels import SharingHarness
 
 POOLERS = 3
 SESSIONS = 9
--- a/tests/core/quota/counted_bytes.py
+++ b/tests/core/pooler/rate_limits/counted_bytes.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from dewledge.core.quota.limits import RateLimit
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
 from dewledge.shell.pooling.peer_messages import encode
-from tests.core.quota.model_processes import ModelNetwork
+from tests.core.pooler.rate_limits.model_processes import ModelNetwork
 
 HEADER_BYTES = 28
 """IP and UDP."""
--- a/tests/core/quota/crowd.py
+++ b/tests/core/pooler/rate_limits/crowd.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from dewledge.core.quota.line_watch import STANDING_SECONDS
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.token_bucket import TokenBucket
-from dewledge.core.quota.token_line import Given, Promised, TokenLine
+from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
 
 AT_ONCE_SECONDS = 0.1
 """Clients that do not heed what they are told ask again after this, twice."""
--- a/tests/core/quota/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -4,13 +4,13 @@
 import random
 from collections import defaultdict
 
-from dewledge.core.quota.admission import Refusal, Wish
-from dewledge.core.quota.gate import QuotaGate
-from dewledge.core.quota.grantor import Grantor
-from dewledge.core.quota.limits import QuotaPolicy, RateLimit
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.quota.token_patience import KeptToken
-from tests.core.pooling.harness import ModelScheduler, Timer
+from dewledge.core.pooler.rate_limits.admission import Refusal, Wish
+from dewledge.core.pooler.rate_limits.gate import QuotaGate
+from dewledge.core.pooler.rate_limits.grantor import Grantor
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.token_patience import KeptToken
+from tests.core.pooler.harness import ModelScheduler, Timer
 
 
 class ProcessScheduler:
--- a/tests/core/quota/random_days.py
+++ b/tests/core/pooler/rate_limits/random_days.py
@@ -2,8 +2,8 @@
 
 import random
 
-from dewledge.core.quota.limits import RateLimit
-from tests.core.quota.model_processes import ModelNetwork
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from tests.core.pooler.rate_limits.model_processes import ModelNetwork
 
 LARGE, SMALL = "large", "small"
 LIMITS = {LARGE: RateLimit(200, 200), SMALL: RateLimit(2.8, 2.8)}
--- a/tests/core/quota/test_admission.py
+++ b/tests/core/pooler/rate_limits/test_admission.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.quota.limits import RateLimit
-from tests.core.quota.model_processes import ModelNetwork
-from tests.core.quota.random_days import HOT, LARGE, LIMITS, SMALL, USUAL
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from tests.core.pooler.rate_limits.model_processes import ModelNetwork
+from tests.core.pooler.rate_limits.random_days import HOT, LARGE, LIMITS, SMALL, USUAL
 
 
 class CalmTest(unittest.TestCase):
--- a/tests/core/quota/test_caller_lines.py
+++ b/tests/core/pooler/rate_limits/test_caller_lines.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.quota.caller_lines import LEAST_URGENT, CallerLines
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.recent_demand import RecentDemand
-from dewledge.core.quota.reserved_bucket import ReservedBucket
-from dewledge.core.quota.token_bucket import TokenBucket
-from dewledge.core.quota.token_line import Given, Promised, TokenLine
-from tests.core.quota.crowd import Crowd, Operation, steady
+from dewledge.core.pooler.rate_limits.caller_lines import LEAST_URGENT, CallerLines
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
+from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
+from tests.core.pooler.rate_limits.crowd import Crowd, Operation, steady
 
 RATE = 20.0
 SIZE = 15.0
--- a/tests/core/quota/test_candidates.py
+++ b/tests/core/pooler/rate_limits/test_candidates.py
@@ -6,11 +6,11 @@
 from unittest import mock
 
 import xxhash
-
 from dewledge.core.quota import slots
-from dewledge.core.quota.limits import RateLimit
-from dewledge.core.quota.messages import QuotaQuestion
-from dewledge.core.quota.slots import (
+
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from dewledge.core.pooler.rate_limits.messages import QuotaQuestion
+from dewledge.core.pooler.rate_limits.slots import (
     Slot,
     candidates_after,
     candidates_of,
@@ -18,7 +18,7 @@
     voters_after,
     voters_of,
 )
-from tests.core.quota.counted_bytes import CountingNetwork
+from tests.core.pooler.rate_limits.counted_bytes import CountingNetwork
 
 CALLERS = [f"caller{number}" for number in range(72)]
 LIMITS = {caller: RateLimit(200, 200) for caller in CALLERS}
--- a/tests/core/quota/test_former_votes.py
+++ b/tests/core/pooler/rate_limits/test_former_votes.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from dewledge.core.quota.former_votes import FormerVotes
-from dewledge.core.quota.messages import QuotaAnswer
-from dewledge.core.quota.slots import Slot
-from dewledge.core.quota.voter import Voter
+from dewledge.core.pooler.rate_limits.former_votes import FormerVotes
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
+from dewledge.core.pooler.rate_limits.slots import Slot
+from dewledge.core.pooler.rate_limits.voter import Voter
 
 FIRST, SECOND = Slot(2, 0), Slot(2, 1)
 
--- a/tests/core/quota/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.quota.grantor import VOTE_SECONDS, Grantor, GrantorChanged
-from dewledge.core.quota.limits import QuotaPolicy, RateLimit
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion, TokenWant
-from dewledge.core.quota.own_share import OwnShare
-from dewledge.core.quota.slots import (
+from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS, Grantor, GrantorChanged
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion, TokenWant
+from dewledge.core.pooler.rate_limits.own_share import OwnShare
+from dewledge.core.pooler.rate_limits.slots import (
     PROCESSES_PER_SLOT,
     VOTES_EACH,
     Slot,
@@ -21,7 +21,7 @@
     voters_of,
     voting_slots,
 )
-from dewledge.core.quota.voter import (
+from dewledge.core.pooler.rate_limits.voter import (
     PROBE_SPACING_SECONDS,
     SILENT_SECONDS,
     SILENT_WITHOUT_VOTE_SECONDS,
--- a/tests/core/quota/test_limits.py
+++ b/tests/core/pooler/rate_limits/test_limits.py
@@ -5,15 +5,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.quota.limits import (
+from dewledge.core.pooler.rate_limits.limits import (
     BUCKET_SHARE,
     LEAST_BUCKET,
     TOKEN_SECONDS,
     QuotaPolicy,
     RateLimit,
 )
-from dewledge.core.quota.slots import CANDIDATES
-from dewledge.core.quota.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.slots import CANDIDATES
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 
 limits = st.builds(RateLimit, st.floats(0.2, 2000), st.floats(0, 4000))
 policies = st.builds(QuotaPolicy, st.floats(1, 30), st.floats(0, 0.5), st.floats(0, 100))
--- a/tests/core/quota/test_line_watch.py
+++ b/tests/core/pooler/rate_limits/test_line_watch.py
@@ -3,7 +3,11 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.quota.line_watch import STANDING_AFTER_SECONDS, STANDING_SECONDS, LineWatch
+from dewledge.core.pooler.rate_limits.line_watch import (
+    STANDING_AFTER_SECONDS,
+    STANDING_SECONDS,
+    LineWatch,
+)
 
 STEP = 0.02
 
--- a/tests/core/quota/test_random_days.py
+++ b/tests/core/pooler/rate_limits/test_random_days.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.core.quota.random_days import LIMITS, SEEDS, play_day
+from tests.core.pooler.rate_limits.random_days import LIMITS, SEEDS, play_day
 
 
 class RandomDaysTest(unittest.TestCase):
--- a/tests/core/quota/test_random_days_of_slots.py
+++ b/tests/core/pooler/rate_limits/test_random_days_of_slots.py
@@ -4,7 +4,8 @@
 from unittest import mock
 
 from dewledge.core.quota import slots
-from tests.core.quota.random_days import LIMITS, SEEDS, play_day
+
+from tests.core.pooler.rate_limits.random_days import LIMITS, SEEDS, play_day
 
 
 class RandomDaysOfSlotsTest(unittest.TestCase):
--- a/tests/core/quota/test_size.py
+++ b/tests/core/pooler/rate_limits/test_size.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.quota.limits import RateLimit
-from tests.core.quota.counted_bytes import CountingNetwork, Traffic
+from dewledge.core.pooler.rate_limits.limits import RateLimit
+from tests.core.pooler.rate_limits.counted_bytes import CountingNetwork, Traffic
 
 CALLERS = [f"caller{number}" for number in range(72)]
 LIMITS = {caller: RateLimit(200, 200) for caller in CALLERS}
--- a/tests/core/quota/test_standing_line.py
+++ b/tests/core/pooler/rate_limits/test_standing_line.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.quota.line_watch import STANDING_SECONDS
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.token_line import KEPT_SECONDS, Promised
-from dewledge.core.quota.told_moments import TOLD_SECONDS, TOLD_SHARE
-from tests.core.quota.crowd import Crowd, by_chance, steady
+from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.token_line import KEPT_SECONDS, Promised
+from dewledge.core.pooler.rate_limits.told_moments import TOLD_SECONDS, TOLD_SHARE
+from tests.core.pooler.rate_limits.crowd import Crowd, by_chance, steady
 
 RATE = 20.0
 SETTLED = 5.0
--- a/tests/core/quota/test_token_line.py
+++ b/tests/core/pooler/rate_limits/test_token_line.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.quota.limits import TOKEN_SECONDS
-from dewledge.core.quota.place_key import PlaceKey
-from dewledge.core.quota.token_bucket import TokenBucket
-from dewledge.core.quota.token_line import (
+from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
+from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
+from dewledge.core.pooler.rate_limits.token_line import (
     CLAIM_SECONDS,
     KEPT_SECONDS,
     Given,
--- a/tests/core/quota/test_token_patience.py
+++ b/tests/core/pooler/rate_limits/test_token_patience.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.quota.token_patience import (
+from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
+from dewledge.core.pooler.rate_limits.token_patience import (
     FIRST_SERVING_SECONDS,
     LEAST_COME_BACK_SECONDS,
     MAX_KEPT,
--- a/tests/core/sharing/model_channels.py
+++ b/tests/core/pooler/sharing/model_channels.py
@@ -3,12 +3,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from dewledge.core.load.load_teller import LoadTeller
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.statements import Reply, Statement
-from dewledge.core.shared.positions import LogPosition
-from dewledge.core.sharing.channel_session import ChannelSession
-from dewledge.core.sharing.messages import (
+from dewledge.core.pooler.load.load_teller import LoadTeller
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sharing.channel_session import ChannelSession
+from dewledge.core.pooler.sharing.messages import (
     ChannelReply,
     ProvenAge,
     channel_reply,
@@ -18,8 +16,10 @@
     wait_at_holder,
     waited_already,
 )
+from dewledge.core.pooler.statements.statements import Reply, Statement
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import GROUP, ROUND_TRIP, ModelGroup, PoolerHarness
+from tests.core.pooler.harness import GROUP, ROUND_TRIP, ModelGroup, PoolerHarness
 
 
 class ModelChannels:
--- a/tests/core/sharing/test_channel_session.py
+++ b/tests/core/pooler/sharing/test_channel_session.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.slot_window import CUT_SPACING_SECONDS
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.load.policy import LoadPolicy
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.slot_window import CUT_SPACING_SECONDS
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Statement,
@@ -16,8 +16,8 @@
     TransactionState,
 )
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness
-from tests.core.sharing.model_channels import SharingHarness
+from tests.core.pooler.harness import PoolerHarness
+from tests.core.pooler.sharing.model_channels import SharingHarness
 
 
 class SharingCase(unittest.TestCase):
--- a/tests/core/sharing/test_holders.py
+++ b/tests/core/pooler/sharing/test_holders.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from dewledge.core.sharing.holders import (
+from dewledge.core.pooler.sharing.holders import (
     LEAST_DIRECT_SHARE,
     holding_of,
     share_of_connections,
     usable_connections,
 )
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.sharing.members import Member
 
 ZONES = ("a", "b", "c")
 
--- a/tests/core/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -3,18 +3,19 @@
 import random
 import unittest
 
-from dewledge.core.coordination_store import StoreRow
 from dewledge.core.sharing import table_cache
-from dewledge.core.sharing.members import Member
-from dewledge.core.sharing.packing import pack_value, unpack_value
-from dewledge.core.sharing.readers import (
+
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.sharing.members import Member
+from dewledge.core.pooler.sharing.packing import pack_value, unpack_value
+from dewledge.core.pooler.sharing.readers import (
     FOLLOWERS_PER_PROCESS,
     MOST_READING_ALL,
     READERS,
     ReadingPlan,
     reading_plan,
 )
-from dewledge.core.sharing.table_cache import TableCache, TableDelta
+from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 from dewledge.errors import ProtocolError
 from dewledge.shell.pooling.followed_table import (
     FOLLOWED_SLACK_SECONDS,
--- a/tests/core/pooling/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -4,19 +4,19 @@
 
 import msgspec
 
-from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.events import OperationHeld, OperationNotAdmitted, SessionDenied
-from dewledge.core.pooling.statements import StatementKind, TransactionState
-from dewledge.core.pooling.waiter import Waiter
-from dewledge.core.quota.admission import Application, Decided, Refusal, Wish
-from dewledge.core.quota.token_patience import KeptToken
+from dewledge.core.pooler.events import OperationHeld, OperationNotAdmitted, SessionDenied
+from dewledge.core.pooler.load.policy import LoadPolicy
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.waiter import Waiter
+from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
+from dewledge.core.pooler.rate_limits.token_patience import KeptToken
+from dewledge.core.pooler.sharing.holders import Holding
+from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.core.shared.caller_tokens import token_digest
-from dewledge.core.sharing.holders import Holding
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import ModelGroup, ModelScheduler, PoolerHarness
+from tests.core.pooler.harness import ModelGroup, ModelScheduler, PoolerHarness
 
 NORTH, SOUTH = "north", "south"
 TOKENS = {
--- a/tests/core/pooling/test_client_session.py
+++ b/tests/core/pooler/test_client_session.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from dewledge.core.pooling.events import TransactionEnded
-from dewledge.core.pooling.routes import Consistency, RouteTable
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.events import TransactionEnded
+from dewledge.core.pooler.sessions.routes import Consistency, RouteTable
+from dewledge.core.pooler.statements.statements import (
     MalformedInput,
     Startup,
     Statement,
@@ -13,7 +13,7 @@
     TransactionState,
 )
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness, SessionProbe
+from tests.core.pooler.harness import PoolerHarness, SessionProbe
 
 
 class StartupTest(unittest.TestCase):
--- a/tests/core/pooling/test_coming_back.py
+++ b/tests/core/pooler/test_coming_back.py
@@ -5,8 +5,8 @@
 
 import unittest
 
-from dewledge.core.pooling.slot_window import SlotWindow
-from tests.core.pooling.test_useful_waits import SLOTS, WORK, Asked, Day
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from tests.core.pooler.test_useful_waits import SLOTS, WORK, Asked, Day
 
 USUAL_SHARE = 0.8
 """Of what the slots can serve."""
--- a/tests/core/pooling/test_connection_pool.py
+++ b/tests/core/pooler/test_connection_pool.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.waiter import Denial, Waiter
-from tests.core.pooling.harness import ModelGroup, ModelScheduler
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.waiter import Denial, Waiter
+from tests.core.pooler.harness import ModelGroup, ModelScheduler
 
 
 class PoolCase(unittest.TestCase):
--- a/tests/core/pooling/test_connection_shares.py
+++ b/tests/core/pooler/test_connection_shares.py
@@ -3,8 +3,8 @@
 import unittest
 from unittest.mock import Mock
 
-from dewledge.core.pooling.connection_shares import ConnectionShares
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.connection_shares import ConnectionShares
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
 
 def connections(callers: str) -> list[DatabaseConnection]:
--- a/tests/core/pooling/test_denials.py
+++ b/tests/core/pooler/test_denials.py
@@ -2,9 +2,9 @@
 
 import unittest
 
-from dewledge.core.pooling.denials import Denials
-from dewledge.core.pooling.events import SessionDenied
-from tests.core.pooling.harness import ModelScheduler
+from dewledge.core.pooler.events import SessionDenied
+from dewledge.core.pooler.sessions.denials import Denials
+from tests.core.pooler.harness import ModelScheduler
 
 
 class DenialsTest(unittest.TestCase):
--- a/tests/core/pooling/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.patience import Patience
-from dewledge.core.load.verdict import WaitUntil
-from dewledge.core.pooling.connection_openings import MOST_OPENED_AHEAD
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.events import CallerHeldToShare, PoolingEvent
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.pool_waits import HeldToShare
-from dewledge.core.pooling.slot_window import SlotWindow
-from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter
-from tests.core.pooling.harness import GROUP, ModelGroup, ModelScheduler
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.events import CallerHeldToShare, PoolingEvent
+from dewledge.core.pooler.load.patience import Patience
+from dewledge.core.pooler.load.verdict import WaitUntil
+from dewledge.core.pooler.pool.connection_openings import MOST_OPENED_AHEAD
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.pool_waits import HeldToShare
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
+from tests.core.pooler.harness import GROUP, ModelGroup, ModelScheduler
 
 SLOTS = 3
 CONNECTIONS = 6
--- a/tests/core/pooling/test_freshness.py
+++ b/tests/core/pooler/test_freshness.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from dewledge.core.pooling.freshness import FreshnessHistory
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole, GroupView
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.targets import Proof, ReadNeed, read_floor, read_targets
+from dewledge.core.pooler.databases.freshness import FreshnessHistory
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.targets import Proof, ReadNeed, read_floor, read_targets
 from dewledge.core.shared.positions import LogPosition
-from tests.core.pooling.harness import GROUP, route
+from tests.core.pooler.harness import GROUP, route
 
 
 def record(
--- a/tests/core/pooling/test_proof_seeking.py
+++ b/tests/core/pooler/test_proof_seeking.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import StatementKind
-from tests.core.pooling.harness import PoolerHarness, SessionProbe
-from tests.core.sharing.model_channels import SharingHarness
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import StatementKind
+from tests.core.pooler.harness import PoolerHarness, SessionProbe
+from tests.core.pooler.sharing.model_channels import SharingHarness
 
 
 class ProofSeekingTest(unittest.TestCase):
--- a/tests/core/pooling/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -7,16 +7,16 @@
 import unittest
 
 import msgspec
-
 from dewledge.core.pooling import connection_setup, freshness, statement_run
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.routes import Consistency, Route
-from dewledge.core.pooling.statements import Reply, TransactionState
-from dewledge.core.pooling.targets import Proof, ReadNeed, Target
 from dewledge.core.sharing import channel_session
-from dewledge.core.sharing.channel_session import ChannelSession
-from dewledge.core.sharing.messages import ProvenAge
-from tests.core.pooling.random_day import RandomDay
+
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.sessions.routes import Consistency, Route
+from dewledge.core.pooler.sharing.channel_session import ChannelSession
+from dewledge.core.pooler.sharing.messages import ProvenAge
+from dewledge.core.pooler.statements.statements import Reply, TransactionState
+from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
+from tests.core.pooler.random_day import RandomDay
 
 DAYS = int(os.environ.get("DEWLEDGE_DAYS", "30"))
 SECONDS = 20.0
--- a/tests/core/pooling/test_read_choice.py
+++ b/tests/core/pooler/test_read_choice.py
@@ -3,18 +3,18 @@
 import random
 import unittest
 
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.connection_pool import Waiter
-from dewledge.core.pooling.group_view import GroupView
-from dewledge.core.pooling.read_choice import ReadChoice, report_of
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import StatementKind
-from dewledge.core.pooling.targets import Proof, expected_targets
+from dewledge.core.pooler.databases.group_view import GroupView
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.pool.connection_pool import Waiter
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.read_choice import ReadChoice, report_of
+from dewledge.core.pooler.statements.statements import StatementKind
+from dewledge.core.pooler.statements.targets import Proof, expected_targets
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness
-from tests.core.pooling.test_freshness import record
-from tests.core.sharing.model_channels import SharingHarness
+from tests.core.pooler.harness import PoolerHarness
+from tests.core.pooler.sharing.model_channels import SharingHarness
+from tests.core.pooler.test_freshness import record
 
 LOADED = LoadReport(60, 0, 6, 6, 0, 10)
 FREE = LoadReport(0, 0, 1, 6, 0, 10)
--- a/tests/core/pooling/test_replica_lag.py
+++ b/tests/core/pooler/test_replica_lag.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.pooling.freshness import FreshnessHistory
-from dewledge.core.pooling.replica_lag import TRY_AGAIN_SECONDS, ReplicaLags
+from dewledge.core.pooler.databases.freshness import FreshnessHistory
+from dewledge.core.pooler.databases.replica_lag import TRY_AGAIN_SECONDS, ReplicaLags
 from dewledge.core.shared.positions import LogPosition
 
 NOW = 1000.0
--- a/tests/core/pooling/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -2,23 +2,28 @@
 
 import unittest
 
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.database_silence import (
+from dewledge.core.pooler.databases.database_silence import (
     LONGEST_SECONDS,
     PROBE_SPACING_SECONDS,
     SILENT_AFTER_SECONDS,
     USUAL_FACTOR,
     DatabaseSilence,
 )
-from dewledge.core.pooling.events import DatabaseSilenceJudged
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.slot_window import SlotWindow
-from dewledge.core.pooling.statements import Failure, Reply, StatementKind, TransactionState
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.events import DatabaseSilenceJudged
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.statements.statements import (
+    Failure,
+    Reply,
+    StatementKind,
+    TransactionState,
+)
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import GROUP, ModelGroup, ModelScheduler, PoolerHarness
+from tests.core.pooler.harness import GROUP, ModelGroup, ModelScheduler, PoolerHarness
 
 BUSY = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED, ""))
 READERS = 12
--- a/tests/core/pooling/test_silent_holder.py
+++ b/tests/core/pooler/test_silent_holder.py
@@ -6,15 +6,15 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.pooling.connection_pool import Denial
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import StatementKind
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.pool.connection_pool import Denial
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import StatementKind
 from dewledge.core.shared.retry_budget import RetryBudget
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness, SessionProbe
-from tests.core.pooling.test_connection_pool import PoolCase
+from tests.core.pooler.harness import PoolerHarness, SessionProbe
+from tests.core.pooler.test_connection_pool import PoolCase
 
 NOT_YET = "no answer yet"
 
--- a/tests/core/pooling/test_slot_window.py
+++ b/tests/core/pooler/test_slot_window.py
@@ -2,19 +2,19 @@
 
 import unittest
 
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.slot_window import CUT_SPACING_SECONDS, SlotWindow
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.slot_window import CUT_SPACING_SECONDS, SlotWindow
+from dewledge.core.pooler.pool.waiter import Demand, Waiter
+from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Statement,
     StatementKind,
     TransactionState,
 )
-from dewledge.core.pooling.waiter import Demand, Waiter
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import ModelGroup, ModelScheduler
+from tests.core.pooler.harness import ModelGroup, ModelScheduler
 
 SERVED = Reply(TransactionState.IDLE)
 REFUSED = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED))
--- a/tests/core/pooling/test_statement_run.py
+++ b/tests/core/pooler/test_statement_run.py
@@ -2,13 +2,13 @@
 
 import unittest
 
-from dewledge.core.load.policy import LoadPolicy
-from dewledge.core.pooling.events import PrimaryRefuted
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
+from dewledge.core.pooler.events import PrimaryRefuted
+from dewledge.core.pooler.load.policy import LoadPolicy
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness
+from tests.core.pooler.harness import PoolerHarness
 
 PROMISES = {
     ErrorCode.OVERLOADED,
--- a/tests/core/pooling/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import StatementKind, TransactionState
-from dewledge.core.succession.lead_right import RIGHT_SECONDS, Fencing, LeadRight
-from dewledge.core.succession.messages import Claim
+from dewledge.core.pooler.failover.lead_right import RIGHT_SECONDS, Fencing, LeadRight
+from dewledge.core.pooler.failover.messages import Claim
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import PoolerHarness, SessionProbe
+from tests.core.pooler.harness import PoolerHarness, SessionProbe
 
 
 class UseOfPrimaryTest(unittest.TestCase):
--- a/tests/core/pooling/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -10,14 +10,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.patience import Patience
-from dewledge.core.load.verdict import WaitUntil
-from dewledge.core.pooling.connection_pool import ConnectionPool
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.slot_window import SlotWindow
-from dewledge.core.pooling.statements import Reply, StatementKind, TransactionState
-from dewledge.core.pooling.waiter import Demand, Denial, Waiter
-from tests.core.pooling.harness import ModelGroup, ModelScheduler
+from dewledge.core.pooler.load.patience import Patience
+from dewledge.core.pooler.load.verdict import WaitUntil
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.slot_window import SlotWindow
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
+from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
+from tests.core.pooler.harness import ModelGroup, ModelScheduler
 
 SLOTS = 3
 WORK = 0.05
--- a/tests/explain/test_lost.py
+++ b/tests/explain/test_lost.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from dewledge.cli.main import run
-from dewledge.core.load.verdict import RefusalCause
+from dewledge.core.pooler.load.verdict import RefusalCause
 from dewledge.explain.ended_processes import find_ended
 from dewledge.explain.log_lines import LogRecord, parse_lines, split_processes
 from dewledge.explain.lost import LossKind, LostStatement, find_lost
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from dewledge.core.quota.limits import RateLimit
+from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.errors import ProtocolError
 from dewledge.platform.operator_records import parse_configuration, without_keys
 from tests.platform.test_pooler_process import PoolerCase
--- a/tests/platform/test_log_and_settings.py
+++ b/tests/platform/test_log_and_settings.py
@@ -14,8 +14,8 @@
 import msgspec
 from prometheus_client.parser import text_string_to_metric_families
 
-from dewledge.core.pooling.events import StatementAnswered
-from dewledge.core.quota.limits import QuotaPolicy
+from dewledge.core.pooler.events import StatementAnswered
+from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.errors import InvalidInput
 from dewledge.pooler_settings import check_pooler_settings, load_pooler_settings
 from dewledge.shell.pooling.log_writer import MAX_WAITING_LINES, LogWriter
--- a/tests/platform/test_member_table.py
+++ b/tests/platform/test_member_table.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.sharing.members import Member
 from dewledge.platform.store_client import PlatformStore
 from dewledge.shell.pooling.coordination_rows import TABLE, encode_value, read_member
 from dewledge.shell.pooling.member_table import ASSUMED_MEMBERS, MemberTable
--- a/tests/platform/test_peer_messages.py
+++ b/tests/platform/test_peer_messages.py
@@ -4,8 +4,13 @@
 
 import cbor2
 
-from dewledge.core.quota.messages import QuotaAnswer, QuotaQuestion, TokenGrant, TokenWant
-from dewledge.core.quota.slots import Slot
+from dewledge.core.pooler.rate_limits.messages import (
+    QuotaAnswer,
+    QuotaQuestion,
+    TokenGrant,
+    TokenWant,
+)
+from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.errors import ProtocolError
 from dewledge.shell.pooling.peer_messages import (
     LeaderNotice,
--- a/tests/platform/test_pooler_page.py
+++ b/tests/platform/test_pooler_page.py
@@ -6,13 +6,13 @@
 from pathlib import Path
 
 import msgspec
+from dewledge.core.pooling import events as pooling_events
 from prometheus_client.parser import text_string_to_metric_families
 
 from dewledge.checked_values import descriptions
-from dewledge.core.load.wait_summaries import WaitsCounted
-from dewledge.core.pooling import events as pooling_events
-from dewledge.core.quota.grantor import GrantorChanged
-from dewledge.core.succession.messages import PhaseChanged
+from dewledge.core.pooler.failover.messages import PhaseChanged
+from dewledge.core.pooler.load.wait_summaries import WaitsCounted
+from dewledge.core.pooler.rate_limits.grantor import GrantorChanged
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings, QuotaSettings
 from dewledge.shell.pooling.event_log import event_name
 from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
--- a/tests/platform/test_pooler_process.py
+++ b/tests/platform/test_pooler_process.py
@@ -9,7 +9,7 @@
 import unittest
 import urllib.request
 
-from dewledge.core.pooling.read_choice import ReadChoice
+from dewledge.core.pooler.statements.read_choice import ReadChoice
 from dewledge.platform.adapter import build_adapter
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings
 from dewledge.shell.pooling.pooler_process import PoolerProcess
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -7,14 +7,13 @@
 from unittest import mock
 
 from dewledge.core.load import load_teller
-from dewledge.core.load.report import LoadReport
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.read_choice import ReadChoice
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.pooling.statements import Statement, StatementKind
-from dewledge.core.sharing.messages import (
+
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.messages import (
     ChannelClosed,
     ChannelEnded,
     ChannelOpened,
@@ -28,6 +27,8 @@
     decode,
     encode,
 )
+from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.statements import Statement, StatementKind
 from dewledge.platform.wire_codec import WireDatabaseCodec
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.frames import FrameReader, frame_of
--- a/tests/platform/test_stall_watch.py
+++ b/tests/platform/test_stall_watch.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.pooling.events import ProcessStoodStill
+from dewledge.core.pooler.events import ProcessStoodStill
 from dewledge.shell.pooling.stall_watch import STALL_SECONDS, StallWatch
 
 
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.coordination_store import HistoryLost, StoreRow, StoreWrite
+from dewledge.core.pooler.coordination_store import HistoryLost, StoreRow, StoreWrite
 from dewledge.errors import (
     ProtocolError,
     StoreConditionFailed,
--- a/tests/platform/test_table_publisher.py
+++ b/tests/platform/test_table_publisher.py
@@ -3,9 +3,9 @@
 import unittest
 from typing import Any
 
-from dewledge.core.coordination_store import StoreRow
-from dewledge.core.sharing.messages import FollowTables, TablePosition, TablesAnswered
-from dewledge.core.sharing.table_cache import TableDelta
+from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.sharing.messages import FollowTables, TablePosition, TablesAnswered
+from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.shell.pooling.followed_table import FollowedTable
 from dewledge.shell.pooling.table_follower import (
     ANSWER_GAP_SECONDS,
@@ -14,7 +14,7 @@
     TableFollower,
 )
 from dewledge.shell.pooling.table_publisher import HOLD_SECONDS, TablePublisher
-from tests.core.pooling.harness import ModelScheduler
+from tests.core.pooler.harness import ModelScheduler
 
 
 class Link:
--- a/tests/platform/test_table_reading.py
+++ b/tests/platform/test_table_reading.py
@@ -4,9 +4,9 @@
 from concurrent.futures import Executor
 from typing import Any
 
-from dewledge.core.sharing.members import Member
+from dewledge.core.pooler.sharing.members import Member
 from dewledge.shell.pooling.table_reading import START_SECONDS, TableReading
-from tests.core.pooling.harness import ModelScheduler
+from tests.core.pooler.harness import ModelScheduler
 
 
 class Watchers:
--- a/tests/platform/test_wire_codec.py
+++ b/tests/platform/test_wire_codec.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.statements.statements import (
     Failure,
     MalformedInput,
     Reply,
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.load.refusal_pace import ANSWERS_PER_SECOND, PAUSE_SECONDS
-from dewledge.core.pooling.events import PoolingEvent, SessionDenied
-from dewledge.core.pooling.services import PoolServices
+from dewledge.core.pooler.events import PoolingEvent, SessionDenied
+from dewledge.core.pooler.load.refusal_pace import ANSWERS_PER_SECOND, PAUSE_SECONDS
+from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.platform.wire_codec import WireClientCodec
 from dewledge.shell.event_loop import EventLoop
 from dewledge.shell.pooling.client_listener import ClientListener
 from dewledge.shell.sockets import listen_tcp, parse_address
-from tests.core.pooling.harness import PoolerHarness
+from tests.core.pooler.harness import PoolerHarness
 
 KEY, CALLER, DATABASE = "k3y-of-north", "north", "read_own_writes"
 LIMIT_SECONDS = 10.0
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -8,11 +8,10 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.load.holder_health import HolderState
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.events import HolderJudged, PoolingEvent
-from dewledge.core.pooling.statements import Reply, Statement, StatementKind, TransactionState
-from dewledge.core.sharing.messages import (
+from dewledge.core.pooler.events import HolderJudged, PoolingEvent
+from dewledge.core.pooler.load.holder_health import HolderState
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sharing.messages import (
     ChannelStatement,
     Leaving,
     PeerLinkMessage,
@@ -20,6 +19,12 @@
     Pong,
     channel_reply,
 )
+from dewledge.core.pooler.statements.statements import (
+    Reply,
+    Statement,
+    StatementKind,
+    TransactionState,
+)
 from dewledge.errors import ErrorCode
 from dewledge.shell.event_loop import READABLE, EventLoop
 from dewledge.shell.pooling.channel_client import ChannelClient
--- a/tests/shell/test_own_way.py
+++ b/tests/shell/test_own_way.py
@@ -6,10 +6,10 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
 from dewledge.shell.pooling.own_way import FailedCallback, OpenedCallback, OwnWay
-from tests.core.pooling.harness import ModelScheduler
+from tests.core.pooler.harness import ModelScheduler
 
 
 class Transport:
--- a/tests/shell/test_table_follower.py
+++ b/tests/shell/test_table_follower.py
@@ -3,8 +3,13 @@
 import time
 import unittest
 
-from dewledge.core.sharing.messages import FollowTables, PeerLinkMessage, TableNews, TablesAnswered
-from dewledge.core.sharing.table_cache import TableDelta
+from dewledge.core.pooler.sharing.messages import (
+    FollowTables,
+    PeerLinkMessage,
+    TableNews,
+    TablesAnswered,
+)
+from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.shell.event_loop import READABLE, EventLoop
 from dewledge.shell.pooling.followed_table import FollowedTable
 from dewledge.shell.pooling.framed_stream import FramedStream
--- a/tests/unfenced/day.py
+++ b/tests/unfenced/day.py
@@ -3,12 +3,12 @@
 import random
 from dataclasses import dataclass
 
-from dewledge.core.pooling.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooling.routes import Consistency
-from dewledge.core.pooling.statements import StatementKind
-from dewledge.core.succession.messages import Phase
-from tests.core.pooling.harness import ModelDatabase, ModelScheduler, SessionProbe
-from tests.core.pooling.random_day import STEP_SECONDS, RandomClient, RandomDay
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
+from dewledge.core.pooler.failover.messages import Phase
+from dewledge.core.pooler.sessions.routes import Consistency
+from dewledge.core.pooler.statements.statements import StatementKind
+from tests.core.pooler.harness import ModelDatabase, ModelScheduler, SessionProbe
+from tests.core.pooler.random_day import STEP_SECONDS, RandomClient, RandomDay
 from tests.unfenced.model_databases import UnfencedGroup
 from tests.unfenced.model_network import PLATFORM, STORE, ModelNetwork
 from tests.unfenced.model_process import ModelProcess
--- a/tests/unfenced/model_databases.py
+++ b/tests/unfenced/model_databases.py
@@ -2,18 +2,18 @@
 
 from collections.abc import Callable
 
-from dewledge.core.pooling.database_connection import DatabaseConnection
-from dewledge.core.pooling.group_view import DatabaseRole
-from dewledge.core.pooling.statements import (
+from dewledge.core.pooler.databases.group_view import DatabaseRole
+from dewledge.core.pooler.failover.messages import DatabaseStatus
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.statements.statements import (
     Reply,
     Statement,
     StatementKind,
     TransactionState,
 )
 from dewledge.core.shared.positions import LogPosition
-from dewledge.core.succession.messages import DatabaseStatus
 from dewledge.errors import ErrorCode
-from tests.core.pooling.harness import ModelDatabase, ModelGroup, ModelTransport
+from tests.core.pooler.harness import ModelDatabase, ModelGroup, ModelTransport
 from tests.unfenced.model_network import ModelNetwork, ProcessLoop
 
 PROMOTE_SECONDS = 0.3
--- a/tests/unfenced/model_network.py
+++ b/tests/unfenced/model_network.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Callable, Iterable
 
-from tests.core.pooling.harness import ModelScheduler, Timer
+from tests.core.pooler.harness import ModelScheduler, Timer
 
 STORE = "store"
 PLATFORM = "platform"
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -7,21 +7,21 @@
 
 import msgspec
 
-from dewledge.core.coordination_store import StoreRow, StoreWrite
-from dewledge.core.pooling.group import Group
-from dewledge.core.pooling.group_view import DatabaseRecord
-from dewledge.core.pooling.place import Place
-from dewledge.core.pooling.routes import Consistency, GroupPolicy, RouteTable
-from dewledge.core.pooling.services import PoolServices
-from dewledge.core.sharing.members import Member
-from dewledge.core.succession.lead_right import Fencing, LeadRights
-from dewledge.core.succession.messages import PhaseChanged, RegisteredProcesses
+from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.databases.group_view import DatabaseRecord
+from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
+from dewledge.core.pooler.failover.messages import PhaseChanged, RegisteredProcesses
+from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, RouteTable
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreError
 from dewledge.shell.pooling.claim_keeper import ClaimKeeper
 from dewledge.shell.pooling.coordination_rows import MEMBER_PREFIX, TABLE, encode_value, read_member
 from dewledge.shell.pooling.peer_messages import LeaderNotice, PeerMessage, WitnessAnswer
 from dewledge.shell.pooling.succession_driver import SuccessionDriver
-from tests.core.pooling.harness import GROUP, route
+from tests.core.pooler.harness import GROUP, route
 from tests.unfenced.model_databases import ProcessOpener, UnfencedGroup, parse_status
 from tests.unfenced.model_network import STORE, ModelNetwork, ProcessLoop
 from tests.unfenced.model_store import ModelPromotions, ModelStore, StoreClient
--- a/tests/unfenced/model_store.py
+++ b/tests/unfenced/model_store.py
@@ -3,9 +3,9 @@
 import random
 from collections.abc import Callable
 
-from dewledge.core.coordination_store import StoreRow, StoreWrite, TableRows
+from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite, TableRows
 from dewledge.errors import StoreConditionFailed, StoreError, StoreOutcomeUnknown
-from tests.core.pooling.harness import ModelScheduler
+from tests.core.pooler.harness import ModelScheduler
 from tests.unfenced.model_network import PLATFORM, STORE, ModelNetwork
 
 
--- a/tests/unfenced/test_guards.py
+++ b/tests/unfenced/test_guards.py
@@ -5,9 +5,9 @@
 from typing import Any
 from unittest import mock
 
-from dewledge.core.pooling.lead_use import LeadUse
-from dewledge.core.succession.claim_recall import ClaimRecall
-from dewledge.core.succession.lead_right import LeadRight
+from dewledge.core.pooler.failover.claim_recall import ClaimRecall
+from dewledge.core.pooler.failover.lead_right import LeadRight
+from dewledge.core.pooler.statements.lead_use import LeadUse
 from tests.unfenced.day import UnfencedDay
 
 SECONDS = 30.0
