--- a/src/dewledge/cli/demo_command.py
+++ b/src/dewledge/cli/demo_command.py
@@ -64,7 +64,7 @@
 def _log_to(file: Path | None) -> None:
     from loguru import logger
 
-    from dewledge.shell.log import configure_log
+    from dewledge.shell.shared.log import configure_log
 
     if file is None:
         logger.remove()
--- a/src/dewledge/cli/pooler_start.py
+++ b/src/dewledge/cli/pooler_start.py
@@ -14,11 +14,11 @@
 
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 from dewledge.pooler_settings import PoolerSettings, load_pooler_settings
-from dewledge.shell.sockets import listen_tcp
+from dewledge.shell.shared.sockets import listen_tcp
 
 if TYPE_CHECKING:
-    from dewledge.shell.pooling.log_writer import LogWriter
-    from dewledge.shell.pooling.pooler_process import PoolerProcess
+    from dewledge.shell.pooler.observing.log_writer import LogWriter
+    from dewledge.shell.pooler.pooler_process import PoolerProcess
 
 EXIT_DONE = 0
 SETTINGS_VARIABLE = "DEWLEDGE_SETTINGS"
@@ -30,8 +30,8 @@
 ) -> tuple["LogWriter", "PoolerProcess"]:
     """Imports what is left, while clients can connect. Raises OSError if an address is taken."""
     from dewledge.platform.adapter import build_adapter
-    from dewledge.shell.pooling.event_log import send_log_to
-    from dewledge.shell.pooling.pooler_process import PoolerProcess
+    from dewledge.shell.pooler.observing.event_log import send_log_to
+    from dewledge.shell.pooler.pooler_process import PoolerProcess
 
     log = send_log_to(settings.log_level)
     return log, PoolerProcess(settings, build_adapter(settings), config, listener)
--- a/src/dewledge/cli/proxy_command.py
+++ b/src/dewledge/cli/proxy_command.py
@@ -76,8 +76,8 @@
 
 
 def _serve(settings: ProxySettings) -> None:
-    from dewledge.shell.log import configure_log
-    from dewledge.shell.proxy_server import ProxyServer
+    from dewledge.shell.proxy.proxy_server import ProxyServer
+    from dewledge.shell.shared.log import configure_log
 
     configure_log(settings.log_level)
     try:
--- a/src/dewledge/embedded.py
+++ b/src/dewledge/embedded.py
@@ -20,7 +20,7 @@
 from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import DewledgeError, ErrorCode
 from dewledge.settings import ProxySettings, TimingSettings
-from dewledge.shell.proxy_server import ProxyServer
+from dewledge.shell.proxy.proxy_server import ProxyServer
 from dewledge.standin.deployment_resources import documents_of
 from dewledge.standin.deployments import Deployment
 from dewledge.standin.group_client import GroupClient
--- a/src/dewledge/platform/adapter.py
+++ b/src/dewledge/platform/adapter.py
@@ -9,7 +9,7 @@
 from dewledge.platform.store_client import PlatformDuties, PlatformStore
 from dewledge.platform.wire_codec import WireClientCodec, WireDatabaseCodec
 from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.pooling.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 
 CONFIGURATION_TABLE = "op"
 
--- a/src/dewledge/shell/cost_callers.py
+++ b/src/dewledge/shell/cost_callers.py
@@ -5,8 +5,8 @@
 import socket
 from collections.abc import Callable
 
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.sockets import parse_address
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import parse_address
 
 RECEIVE_BYTES = 65536
 SPARE_FILES = 256
--- a/src/dewledge/shell/cost_echo.py
+++ b/src/dewledge/shell/cost_echo.py
@@ -2,8 +2,8 @@
 
 import socket
 
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.sockets import listen_tcp
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import listen_tcp
 
 RECEIVE_BYTES = 64 * 1024
 
--- a/src/dewledge/shell/cost_nodes.py
+++ b/src/dewledge/shell/cost_nodes.py
@@ -33,9 +33,9 @@
 from dewledge.settings import ProxySettings
 from dewledge.shell.cost_callers import GROUP
 from dewledge.shell.cost_echo import EchoServer
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.log import configure_log
-from dewledge.shell.proxy_server import ProxyServer
+from dewledge.shell.proxy.proxy_server import ProxyServer
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.log import configure_log
 from dewledge.standin.platform_server import PlatformServer
 from dewledge.standin.platform_settings import PlatformSettings
 
--- a/src/dewledge/shell/pooling/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -18,11 +18,11 @@
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ProtocolError
 from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.channel_client import ChannelClient
-from dewledge.shell.pooling.database_opener import DirectOpener, SharingOpener
-from dewledge.shell.pooling.member_table import ASSUMED_MEMBERS, MemberTable
-from dewledge.shell.pooling.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
+from dewledge.shell.pooler.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
+from dewledge.shell.shared.event_loop import EventLoop
 
 DRAIN_MARGIN_SECONDS = 2.0
 
--- /dev/null
+++ b/src/dewledge/shell/pooler/failover/__init__.py
@@ -0,0 +1,1 @@
+"""What drives `core/pooler/failover` in a process: calls, claims, indirect probes."""
--- a/src/dewledge/shell/pooling/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -11,17 +11,17 @@
 from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
 from dewledge.core.pooler.failover.vouching import VouchAnswer, Vouching, VouchQuestion
 from dewledge.errors import StoreError
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.coordination_rows import (
+from dewledge.shell.pooler.links.peer_messages import ClaimAnswer, ClaimNotice
+from dewledge.shell.pooler.links.peer_socket import PeerSocket
+from dewledge.shell.pooler.tables.coordination_rows import (
     KNOWN_PREFIX,
     TABLE,
     KnownValue,
     encode_value,
     read_known,
 )
-from dewledge.shell.pooling.member_table import MemberTable
-from dewledge.shell.pooling.peer_messages import ClaimAnswer, ClaimNotice
-from dewledge.shell.pooling.peer_socket import PeerSocket
+from dewledge.shell.pooler.tables.member_table import MemberTable
+from dewledge.shell.shared.event_loop import EventLoop
 
 TICK_SECONDS = 0.1
 TELL_STORE_AFTER_SECONDS = 0.25
--- a/src/dewledge/shell/pooling/succession_calls.py
+++ b/src/dewledge/shell/pooler/failover/succession_calls.py
@@ -19,8 +19,13 @@
     WriteClaim,
 )
 from dewledge.errors import StoreError
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.coordination_rows import CLAIM_PREFIX, TABLE, ClaimValue, encode_value
+from dewledge.shell.pooler.tables.coordination_rows import (
+    CLAIM_PREFIX,
+    TABLE,
+    ClaimValue,
+    encode_value,
+)
+from dewledge.shell.shared.event_loop import EventLoop
 
 
 class SuccessionCalls:
--- a/src/dewledge/shell/pooling/succession_driver.py
+++ b/src/dewledge/shell/pooler/failover/succession_driver.py
@@ -40,11 +40,11 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.waiter import Denial, Waiter
 from dewledge.core.pooler.statements.statements import Reply, StatementKind
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.coordination_rows import CLAIM_PREFIX, read_claim
-from dewledge.shell.pooling.peer_messages import LeaderNotice, WitnessAnswer
-from dewledge.shell.pooling.succession_calls import SuccessionCalls
-from dewledge.shell.pooling.witnesses import Witnesses
+from dewledge.shell.pooler.failover.succession_calls import SuccessionCalls
+from dewledge.shell.pooler.failover.witnesses import Witnesses
+from dewledge.shell.pooler.links.peer_messages import LeaderNotice, WitnessAnswer
+from dewledge.shell.pooler.tables.coordination_rows import CLAIM_PREFIX, read_claim
+from dewledge.shell.shared.event_loop import EventLoop
 
 TICK_SECONDS = 0.05
 STEADY_TICKS = 20
--- a/src/dewledge/shell/pooling/witnesses.py
+++ b/src/dewledge/shell/pooler/failover/witnesses.py
@@ -5,10 +5,10 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.reach_limit import ReachLimit
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.byte_stream import Connecting
-from dewledge.shell.pooling.peer_messages import LeaderNotice, WitnessAnswer, WitnessQuestion
-from dewledge.shell.pooling.peer_socket import PeerSocket
+from dewledge.shell.pooler.links.byte_stream import Connecting
+from dewledge.shell.pooler.links.peer_messages import LeaderNotice, WitnessAnswer, WitnessQuestion
+from dewledge.shell.pooler.links.peer_socket import PeerSocket
+from dewledge.shell.shared.event_loop import EventLoop
 
 
 class Witnesses:
--- /dev/null
+++ b/src/dewledge/shell/pooler/links/__init__.py
@@ -0,0 +1,1 @@
+"""Streams and datagrams: clients, databases, and other processes of the pooler."""
--- a/src/dewledge/shell/pooling/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -5,8 +5,8 @@
 import socket
 from collections.abc import Callable
 
-from dewledge.shell.event_loop import READABLE, WRITABLE, EventLoop, Timer
-from dewledge.shell.sockets import family_of, parse_address
+from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop, Timer
+from dewledge.shell.shared.sockets import family_of, parse_address
 
 READ_BYTES = 64 * 1024
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
--- a/src/dewledge/shell/pooling/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -20,9 +20,9 @@
 from dewledge.core.pooler.statements.statements import Statement
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.outgoing_link import OutgoingLink
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.shared.event_loop import EventLoop
 
 OpenedCallback = Callable[[DatabaseConnection], None]
 ProofCallback = Callable[[str, float, LogPosition], None]
--- a/src/dewledge/shell/pooling/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -25,9 +25,9 @@
     channel_reply,
 )
 from dewledge.core.pooler.statements.statements import Reply
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.pooling.framed_stream import FramedStream
-from dewledge.shell.sockets import listen_tcp
+from dewledge.shell.pooler.links.framed_stream import FramedStream
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import listen_tcp
 
 ACCEPT_BATCH = 32
 MAX_CHANNELS = 2048
--- a/src/dewledge/shell/pooling/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -13,9 +13,9 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.statements.statements import Failure, Reply
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.pooling.byte_stream import ByteStream
-from dewledge.shell.sockets import bound_address
+from dewledge.shell.pooler.links.byte_stream import ByteStream
+from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
+from dewledge.shell.shared.sockets import bound_address
 
 ACCEPT_BATCH = 64
 
--- a/src/dewledge/shell/pooling/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -15,10 +15,10 @@
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode, ProtocolError
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.byte_stream import ByteStream, Connecting
-from dewledge.shell.pooling.channel_client import ChannelClient
-from dewledge.shell.pooling.own_way import OwnWay
+from dewledge.shell.pooler.links.byte_stream import ByteStream, Connecting
+from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.own_way import OwnWay
+from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_LIMIT_SECONDS = 0.6
 STARTUP_LIMIT_SECONDS = 1.5
--- a/src/dewledge/shell/pooling/framed_stream.py
+++ b/src/dewledge/shell/pooler/links/framed_stream.py
@@ -7,9 +7,9 @@
 
 from dewledge.core.pooler.sharing.messages import PeerLinkMessage, decode, encode
 from dewledge.errors import ProtocolError
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.frames import FrameReader, frame_of
-from dewledge.shell.pooling.byte_stream import ByteStream
+from dewledge.shell.pooler.links.byte_stream import ByteStream
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.frames import FrameReader, frame_of
 
 
 class FramedStream:
--- a/src/dewledge/shell/pooling/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -8,9 +8,9 @@
 
 from dewledge.core.pooler.load.holder_health import HolderHealth, HolderRules, HolderState
 from dewledge.core.pooler.sharing.messages import Leaving, LinkOpened, PeerLinkMessage, Ping, Pong
-from dewledge.shell.event_loop import EventLoop, Timer
-from dewledge.shell.pooling.byte_stream import Connecting
-from dewledge.shell.pooling.framed_stream import FramedStream
+from dewledge.shell.pooler.links.byte_stream import Connecting
+from dewledge.shell.pooler.links.framed_stream import FramedStream
+from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 CONNECT_LIMIT_SECONDS = 0.4
 
--- a/src/dewledge/shell/pooling/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -7,8 +7,8 @@
 from dewledge.core.pooler.events import HolderJudged, PoolingEvent
 from dewledge.core.pooler.load.holder_health import WITHOUT_PROBES, HolderRules, HolderState
 from dewledge.core.pooler.sharing.messages import PeerLinkMessage
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.outgoing_link import OutgoingLink
+from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
+from dewledge.shell.shared.event_loop import EventLoop
 
 MILLISECONDS = 1000
 
--- a/src/dewledge/shell/pooling/own_way.py
+++ b/src/dewledge/shell/pooler/links/own_way.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooler.load.holder_health import HolderHealth, HolderRules, HolderState
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import EventLoop
+from dewledge.shell.shared.event_loop import EventLoop
 
 OWN_WAY_RULES = HolderRules(least_patience=0.2, longest_patience=0.4)
 """A database answers a startup later than a process answers a ping: some round trips and work."""
--- a/src/dewledge/shell/pooling/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from dewledge.errors import ProtocolError
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.pooling.peer_messages import MAX_BYTES, PeerMessage, decode, encode
-from dewledge.shell.sockets import bind_udp, format_address, parse_address
+from dewledge.shell.pooler.links.peer_messages import MAX_BYTES, PeerMessage, decode, encode
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import bind_udp, format_address, parse_address
 
 READ_BATCH = 64
 
--- /dev/null
+++ b/src/dewledge/shell/pooler/observing/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines and metrics of a pooler process."""
--- a/src/dewledge/shell/pooling/event_log.py
+++ b/src/dewledge/shell/pooler/observing/event_log.py
@@ -7,9 +7,9 @@
 from loguru import logger
 
 from dewledge.core.pooler.events import StatementAnswered
-from dewledge.shell.log import format_line
-from dewledge.shell.pooling.log_writer import LogWriter
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.log_writer import LogWriter
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.shared.log import format_line
 
 if TYPE_CHECKING:
     from loguru import Message
--- a/src/dewledge/shell/pooling/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -5,12 +5,12 @@
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.shell.pooling.channel_server import ChannelServer
-from dewledge.shell.pooling.client_listener import ClientListener
-from dewledge.shell.pooling.member_table import MemberTable
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
-from dewledge.shell.pooling.wait_gauges import add_wait_gauges
+from dewledge.shell.pooler.links.channel_server import ChannelServer
+from dewledge.shell.pooler.links.client_listener import ClientListener
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.wait_gauges import add_wait_gauges
+from dewledge.shell.pooler.tables.member_table import MemberTable
 
 
 def add_process_gauges(
--- a/src/dewledge/shell/pooling/wait_gauges.py
+++ b/src/dewledge/shell/pooler/observing/wait_gauges.py
@@ -5,7 +5,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.load.wait_counts import WaitCounts
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
 
 _COUNTS: tuple[tuple[str, str, Callable[[WaitCounts], int]], ...] = (
     ("waits_expected", "Waits that were expected on arrival.", lambda counts: counts.served),
--- a/src/dewledge/shell/pooling/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -13,35 +13,35 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.http_messages import Exchange, HttpLimits, HttpResponse
-from dewledge.shell.http_server import HttpServer
-from dewledge.shell.pooling.channel_client import ChannelClient
-from dewledge.shell.pooling.channel_server import ChannelServer
-from dewledge.shell.pooling.claim_keeper import ClaimKeeper
-from dewledge.shell.pooling.client_listener import ClientListener
-from dewledge.shell.pooling.coordination_rows import TABLE
-from dewledge.shell.pooling.directory import Directory
-from dewledge.shell.pooling.event_log import EventLog
-from dewledge.shell.pooling.member_table import MemberTable
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
-from dewledge.shell.pooling.peer_socket import PeerSocket
-from dewledge.shell.pooling.platform_adapter import PlatformAdapter
-from dewledge.shell.pooling.pooler_metrics import CONTENT_TYPE as METRICS_TYPE
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
-from dewledge.shell.pooling.process_gauges import add_process_gauges
-from dewledge.shell.pooling.quota_driver import QuotaDriver
-from dewledge.shell.pooling.settings_file import SettingsFile
-from dewledge.shell.pooling.stall_watch import StallWatch
-from dewledge.shell.pooling.succession_driver import SuccessionDriver
-from dewledge.shell.pooling.table_reading import (
+from dewledge.shell.pooler.directory import Directory
+from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.succession_driver import SuccessionDriver
+from dewledge.shell.pooler.failover.witnesses import Witnesses
+from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.channel_server import ChannelServer
+from dewledge.shell.pooler.links.client_listener import ClientListener
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.links.peer_socket import PeerSocket
+from dewledge.shell.pooler.observing.event_log import EventLog
+from dewledge.shell.pooler.observing.pooler_metrics import CONTENT_TYPE as METRICS_TYPE
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.process_gauges import add_process_gauges
+from dewledge.shell.pooler.observing.stall_watch import StallWatch
+from dewledge.shell.pooler.observing.wait_teller import WaitTeller
+from dewledge.shell.pooler.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.quota_driver import QuotaDriver
+from dewledge.shell.pooler.settings_file import SettingsFile
+from dewledge.shell.pooler.tables.coordination_rows import TABLE
+from dewledge.shell.pooler.tables.member_table import MemberTable
+from dewledge.shell.pooler.tables.table_reading import (
     RIGHT_WAIT_SECONDS,
     URGENT_WAIT_SECONDS,
     TableReading,
 )
-from dewledge.shell.pooling.wait_teller import WaitTeller
-from dewledge.shell.pooling.witnesses import Witnesses
-from dewledge.shell.sockets import listen_tcp
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
+from dewledge.shell.shared.http_server import HttpServer
+from dewledge.shell.shared.sockets import listen_tcp
 
 SWEEP_SECONDS = 0.25
 TAKE_SHARE = 0.55
--- a/src/dewledge/shell/pooling/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -5,10 +5,10 @@
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.event_log import EventLog
-from dewledge.shell.pooling.member_table import MemberTable
-from dewledge.shell.pooling.peer_socket import PeerSocket
+from dewledge.shell.pooler.links.peer_socket import PeerSocket
+from dewledge.shell.pooler.observing.event_log import EventLog
+from dewledge.shell.pooler.tables.member_table import MemberTable
+from dewledge.shell.shared.event_loop import EventLoop
 
 
 class QuotaDriver:
--- /dev/null
+++ b/src/dewledge/shell/pooler/tables/__init__.py
@@ -0,0 +1,1 @@
+"""How a process reads, follows and publishes the tables of the platform store."""
--- a/src/dewledge/shell/pooling/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.coordination_store import CoordinationStore, StoreRow, StoreWrite
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreConditionFailed, StoreError, StoreOutcomeUnknown
-from dewledge.shell.pooling.coordination_rows import (
+from dewledge.shell.pooler.tables.coordination_rows import (
     MEMBER_PREFIX,
     TABLE,
     encode_value,
--- a/src/dewledge/shell/pooling/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -21,10 +21,10 @@
     TablesAnswered,
 )
 from dewledge.errors import ProtocolError
-from dewledge.shell.event_loop import EventLoop, Timer
-from dewledge.shell.pooling.followed_table import FollowedTable
-from dewledge.shell.pooling.outgoing_link import OutgoingLink
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.tables.followed_table import FollowedTable
+from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 ANSWER_LIMIT_SECONDS = 1.1
 """A source holds a question for less; a silent one is given up after this."""
--- a/src/dewledge/shell/pooling/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from dewledge.core.pooler.sharing.messages import FollowTables, TableNews, TablesAnswered
-from dewledge.shell.event_loop import EventLoop, Timer
-from dewledge.shell.pooling.channel_server import IncomingLink
-from dewledge.shell.pooling.followed_table import FollowedTable
+from dewledge.shell.pooler.links.channel_server import IncomingLink
+from dewledge.shell.pooler.tables.followed_table import FollowedTable
+from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 HOLD_SECONDS = 0.9
 """A question is answered after this at the latest, with nothing new."""
--- a/src/dewledge/shell/pooling/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -10,15 +10,15 @@
 from dewledge.core.pooler.sharing.readers import MOST_READING_ALL, ReadingPlan, reading_plan
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.channel_server import IncomingLink
-from dewledge.shell.pooling.followed_table import FollowedTable, RowsCallback
-from dewledge.shell.pooling.member_table import MemberTable
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
-from dewledge.shell.pooling.platform_adapter import PlatformAdapter
-from dewledge.shell.pooling.table_follower import TableFollower
-from dewledge.shell.pooling.table_publisher import TablePublisher
-from dewledge.shell.pooling.table_watcher import TableWatcher
+from dewledge.shell.pooler.links.channel_server import IncomingLink
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.tables.followed_table import FollowedTable, RowsCallback
+from dewledge.shell.pooler.tables.member_table import MemberTable
+from dewledge.shell.pooler.tables.table_follower import TableFollower
+from dewledge.shell.pooler.tables.table_publisher import TablePublisher
+from dewledge.shell.pooler.tables.table_watcher import TableWatcher
+from dewledge.shell.shared.event_loop import EventLoop
 
 LONGEST_WAIT_SECONDS = 2.0
 WAIT_SHARE_OF_BOUND = 0.4
--- a/src/dewledge/shell/configuration_handlers.py
+++ b/src/dewledge/shell/proxy/configuration_handlers.py
@@ -21,11 +21,11 @@
     ProposedChange,
 )
 from dewledge.errors import ErrorCode, Finding, InvalidInput
-from dewledge.shell.http_authentication import authenticate_operator
-from dewledge.shell.http_messages import Exchange, FindingBody, finding_bodies, json_response
-from dewledge.shell.http_status import OK, status_of
-from dewledge.shell.proxy_services import ProxyServices
-from dewledge.shell.request_bodies import ChangeBody, KeyBody, LabelBody, read_body
+from dewledge.shell.proxy.http_authentication import authenticate_operator
+from dewledge.shell.proxy.http_status import OK, status_of
+from dewledge.shell.proxy.proxy_services import ProxyServices
+from dewledge.shell.proxy.request_bodies import ChangeBody, KeyBody, LabelBody, read_body
+from dewledge.shell.shared.http_messages import Exchange, FindingBody, finding_bodies, json_response
 
 RESOURCE_FIELDS = frozenset({"kind", "name", "selector"})
 
--- a/src/dewledge/shell/core_settings.py
+++ b/src/dewledge/shell/proxy/core_settings.py
@@ -9,8 +9,8 @@
 from dewledge.core.proxy.membership.isolation import IsolationSettings
 from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.settings import ProxySettings
-from dewledge.shell.http_messages import HttpLimits
-from dewledge.shell.proxy_services import DeadlineBounds
+from dewledge.shell.proxy.proxy_services import DeadlineBounds
+from dewledge.shell.shared.http_messages import HttpLimits
 
 
 def core_settings(settings: ProxySettings) -> ProxyCoreSettings:
--- a/src/dewledge/shell/database_workers.py
+++ b/src/dewledge/shell/proxy/database_workers.py
@@ -15,7 +15,7 @@
 from dewledge.core.proxy.jobs import Job, JobNotRun, JobResult, JobUnknown, StatusReading
 from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver
 from dewledge.errors import ConnectRefused, DewledgeError, ErrorCode
-from dewledge.shell.event_loop import EventLoop
+from dewledge.shell.shared.event_loop import EventLoop
 
 JOB_THREADS = 64
 """At most so many calls to one database at once; the gateway's slots keep it far lower."""
--- a/src/dewledge/shell/datagrams.py
+++ b/src/dewledge/shell/proxy/datagrams.py
@@ -3,8 +3,8 @@
 import contextlib
 from collections.abc import Callable
 
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.sockets import bind_udp, format_address, parse_address
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import bind_udp, format_address, parse_address
 
 RECEIVE_BYTES = 64 * 1024
 RECEIVE_BATCH = 64
--- a/src/dewledge/shell/http_authentication.py
+++ b/src/dewledge/shell/proxy/http_authentication.py
@@ -1,9 +1,9 @@
 """Who sends a request: a bearer token, of which only the SHA-256 digest is known here."""
 
 from dewledge.errors import ErrorCode
-from dewledge.shell.http_messages import Exchange, refusal
-from dewledge.shell.http_status import UNAVAILABLE, status_of_refusal
-from dewledge.shell.proxy_services import ProxyServices
+from dewledge.shell.proxy.http_status import UNAVAILABLE, status_of_refusal
+from dewledge.shell.proxy.proxy_services import ProxyServices
+from dewledge.shell.shared.http_messages import Exchange, refusal
 
 SCHEME = "bearer"
 CHALLENGE = (("WWW-Authenticate", "Bearer"),)
--- a/src/dewledge/shell/http_edge.py
+++ b/src/dewledge/shell/proxy/http_edge.py
@@ -6,12 +6,12 @@
 from loguru import logger
 
 from dewledge.errors import ErrorCode, InvalidInput
-from dewledge.shell.configuration_handlers import ConfigurationHandlers
-from dewledge.shell.http_messages import Exchange, internal_fault, refusal
-from dewledge.shell.http_status import status_of_refusal
-from dewledge.shell.proxy_services import ProxyServices
-from dewledge.shell.statement_handlers import StatementHandlers
-from dewledge.shell.status_handlers import StatusHandlers
+from dewledge.shell.proxy.configuration_handlers import ConfigurationHandlers
+from dewledge.shell.proxy.http_status import status_of_refusal
+from dewledge.shell.proxy.proxy_services import ProxyServices
+from dewledge.shell.proxy.statement_handlers import StatementHandlers
+from dewledge.shell.proxy.status_handlers import StatusHandlers
+from dewledge.shell.shared.http_messages import Exchange, internal_fault, refusal
 
 CHANGE_PREFIX = "/v1/changes/"
 
--- a/src/dewledge/shell/outbound_peer.py
+++ b/src/dewledge/shell/proxy/outbound_peer.py
@@ -24,9 +24,9 @@
     StatementRequest,
     StatementUnknown,
 )
-from dewledge.shell.event_loop import WRITABLE, EventLoop, Timer
-from dewledge.shell.peer_link import LinkClosed, PeerLink
-from dewledge.shell.sockets import family_of, parse_address, tune_link
+from dewledge.shell.proxy.peer_link import LinkClosed, PeerLink
+from dewledge.shell.shared.event_loop import WRITABLE, EventLoop, Timer
+from dewledge.shell.shared.sockets import family_of, parse_address, tune_link
 
 DIAL_SECONDS = 1.0
 HEARTBEAT_AFTER_SECONDS = 0.3
--- a/src/dewledge/shell/peer_link.py
+++ b/src/dewledge/shell/proxy/peer_link.py
@@ -12,8 +12,8 @@
 
 from dewledge.core.proxy.messages import PeerMessage, decode
 from dewledge.errors import ProtocolError
-from dewledge.shell.event_loop import READABLE, WRITABLE, EventLoop
-from dewledge.shell.frames import HEARTBEAT_FRAME, FrameReader, encode_frame
+from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop
+from dewledge.shell.shared.frames import HEARTBEAT_FRAME, FrameReader, encode_frame
 
 RECEIVE_BYTES = 256 * 1024
 MAX_OUTBOUND_BYTES = 8 * 1024 * 1024
--- a/src/dewledge/shell/peer_links.py
+++ b/src/dewledge/shell/proxy/peer_links.py
@@ -12,8 +12,7 @@
 from loguru import logger
 
 from dewledge.core.proxy.messages import PROTOCOL_VERSION, Hello, PeerMessage
-from dewledge.shell.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.outbound_peer import (
+from dewledge.shell.proxy.outbound_peer import (
     REPLIES,
     REQUESTS,
     OutboundLost,
@@ -21,8 +20,9 @@
     RequestsUnsent,
     statement_requests,
 )
-from dewledge.shell.peer_link import LinkClosed, PeerLink
-from dewledge.shell.sockets import listen_tcp, tune_link
+from dewledge.shell.proxy.peer_link import LinkClosed, PeerLink
+from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
+from dewledge.shell.shared.sockets import listen_tcp, tune_link
 
 CHECK_SECONDS = 0.1
 LATE_CHECK_SECONDS = 0.5
--- a/src/dewledge/shell/proxy_driver.py
+++ b/src/dewledge/shell/proxy/proxy_driver.py
@@ -35,14 +35,14 @@
 from dewledge.core.proxy.messages import PeerMessage, StatementRequest
 from dewledge.core.proxy.ports import MachineState
 from dewledge.errors import ErrorCode
-from dewledge.shell.database_workers import DatabaseWorkers
-from dewledge.shell.datagrams import DatagramSocket
-from dewledge.shell.event_loop import EventLoop, Timer
-from dewledge.shell.metrics import ProxyMetrics
-from dewledge.shell.outbound_peer import OutboundLost, RequestsUnsent
-from dewledge.shell.peer_links import PeerLinks
-from dewledge.shell.proxy_services import DeadlineBounds
-from dewledge.shell.store_calls import StoreCalls
+from dewledge.shell.proxy.database_workers import DatabaseWorkers
+from dewledge.shell.proxy.datagrams import DatagramSocket
+from dewledge.shell.proxy.metrics import ProxyMetrics
+from dewledge.shell.proxy.outbound_peer import OutboundLost, RequestsUnsent
+from dewledge.shell.proxy.peer_links import PeerLinks
+from dewledge.shell.proxy.proxy_services import DeadlineBounds
+from dewledge.shell.proxy.store_calls import StoreCalls
+from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 
 class ProxyDriver:
--- a/src/dewledge/shell/proxy_server.py
+++ b/src/dewledge/shell/proxy/proxy_server.py
@@ -20,16 +20,16 @@
 from dewledge.core.proxy.messages import PROTOCOL_VERSION, Hello
 from dewledge.core.proxy.ports import DatabaseDriver
 from dewledge.settings import ProxySettings
-from dewledge.shell.core_settings import core_settings, deadline_bounds, http_limits
-from dewledge.shell.database_workers import DatabaseWorkers
-from dewledge.shell.datagrams import DatagramSocket
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.http_edge import HttpEdge
-from dewledge.shell.http_server import HttpServer
-from dewledge.shell.peer_links import PeerLinks
-from dewledge.shell.proxy_driver import ProxyDriver
-from dewledge.shell.stop_rule import StopProgress, may_finish
-from dewledge.shell.store_calls import StoreCalls
+from dewledge.shell.proxy.core_settings import core_settings, deadline_bounds, http_limits
+from dewledge.shell.proxy.database_workers import DatabaseWorkers
+from dewledge.shell.proxy.datagrams import DatagramSocket
+from dewledge.shell.proxy.http_edge import HttpEdge
+from dewledge.shell.proxy.peer_links import PeerLinks
+from dewledge.shell.proxy.proxy_driver import ProxyDriver
+from dewledge.shell.proxy.stop_rule import StopProgress, may_finish
+from dewledge.shell.proxy.store_calls import StoreCalls
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.http_server import HttpServer
 
 STOP_CHECK_SECONDS = 0.02
 FAREWELL_SECONDS = 0.5
--- a/src/dewledge/shell/proxy_services.py
+++ b/src/dewledge/shell/proxy/proxy_services.py
@@ -11,7 +11,7 @@
 from dewledge.core.proxy.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
 from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.core.proxy.membership.member import Member
-from dewledge.shell.metrics import ProxyMetrics
+from dewledge.shell.proxy.metrics import ProxyMetrics
 
 
 class DeadlineBounds(msgspec.Struct, frozen=True):
--- a/src/dewledge/shell/statement_handlers.py
+++ b/src/dewledge/shell/proxy/statement_handlers.py
@@ -14,11 +14,11 @@
     Statement,
 )
 from dewledge.errors import ErrorCode, Finding, InvalidInput
-from dewledge.shell.http_authentication import authenticate
-from dewledge.shell.http_messages import Exchange, Headers, json_response
-from dewledge.shell.http_status import status_of
-from dewledge.shell.proxy_services import ProxyServices
-from dewledge.shell.request_bodies import BeginBody, FinishBody, StatementBody, read_body
+from dewledge.shell.proxy.http_authentication import authenticate
+from dewledge.shell.proxy.http_status import status_of
+from dewledge.shell.proxy.proxy_services import ProxyServices
+from dewledge.shell.proxy.request_bodies import BeginBody, FinishBody, StatementBody, read_body
+from dewledge.shell.shared.http_messages import Exchange, Headers, json_response
 
 MILLISECONDS = 1000.0
 
--- a/src/dewledge/shell/status_handlers.py
+++ b/src/dewledge/shell/proxy/status_handlers.py
@@ -4,11 +4,11 @@
 
 from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.errors import ErrorCode
-from dewledge.shell.http_authentication import RETRY_SOON, authenticate_operator
-from dewledge.shell.http_messages import Exchange, HttpResponse, json_response, refusal
-from dewledge.shell.http_status import OK, UNAVAILABLE
-from dewledge.shell.metrics import CONTENT_TYPE
-from dewledge.shell.proxy_services import ProxyServices
+from dewledge.shell.proxy.http_authentication import RETRY_SOON, authenticate_operator
+from dewledge.shell.proxy.http_status import OK, UNAVAILABLE
+from dewledge.shell.proxy.metrics import CONTENT_TYPE
+from dewledge.shell.proxy.proxy_services import ProxyServices
+from dewledge.shell.shared.http_messages import Exchange, HttpResponse, json_response, refusal
 
 
 class HealthBody(msgspec.Struct, frozen=True):
--- a/src/dewledge/shell/store_calls.py
+++ b/src/dewledge/shell/proxy/store_calls.py
@@ -18,7 +18,7 @@
 )
 from dewledge.core.proxy.ports import MachineList, MachineState, ObjectStore, TableService
 from dewledge.errors import ErrorCode, StoreError, StoreOutcomeUnknown, StoreRateLimited
-from dewledge.shell.event_loop import EventLoop
+from dewledge.shell.shared.event_loop import EventLoop
 
 MACHINE_LIST_SECONDS = 2.0
 
--- /dev/null
+++ b/src/dewledge/shell/shared/__init__.py
@@ -0,0 +1,1 @@
+"""What both daemons share: the event loop, the HTTP server, sockets, frames, log lines."""
--- a/src/dewledge/shell/http_connection.py
+++ b/src/dewledge/shell/shared/http_connection.py
@@ -12,8 +12,8 @@
 from enum import Enum
 
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import READABLE, WRITABLE, EventLoop
-from dewledge.shell.http_messages import (
+from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop
+from dewledge.shell.shared.http_messages import (
     Exchange,
     HttpLimits,
     HttpRequest,
@@ -21,7 +21,7 @@
     refusal,
     render,
 )
-from dewledge.shell.http_parser import RequestParser
+from dewledge.shell.shared.http_parser import RequestParser
 
 RECEIVE_BYTES = 32 * 1024
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/src/dewledge/shell/http_parser.py
+++ b/src/dewledge/shell/shared/http_parser.py
@@ -10,7 +10,7 @@
 import httptools
 
 from dewledge.errors import ErrorCode
-from dewledge.shell.http_messages import HttpLimits, HttpRequest, HttpResponse, refusal
+from dewledge.shell.shared.http_messages import HttpLimits, HttpRequest, HttpResponse, refusal
 
 BAD_REQUEST = 400
 PAYLOAD_TOO_LARGE = 413
--- a/src/dewledge/shell/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -6,10 +6,10 @@
 from loguru import logger
 
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.http_connection import Handler, HttpConnection
-from dewledge.shell.http_messages import HttpLimits, refusal
-from dewledge.shell.sockets import listen_tcp
+from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
+from dewledge.shell.shared.http_connection import Handler, HttpConnection
+from dewledge.shell.shared.http_messages import HttpLimits, refusal
+from dewledge.shell.shared.sockets import listen_tcp
 
 SWEEP_SECONDS = 1.0
 ACCEPT_BATCH = 64
--- a/tests/adapters/platform_pump.py
+++ b/tests/adapters/platform_pump.py
@@ -32,8 +32,8 @@
 )
 from dewledge.core.proxy.ports import Row
 from dewledge.errors import StoreRateLimited
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.store_calls import StoreCalls
+from dewledge.shell.proxy.store_calls import StoreCalls
+from dewledge.shell.shared.event_loop import EventLoop
 from dewledge.standin.platform_client import PlatformFaultClient
 from dewledge.standin.platform_server import PlatformFaults, PlatformServer
 from dewledge.standin.platform_settings import PlatformSettings
--- a/tests/adapters/test_http_calls.py
+++ b/tests/adapters/test_http_calls.py
@@ -6,7 +6,7 @@
 
 from dewledge.adapters.http_calls import HttpCalls, ServerUnreachable
 from dewledge.adapters.http_exchange import AnswerMissing, HttpAnswer
-from dewledge.shell.sockets import bound_address
+from dewledge.shell.shared.sockets import bound_address
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 TIMEOUT = 5.0
--- a/tests/core/pooler/rate_limits/counted_bytes.py
+++ b/tests/core/pooler/rate_limits/counted_bytes.py
@@ -6,7 +6,7 @@
 
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
-from dewledge.shell.pooling.peer_messages import encode
+from dewledge.shell.pooler.links.peer_messages import encode
 from tests.core.pooler.rate_limits.model_processes import ModelNetwork
 
 HEADER_BYTES = 28
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -17,12 +17,12 @@
 )
 from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 from dewledge.errors import ProtocolError
-from dewledge.shell.pooling.followed_table import (
+from dewledge.shell.pooler.tables.followed_table import (
     FOLLOWED_SLACK_SECONDS,
     LARGE_BYTES,
     FollowedTable,
 )
-from dewledge.shell.pooling.table_publisher import HOLD_SECONDS
+from dewledge.shell.pooler.tables.table_publisher import HOLD_SECONDS
 
 
 def row(key: str, version: int, gone: bool = False) -> StoreRow:
--- a/tests/platform/test_log_and_settings.py
+++ b/tests/platform/test_log_and_settings.py
@@ -18,9 +18,9 @@
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.errors import InvalidInput
 from dewledge.pooler_settings import check_pooler_settings, load_pooler_settings
-from dewledge.shell.pooling.log_writer import MAX_WAITING_LINES, LogWriter
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
-from dewledge.shell.pooling.settings_file import SettingsFile
+from dewledge.shell.pooler.observing.log_writer import MAX_WAITING_LINES, LogWriter
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.settings_file import SettingsFile
 
 ROOT = Path(__file__).parent.parent.parent
 TEMPLATE = ROOT / "deploy" / "pooler.toml.template"
--- a/tests/platform/test_member_table.py
+++ b/tests/platform/test_member_table.py
@@ -8,8 +8,8 @@
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.platform.store_client import PlatformStore
-from dewledge.shell.pooling.coordination_rows import TABLE, encode_value, read_member
-from dewledge.shell.pooling.member_table import ASSUMED_MEMBERS, MemberTable
+from dewledge.shell.pooler.tables.coordination_rows import TABLE, encode_value, read_member
+from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
 from tests.platform.table_store import TableStore
 
 
--- a/tests/platform/test_peer_messages.py
+++ b/tests/platform/test_peer_messages.py
@@ -12,7 +12,7 @@
 )
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.errors import ProtocolError
-from dewledge.shell.pooling.peer_messages import (
+from dewledge.shell.pooler.links.peer_messages import (
     LeaderNotice,
     PeerMessage,
     WitnessAnswer,
--- a/tests/platform/test_pooler_page.py
+++ b/tests/platform/test_pooler_page.py
@@ -14,8 +14,8 @@
 from dewledge.core.pooler.load.wait_summaries import WaitsCounted
 from dewledge.core.pooler.rate_limits.grantor import GrantorChanged
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings, QuotaSettings
-from dewledge.shell.pooling.event_log import event_name
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.event_log import event_name
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
 from tests.test_operations import POOLER_PACKAGES, SOURCES, constants, is_logging_call
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/platform/test_pooler_process.py
+++ b/tests/platform/test_pooler_process.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooler.statements.read_choice import ReadChoice
 from dewledge.platform.adapter import build_adapter
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings
-from dewledge.shell.pooling.pooler_process import PoolerProcess
+from dewledge.shell.pooler.pooler_process import PoolerProcess
 from tests.platform.table_store import TableStore
 from tests.platform.wire_databases import WireClient, WireGroup, wait_until
 
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -6,7 +6,8 @@
 
 from dewledge.core.sharing import holders, readers
 from dewledge.shell.pooling import followed_table
-from dewledge.shell.pooling.pooler_process import PoolerProcess
+
+from dewledge.shell.pooler.pooler_process import PoolerProcess
 from tests.platform import test_pooler_process as direct
 from tests.platform.wire_databases import wait_until
 
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -30,10 +30,10 @@
 from dewledge.core.pooler.statements.read_choice import ReadChoice
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 from dewledge.platform.wire_codec import WireDatabaseCodec
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.frames import FrameReader, frame_of
-from dewledge.shell.pooling.channel_server import ChannelServer
-from dewledge.shell.pooling.database_opener import DirectOpener
+from dewledge.shell.pooler.links.channel_server import ChannelServer
+from dewledge.shell.pooler.links.database_opener import DirectOpener
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.frames import FrameReader, frame_of
 from tests.platform.table_store import TableStore
 from tests.platform.wire_databases import WireGroup, wait_until
 
--- a/tests/platform/test_stall_watch.py
+++ b/tests/platform/test_stall_watch.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.events import ProcessStoodStill
-from dewledge.shell.pooling.stall_watch import STALL_SECONDS, StallWatch
+from dewledge.shell.pooler.observing.stall_watch import STALL_SECONDS, StallWatch
 
 
 class StallWatchTest(unittest.TestCase):
--- a/tests/platform/test_start_imports.py
+++ b/tests/platform/test_start_imports.py
@@ -12,8 +12,8 @@
 
 from dewledge.platform.adapter import build_adapter
 from dewledge.pooler_settings import check_pooler_settings
-from dewledge.shell.pooling.pooler_process import PoolerProcess
-from dewledge.shell.sockets import listen_tcp, parse_address
+from dewledge.shell.pooler.pooler_process import PoolerProcess
+from dewledge.shell.shared.sockets import listen_tcp, parse_address
 
 SOURCES = Path(__file__).resolve().parents[2] / "src"
 NOT_NEEDED = ("typer", "pydantic", "urllib3", "prometheus_client", "rich", "yaml")
@@ -22,7 +22,7 @@
 PROGRAM = """
 import sys
 sys.argv = ["src", "pooler"]
-import dewledge.shell.pooling.pooler_process as process
+import dewledge.shell.pooler.pooler_process as process
 process.PoolerProcess.run = lambda self: None
 import os
 os._exit = lambda code: None
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -15,8 +15,8 @@
 )
 from dewledge.platform.operator_records import parse_configuration, parse_database
 from dewledge.platform.store_client import PlatformDuties, PlatformStore
-from dewledge.shell.pooling.followed_table import FollowedTable
-from dewledge.shell.pooling.table_watcher import TableWatcher
+from dewledge.shell.pooler.tables.followed_table import FollowedTable
+from dewledge.shell.pooler.tables.table_watcher import TableWatcher
 from tests.platform.table_store import TableStore
 from tests.platform.wire_databases import wait_until
 
--- a/tests/platform/test_table_publisher.py
+++ b/tests/platform/test_table_publisher.py
@@ -6,14 +6,14 @@
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.sharing.messages import FollowTables, TablePosition, TablesAnswered
 from dewledge.core.pooler.sharing.table_cache import TableDelta
-from dewledge.shell.pooling.followed_table import FollowedTable
-from dewledge.shell.pooling.table_follower import (
+from dewledge.shell.pooler.tables.followed_table import FollowedTable
+from dewledge.shell.pooler.tables.table_follower import (
     ANSWER_GAP_SECONDS,
     ANSWER_LIMIT_SECONDS,
     LONGEST_ANSWER_SECONDS,
     TableFollower,
 )
-from dewledge.shell.pooling.table_publisher import HOLD_SECONDS, TablePublisher
+from dewledge.shell.pooler.tables.table_publisher import HOLD_SECONDS, TablePublisher
 from tests.core.pooler.harness import ModelScheduler
 
 
--- a/tests/platform/test_table_reading.py
+++ b/tests/platform/test_table_reading.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from dewledge.core.pooler.sharing.members import Member
-from dewledge.shell.pooling.table_reading import START_SECONDS, TableReading
+from dewledge.shell.pooler.tables.table_reading import START_SECONDS, TableReading
 from tests.core.pooler.harness import ModelScheduler
 
 
--- a/tests/processes/test_without_mechanism.py
+++ b/tests/processes/test_without_mechanism.py
@@ -99,7 +99,7 @@
 
     def test_recorded_key(self) -> None:
         self.assertEqual(self.repeat_after_lost_answer(), set())
-        with patch("dewledge.shell.database_workers.run_job", _ignore_key):
+        with patch("dewledge.shell.proxy.database_workers.run_job", _ignore_key):
             broken = self.repeat_after_lost_answer()
         self.assertEqual(broken, {Promise.AT_MOST_ONCE})
 
--- a/tests/shell/edge_services.py
+++ b/tests/shell/edge_services.py
@@ -18,10 +18,10 @@
 from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.core.proxy.membership.member import Member
 from dewledge.core.shared.caller_tokens import token_digest
-from dewledge.shell.http_edge import HttpEdge
-from dewledge.shell.http_messages import Exchange, HttpRequest, HttpResponse
-from dewledge.shell.metrics import ProxyMetrics
-from dewledge.shell.proxy_services import DeadlineBounds
+from dewledge.shell.proxy.http_edge import HttpEdge
+from dewledge.shell.proxy.metrics import ProxyMetrics
+from dewledge.shell.proxy.proxy_services import DeadlineBounds
+from dewledge.shell.shared.http_messages import Exchange, HttpRequest, HttpResponse
 
 CALLER_TOKEN = "caller-token"
 OPERATOR_TOKEN = "operator-token"
--- a/tests/shell/http_harness.py
+++ b/tests/shell/http_harness.py
@@ -6,10 +6,10 @@
 
 import httptools
 
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.http_messages import Exchange, HttpLimits, HttpResponse
-from dewledge.shell.http_server import HttpServer
-from dewledge.shell.sockets import parse_address
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
+from dewledge.shell.shared.http_server import HttpServer
+from dewledge.shell.shared.sockets import parse_address
 
 CLIENT_SECONDS = 10.0
 
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -14,9 +14,9 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.shared.caller_tokens import token_digest
 from dewledge.platform.wire_codec import WireClientCodec
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.pooling.client_listener import ClientListener
-from dewledge.shell.sockets import listen_tcp, parse_address
+from dewledge.shell.pooler.links.client_listener import ClientListener
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.sockets import listen_tcp, parse_address
 from tests.core.pooler.harness import PoolerHarness
 
 KEY, CALLER, DATABASE = "k3y-of-north", "north", "read_own_writes"
--- a/tests/shell/test_core_settings.py
+++ b/tests/shell/test_core_settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from dewledge.settings import LimitSettings, ProxySettings, TimingSettings
-from dewledge.shell.core_settings import core_settings, deadline_bounds, http_limits
+from dewledge.shell.proxy.core_settings import core_settings, deadline_bounds, http_limits
 
 USED_BY_PROXY_SERVER = {"leave_bound", "platform_threads"}
 """Read by `ProxyServer` itself."""
--- a/tests/shell/test_database_workers.py
+++ b/tests/shell/test_database_workers.py
@@ -13,8 +13,8 @@
 from dewledge.core.proxy.ports import DatabaseConnection, DatabaseDriver, ExecutionResult
 from dewledge.core.shared.positions import LOG_START, LogPosition
 from dewledge.errors import ConnectionLimitReached, DatabaseError, ErrorCode
-from dewledge.shell.database_workers import LATEST_START_SECONDS, DatabaseWorkers
-from dewledge.shell.event_loop import EventLoop
+from dewledge.shell.proxy.database_workers import LATEST_START_SECONDS, DatabaseWorkers
+from dewledge.shell.shared.event_loop import EventLoop
 
 PATIENCE_SECONDS = 10.0
 FREEZE_SECONDS = 60.0
--- a/tests/shell/test_event_loop_and_log.py
+++ b/tests/shell/test_event_loop_and_log.py
@@ -6,8 +6,8 @@
 
 from loguru import logger
 
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.log import configure_log
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.log import configure_log
 
 PATIENCE_SECONDS = 10.0
 
--- a/tests/shell/test_http_connection.py
+++ b/tests/shell/test_http_connection.py
@@ -5,7 +5,7 @@
 import unittest
 
 from dewledge.errors import ErrorCode
-from dewledge.shell.http_messages import Exchange, HttpLimits, HttpResponse
+from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
 from tests.shell.http_harness import HttpHarness, echo, read_answers
 
 GET = b"GET /a HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/shell/test_http_fuzz.py
+++ b/tests/shell/test_http_fuzz.py
@@ -6,7 +6,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from dewledge.shell.http_messages import HttpLimits
+from dewledge.shell.shared.http_messages import HttpLimits
 from tests.shell.http_harness import HttpHarness
 
 GOOD = b"POST /v1/x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -26,11 +26,11 @@
     TransactionState,
 )
 from dewledge.errors import ErrorCode
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.pooling.channel_client import ChannelClient
-from dewledge.shell.pooling.framed_stream import FramedStream
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
-from dewledge.shell.sockets import bound_address
+from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.framed_stream import FramedStream
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import bound_address
 
 PATIENCE_SECONDS = 10.0
 
--- a/tests/shell/test_own_way.py
+++ b/tests/shell/test_own_way.py
@@ -8,7 +8,7 @@
 
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
-from dewledge.shell.pooling.own_way import FailedCallback, OpenedCallback, OwnWay
+from dewledge.shell.pooler.links.own_way import FailedCallback, OpenedCallback, OwnWay
 from tests.core.pooler.harness import ModelScheduler
 
 
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -23,18 +23,18 @@
     StatementRequest,
 )
 from dewledge.core.shared.positions import LOG_START
-from dewledge.shell.event_loop import EventLoop
-from dewledge.shell.frames import FrameReader, encode_frame
-from dewledge.shell.outbound_peer import (
+from dewledge.shell.proxy.outbound_peer import (
     DEAD_AFTER_SECONDS,
     MAX_WAITING_MESSAGES,
     OVERDUE_SECONDS,
     OutboundLost,
     RequestsUnsent,
 )
-from dewledge.shell.peer_link import MAX_OUTBOUND_BYTES
-from dewledge.shell.peer_links import PeerLinks
-from dewledge.shell.sockets import bound_address, parse_address
+from dewledge.shell.proxy.peer_link import MAX_OUTBOUND_BYTES
+from dewledge.shell.proxy.peer_links import PeerLinks
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.frames import FrameReader, encode_frame
+from dewledge.shell.shared.sockets import bound_address, parse_address
 
 PATIENCE_SECONDS = 10.0
 
--- a/tests/shell/test_stop_rule.py
+++ b/tests/shell/test_stop_rule.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.shell.stop_rule import StopProgress, may_finish
+from dewledge.shell.proxy.stop_rule import StopProgress, may_finish
 
 LEAVE_BOUND = 30.0
 
--- a/tests/shell/test_table_follower.py
+++ b/tests/shell/test_table_follower.py
@@ -10,12 +10,12 @@
     TablesAnswered,
 )
 from dewledge.core.pooler.sharing.table_cache import TableDelta
-from dewledge.shell.event_loop import READABLE, EventLoop
-from dewledge.shell.pooling.followed_table import FollowedTable
-from dewledge.shell.pooling.framed_stream import FramedStream
-from dewledge.shell.pooling.outgoing_links import OutgoingLinks
-from dewledge.shell.pooling.table_follower import TableFollower
-from dewledge.shell.sockets import bound_address, listen_tcp
+from dewledge.shell.pooler.links.framed_stream import FramedStream
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.tables.followed_table import FollowedTable
+from dewledge.shell.pooler.tables.table_follower import TableFollower
+from dewledge.shell.shared.event_loop import READABLE, EventLoop
+from dewledge.shell.shared.sockets import bound_address, listen_tcp
 
 PATIENCE_SECONDS = 6.0
 """The longest pause between two dials of one that is not there is 2.5 s."""
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -17,10 +17,15 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreError
-from dewledge.shell.pooling.claim_keeper import ClaimKeeper
-from dewledge.shell.pooling.coordination_rows import MEMBER_PREFIX, TABLE, encode_value, read_member
-from dewledge.shell.pooling.peer_messages import LeaderNotice, PeerMessage, WitnessAnswer
-from dewledge.shell.pooling.succession_driver import SuccessionDriver
+from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.succession_driver import SuccessionDriver
+from dewledge.shell.pooler.links.peer_messages import LeaderNotice, PeerMessage, WitnessAnswer
+from dewledge.shell.pooler.tables.coordination_rows import (
+    MEMBER_PREFIX,
+    TABLE,
+    encode_value,
+    read_member,
+)
 from tests.core.pooler.harness import GROUP, route
 from tests.unfenced.model_databases import ProcessOpener, UnfencedGroup, parse_status
 from tests.unfenced.model_network import STORE, ModelNetwork, ProcessLoop
