--- a/src/dewledge/core/pooler/__init__.py
+++ b/src/dewledge/core/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""Decision core of the pooler: sessions over shared connections; no sockets, no clock of its own."""
+"""Decision core of the pooler: sessions over shared connections, without sockets or clock."""
--- a/src/dewledge/explain/lost_cause.py
+++ b/src/dewledge/explain/lost_cause.py
@@ -53,7 +53,7 @@
         LostCause.NO_GRANTOR,
     }
 )
-"""What a process knew when it refused: the words of core.load.verdict.RefusalCause."""
+"""What a process knew when it refused: the words of core.pooler.load.verdict.RefusalCause."""
 
 
 def cause_told(word: str) -> LostCause | None:
--- a/tests/core/pooler/rate_limits/test_candidates.py
+++ b/tests/core/pooler/rate_limits/test_candidates.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 import xxhash
-from dewledge.core.quota import slots
 
+from dewledge.core.pooler.rate_limits import slots
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.core.pooler.rate_limits.messages import QuotaQuestion
 from dewledge.core.pooler.rate_limits.slots import (
--- a/tests/core/pooler/rate_limits/test_random_days_of_slots.py
+++ b/tests/core/pooler/rate_limits/test_random_days_of_slots.py
@@ -3,8 +3,7 @@
 import unittest
 from unittest import mock
 
-from dewledge.core.quota import slots
-
+from dewledge.core.pooler.rate_limits import slots
 from tests.core.pooler.rate_limits.random_days import LIMITS, SEEDS, play_day
 
 
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -3,9 +3,8 @@
 import random
 import unittest
 
-from dewledge.core.sharing import table_cache
-
 from dewledge.core.pooler.coordination_store import StoreRow
+from dewledge.core.pooler.sharing import table_cache
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.core.pooler.sharing.packing import pack_value, unpack_value
 from dewledge.core.pooler.sharing.readers import (
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -7,13 +7,14 @@
 import unittest
 
 import msgspec
-from dewledge.core.pooling import connection_setup, freshness, statement_run
-from dewledge.core.sharing import channel_session
 
+from dewledge.core.pooler.databases import freshness
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.sessions.routes import Consistency, Route
+from dewledge.core.pooler.sharing import channel_session
 from dewledge.core.pooler.sharing.channel_session import ChannelSession
 from dewledge.core.pooler.sharing.messages import ProvenAge
+from dewledge.core.pooler.statements import connection_setup, statement_run
 from dewledge.core.pooler.statements.statements import Reply, TransactionState
 from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
 from tests.core.pooler.random_day import RandomDay
--- a/tests/core/proxy/configuration/test_resource_documents.py
+++ b/tests/core/proxy/configuration/test_resource_documents.py
@@ -39,7 +39,7 @@
 
 INVALID, UNKNOWN_FIELD = ErrorCode.INVALID_RESOURCE, ErrorCode.UNKNOWN_FIELD
 DIGEST = "ab" * 32
-PAGE = Path(__file__).parents[3] / "docs" / "RESOURCES.md"
+PAGE = Path(__file__).parents[4] / "docs" / "RESOURCES.md"
 
 # name, text, findings as (place, code), all of them
 FINDINGS_TABLE: list[tuple[str, str, list[tuple[str, ErrorCode]]]] = [
--- a/tests/core/proxy/test_messages.py
+++ b/tests/core/proxy/test_messages.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core import messages
+from dewledge.core.proxy import messages
 from dewledge.core.proxy.calls import Access, Operation, Rows, Statement
 from dewledge.core.proxy.database_status import DatabaseRole, DatabaseStatus
 from dewledge.core.shared.positions import LogPosition, TermStart
--- a/tests/platform/test_pooler_page.py
+++ b/tests/platform/test_pooler_page.py
@@ -6,10 +6,10 @@
 from pathlib import Path
 
 import msgspec
-from dewledge.core.pooling import events as pooling_events
 from prometheus_client.parser import text_string_to_metric_families
 
 from dewledge.checked_values import descriptions
+from dewledge.core.pooler import events as pooling_events
 from dewledge.core.pooler.failover.messages import PhaseChanged
 from dewledge.core.pooler.load.wait_summaries import WaitsCounted
 from dewledge.core.pooler.rate_limits.grantor import GrantorChanged
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -4,10 +4,9 @@
 import unittest
 from unittest import mock
 
-from dewledge.core.sharing import holders, readers
-from dewledge.shell.pooling import followed_table
-
+from dewledge.core.pooler.sharing import holders, readers
 from dewledge.shell.pooler.pooler_process import PoolerProcess
+from dewledge.shell.pooler.tables import followed_table
 from tests.platform import test_pooler_process as direct
 from tests.platform.wire_databases import wait_until
 
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -6,11 +6,10 @@
 from collections.abc import Callable
 from unittest import mock
 
-from dewledge.core.load import load_teller
-
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
 from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.load import load_teller
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.messages import (
--- a/tests/run.py
+++ b/tests/run.py
@@ -24,9 +24,9 @@
 DEFAULT_JOBS = 4
 SLOW_STARTS = (
     "unfenced",
-    "core.quota.test_random_days",
-    "core.quota.test_admission",
-    "core.pooling.test_random_days",
+    "core.pooler.rate_limits.test_random_days",
+    "core.pooler.rate_limits.test_admission",
+    "core.pooler.test_random_days",
     "processes",
     "contracts",
     "scale",
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -24,7 +24,7 @@
 PAGE = (ROOT / "docs" / "OPERATIONS.md").read_text()
 SOURCES = ROOT / "src" / "dewledge"
 LOGGING_PACKAGES = ("core", "shell")
-POOLER_PACKAGES = ("shell/pooling", "core/pooling", "core/sharing", "core/succession")
+POOLER_PACKAGES = ("shell/pooler", "core/pooler", "core/pooler/sharing", "core/pooler/failover")
 """Their events stand on the pooler's own page, which has a test of its own."""
 LOGGER_METHODS = ("debug", "info", "warning", "error", "exception")
 PATIENCE_SECONDS = 20.0
