--- a/src/dewledge/bench/scenarios.py
+++ b/src/dewledge/bench/scenarios.py
@@ -10,7 +10,7 @@
 from dewledge.simulation.population import PopulationSettings
 from dewledge.simulation.scenario import Scenario
 from dewledge.simulation.world import World
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 
 PROXIES_PER_SITE = 4
 LOAD_TIME = 12.0
@@ -51,11 +51,11 @@
 class HomeDeployment(Deployment, frozen=True):
     """A deployment in which each group starts with its primary at its home site."""
 
-    def databases(self, group: str) -> dict[str, Place]:
+    def databases(self, group: str) -> dict[str, Locality]:
         """Returns a group's databases by name, the one at its home site first."""
         home = self.groups.index(group) % len(self.sites)
         sites = self.sites[home:] + self.sites[:home]
-        return {f"{group}-{site}": Place(f"{site}-a", site) for site in sites}
+        return {f"{group}-{site}": Locality(f"{site}-a", site) for site in sites}
 
 
 class LoadSettings(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -4,10 +4,10 @@
 
 from dewledge.core.pooler.databases.freshness import FreshnessHistory
 from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
-from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
 from dewledge.core.pooler.events import PoolingEvent
-from dewledge.core.pooler.failover.lead_right import Fencing, LeadRight
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
 from dewledge.core.pooler.load.choice import Completion
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
@@ -41,12 +41,12 @@
     def __init__(
         self,
         name: str,
-        place: Place,
+        place: Locality,
         opener: Opener,
         clock: Callable[[], float],
         drain_bound: float,
         direct_opener: Opener | None = None,
-        right: LeadRight | None = None,
+        right: PrimaryLease | None = None,
         choice: ReadChoice | None = None,
         judges_silence: bool = True,
         is_fair: bool = True,
@@ -59,7 +59,7 @@
         shares of slots and connections.
         """
         self.view = GroupView(name)
-        self.right = right or LeadRight(Fencing.PLATFORM)
+        self.right = right or PrimaryLease(Fencing.PLATFORM)
         self.history = FreshnessHistory()
         self._lags = ReplicaLags(self.history)
         self._heard_at: dict[str, float] = {}
--- a/src/dewledge/core/pooler/databases/place.py
+++ b/src/dewledge/core/pooler/databases/locality.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Place(msgspec.Struct, frozen=True):
+class Locality(msgspec.Struct, frozen=True):
     """Where this process stands: its zone, and the region of each zone."""
 
     zone: str
--- a/src/dewledge/core/pooler/failover/claim_recall.py
+++ b/src/dewledge/core/pooler/failover/claim_recall.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Collection, Sequence
 
-from dewledge.core.pooler.failover.lead_right import RIGHT_SECONDS
 from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses
+from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS
 
 
 class ClaimRecall:
--- a/src/dewledge/core/pooler/failover/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.lead_right import Fencing, LeadRight
 from dewledge.core.pooler.failover.messages import Claim, WriteClaim
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
 
 NOBODY = ""
 """The leader of a claim under which no database may be used as primary."""
 
 
-def standing_claim(right: LeadRight, voters: Sequence[str], is_settled: bool) -> WriteClaim:
+def standing_claim(right: PrimaryLease, voters: Sequence[str], is_settled: bool) -> WriteClaim:
     """Returns the claim that changes nothing but the voters.
 
     is_settled: nobody vouches for claims before the newest one any more.
@@ -19,7 +19,7 @@
 
 
 def duty_claim(
-    right: LeadRight, voters: Sequence[str], replaced: str, serves_on: bool
+    right: PrimaryLease, voters: Sequence[str], replaced: str, serves_on: bool
 ) -> WriteClaim:
     """Returns the claim to the duty. serves_on: the old primary may be used until the order."""
     if not serves_on:
@@ -28,24 +28,26 @@
     return _next_claim(right, voters, replaced, replaced if leader is None else leader)
 
 
-def order_claim(right: LeadRight, voters: Sequence[str], replaced: str, ordered: str) -> WriteClaim:
+def order_claim(
+    right: PrimaryLease, voters: Sequence[str], replaced: str, ordered: str
+) -> WriteClaim:
     """Returns the claim under which the promotion of `ordered` is ordered."""
     return _next_claim(right, voters, replaced, ordered, ordered)
 
 
-def withdrawn_claim(right: LeadRight, voters: Sequence[str], kept: str) -> WriteClaim:
+def withdrawn_claim(right: PrimaryLease, voters: Sequence[str], kept: str) -> WriteClaim:
     """Returns the claim after a replacement in which nothing was ordered: `kept` leads on."""
     return _next_claim(right, voters, "", kept, kept)
 
 
-def last_order(right: LeadRight, replaced: str) -> str:
+def last_order(right: PrimaryLease, replaced: str) -> str:
     """Returns the database that was ordered to lead last, empty for none or the replaced one."""
     claim = right.claim
     return "" if claim is None or claim.ordered == replaced else claim.ordered
 
 
 def _next_claim(
-    right: LeadRight,
+    right: PrimaryLease,
     voters: Sequence[str],
     replaced: str,
     leader: str | None,
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -5,7 +5,7 @@
 from dewledge.core.pooler.failover.messages import ReachTested, WitnessReported
 
 CHECK_LIMIT_SECONDS = 0.45
-"""Witnesses answer within this; then the majority of all processes must have said no."""
+"""IndirectProbes answer within this; then the majority of all processes must have said no."""
 LONE_CHECK_LIMIT_SECONDS = 2.5
 """Without a majority, as after many processes died, it takes this long."""
 
--- a/src/dewledge/core/pooler/failover/succession.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -16,10 +16,9 @@
 
 from dewledge.core.pooler.databases.group_view import GroupView
 from dewledge.core.pooler.failover.evidence import CHECK_LIMIT_SECONDS, ReachEvidence
-from dewledge.core.pooler.failover.lead_right import LONG_AGO, Fencing, LeadRight
 from dewledge.core.pooler.failover.loss_watch import Loss, LossWatch
 from dewledge.core.pooler.failover.messages import (
-    AskWitnesses,
+    AskIndirectProbes,
     Claim,
     ClaimKnown,
     ClaimRefused,
@@ -39,6 +38,7 @@
     TryLeader,
     WitnessReported,
 )
+from dewledge.core.pooler.failover.primary_lease import LONG_AGO, Fencing, PrimaryLease
 from dewledge.core.pooler.failover.replacement import PrimaryReplacement
 from dewledge.core.pooler.failover.situation import Situation, Step
 from dewledge.core.pooler.failover.standing_claim import StandingClaim
@@ -62,7 +62,7 @@
 NONE_REGISTERED = RegisteredProcesses()
 
 
-class GroupSuccession:
+class GroupFailover:
     """The state machine of one group. `handle` takes an event and returns effects."""
 
     def __init__(
@@ -70,13 +70,13 @@
         group: str,
         own_name: str,
         record: Callable[[PhaseChanged], None],
-        right: LeadRight | None = None,
+        right: PrimaryLease | None = None,
     ) -> None:
         """`right`: shared with those who use the primary; by default the platform fences."""
         self._group = group
         self._own_name = own_name
         self._record = record
-        self._right = right or LeadRight(Fencing.PLATFORM)
+        self._right = right or PrimaryLease(Fencing.PLATFORM)
         self._losses = LossWatch(self._right)
         self._standing = StandingClaim(own_name, self._right)
         self.phase = Phase.STEADY
@@ -241,7 +241,7 @@
         effects: list[SuccessionEffect] = []
         if not self._asks_witnesses and (evidence.is_missed or waited >= ASK_AFTER_SECONDS):
             self._asks_witnesses = True
-            effects.append(AskWitnesses(self._loss.replaced))
+            effects.append(AskIndirectProbes(self._loss.replaced))
         is_confirmed = evidence.is_confirmed(situation.members, waited, not self._is_unfenced)
         if not evidence.is_missed or not is_confirmed:
             if waited >= CHECK_LIMIT_SECONDS * MOST_CHECK_LIMITS:
--- a/src/dewledge/core/pooler/failover/lead_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -9,7 +9,6 @@
 from collections.abc import Sequence
 
 from dewledge.core.pooler.failover.claim_recall import ClaimRecall
-from dewledge.core.pooler.failover.lead_right import LONG_AGO
 from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
@@ -19,13 +18,14 @@
     SteppedDown,
     TellClaim,
 )
+from dewledge.core.pooler.failover.primary_lease import LONG_AGO
 
 TELL_AGAIN_SECONDS = 0.1
 STEP_DOWN_AGAIN_SECONDS = 0.2
 STEP_DOWN_LIMIT_SECONDS = 1.0
 
 
-class LeadRelease:
+class LeaseRelease:
     """The release of one primary, in one succession."""
 
     def __init__(self, own_name: str, replaced: str, may_step_down: bool) -> None:
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -4,8 +4,8 @@
 
 from dewledge.core.pooler.databases.group_view import GroupView
 from dewledge.core.pooler.failover.candidates import eligible
-from dewledge.core.pooler.failover.lead_right import LeadRight
 from dewledge.core.pooler.failover.messages import LossCause
+from dewledge.core.pooler.failover.primary_lease import PrimaryLease
 
 ENTRY_GONE_SECONDS = 1.5
 NONE_KNOWN_SECONDS = 2.5
@@ -25,7 +25,7 @@
 class LossWatch:
     """Remembers since when something has been amiss."""
 
-    def __init__(self, right: LeadRight) -> None:
+    def __init__(self, right: PrimaryLease) -> None:
         self._right = right
         self._none_since: float | None = None
         self._banned_since: float | None = None
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -132,7 +132,7 @@
     database: str
 
 
-class AskWitnesses(msgspec.Struct, frozen=True):
+class AskIndirectProbes(msgspec.Struct, frozen=True):
     """Ask the other processes whether they reach a database."""
 
     database: str
@@ -199,7 +199,7 @@
 
 SuccessionEffect = (
     TestReach
-    | AskWitnesses
+    | AskIndirectProbes
     | WriteClaim
     | TellClaim
     | TryLeader
--- a/src/dewledge/core/pooler/failover/lead_right.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -35,7 +35,7 @@
     PROCESSES = "processes"
 
 
-class LeadRight:
+class PrimaryLease:
     """What one process knows of the claims on one group."""
 
     def __init__(self, fencing: Fencing) -> None:
@@ -92,19 +92,19 @@
         return self.is_confirmed(now) and not self.is_banned(database_id)
 
 
-class LeadRights:
+class PrimaryLeases:
     """The rights of one process, by group."""
 
     def __init__(self, fencing: Fencing) -> None:
         self.fencing = fencing
-        self.by_group: dict[str, LeadRight] = {}
+        self.by_group: dict[str, PrimaryLease] = {}
         self._confirmed_at = LONG_AGO
 
-    def of(self, group: str) -> LeadRight:
+    def of(self, group: str) -> PrimaryLease:
         """Returns the right of a group."""
         right = self.by_group.get(group)
         if right is None:
-            right = LeadRight(self.fencing)
+            right = PrimaryLease(self.fencing)
             right.confirm(self._confirmed_at)
             self.by_group[group] = right
         return right
--- a/src/dewledge/core/pooler/failover/vouching.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -1,4 +1,4 @@
-"""Vouching: how a process keeps its right to use primaries while the store is out of its sight.
+"""Confirmation by a quorum: how a process keeps its leases on primaries while the store is away.
 
 It asks the voters of its groups' newest claims which claims they know. If more than half of a
 group's voters know none that is newer, none can take effect before RIGHT_SECONDS have passed since
@@ -12,8 +12,8 @@
 import msgspec
 
 from dewledge.core.pooler.failover.claim_recall import is_majority
-from dewledge.core.pooler.failover.lead_right import LONG_AGO, LeadRight
 from dewledge.core.pooler.failover.messages import Claim
+from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
 ASK_AFTER_SECONDS = 1.25
 """A store's word that is older than this is backed by the voters'."""
@@ -22,7 +22,7 @@
 """In one question, so that it fits into a datagram."""
 
 
-class VouchQuestion(msgspec.Struct, frozen=True, array_like=True, tag="vouch"):
+class ConfirmationQuestion(msgspec.Struct, frozen=True, array_like=True, tag="vouch"):
     """Asks for the newest claims known. tokens: those that the asker knows, by group."""
 
     asker: str
@@ -30,7 +30,7 @@
     tokens: dict[str, int]
 
 
-class VouchAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vouched"):
+class ConfirmationAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vouched"):
     """The tokens of the newest claims that the voter knows, of the groups asked for."""
 
     voter: str
@@ -41,11 +41,11 @@
 class Inquiry(msgspec.Struct, frozen=True):
     """A question and the processes to ask."""
 
-    question: VouchQuestion
+    question: ConfirmationQuestion
     voters: tuple[str, ...]
 
 
-class Vouching:
+class QuorumConfirmation:
     """The questions of one process, and its answers to others."""
 
     def __init__(self, own_name: str) -> None:
@@ -55,7 +55,7 @@
         self._tokens: dict[str, int] = {}
         self._agreed: dict[str, set[str]] = {}
 
-    def ask(self, rights: Mapping[str, LeadRight], now: float) -> Inquiry | None:
+    def ask(self, rights: Mapping[str, PrimaryLease], now: float) -> Inquiry | None:
         """Returns the next question, if the word on some group has become old."""
         if now < self._asked_at + ASK_AGAIN_SECONDS:
             return None
@@ -78,19 +78,22 @@
         self._tokens = {name: claim.token for name, claim in claims.items()}
         self._agreed = {name: {self._own_name} for name in claims}
         voters = {voter for claim in claims.values() for voter in claim.voters}
-        question = VouchQuestion(self._own_name, self._number, self._tokens)
+        question = ConfirmationQuestion(self._own_name, self._number, self._tokens)
         return Inquiry(question, tuple(sorted(voters - {self._own_name})))
 
     def answer(
-        self, question: VouchQuestion, rights: Mapping[str, LeadRight], registered: Collection[str]
-    ) -> VouchAnswer | None:
+        self,
+        question: ConfirmationQuestion,
+        rights: Mapping[str, PrimaryLease],
+        registered: Collection[str],
+    ) -> ConfirmationAnswer | None:
         """Returns the answer to another process; none to one without a row in the store."""
         if question.asker not in registered:
             return None
         known = {name: rights[name].token for name in question.tokens if name in rights}
-        return VouchAnswer(self._own_name, question.number, known)
+        return ConfirmationAnswer(self._own_name, question.number, known)
 
-    def take(self, answer: VouchAnswer, rights: Mapping[str, LeadRight]) -> Sequence[str]:
+    def take(self, answer: ConfirmationAnswer, rights: Mapping[str, PrimaryLease]) -> Sequence[str]:
         """Takes an answer; returns the groups whose claims are vouched for with it."""
         if answer.number != self._number:
             return []
@@ -106,7 +109,7 @@
                 confirmed.append(name)
         return confirmed
 
-    def _is_vouched(self, right: LeadRight, token: int, agreed: Collection[str]) -> bool:
+    def _is_vouched(self, right: PrimaryLease, token: int, agreed: Collection[str]) -> bool:
         claim = right.claim
         if claim is None or claim.token != token:
             return False
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -14,8 +14,7 @@
     order_claim,
     withdrawn_claim,
 )
-from dewledge.core.pooler.failover.lead_release import STEP_DOWN_AGAIN_SECONDS, LeadRelease
-from dewledge.core.pooler.failover.lead_right import LONG_AGO, RIGHT_SECONDS, Fencing, LeadRight
+from dewledge.core.pooler.failover.lease_release import STEP_DOWN_AGAIN_SECONDS, LeaseRelease
 from dewledge.core.pooler.failover.loss_watch import Loss
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
@@ -32,6 +31,12 @@
     SuccessionEffect,
     WriteClaim,
 )
+from dewledge.core.pooler.failover.primary_lease import (
+    LONG_AGO,
+    RIGHT_SECONDS,
+    Fencing,
+    PrimaryLease,
+)
 from dewledge.core.pooler.failover.situation import Situation, Step
 from dewledge.core.pooler.failover.survey import StatusSurvey
 
@@ -48,14 +53,14 @@
 class PrimaryReplacement:
     """One process's replacement of one primary; asked for a step in each of its three phases."""
 
-    def __init__(self, own_name: str, right: LeadRight, loss: Loss) -> None:
+    def __init__(self, own_name: str, right: PrimaryLease, loss: Loss) -> None:
         self.candidate = ""
         self.own_token = 0
         """Of the claim under which this process acts, 0 before it stands."""
         self._right = right
         self._loss = loss
         self._survey = StatusSurvey()
-        self._release = LeadRelease(own_name, loss.replaced, self.is_planned)
+        self._release = LeaseRelease(own_name, loss.replaced, self.is_planned)
         self._phase_since = 0.0
         self._write_at = LONG_AGO
         self._promoted_at = LONG_AGO
--- a/src/dewledge/core/pooler/failover/standing_claim.py
+++ b/src/dewledge/core/pooler/failover/standing_claim.py
@@ -4,13 +4,13 @@
 
 from dewledge.core.pooler.failover.claim_recall import ClaimRecall
 from dewledge.core.pooler.failover.claim_writing import standing_claim
-from dewledge.core.pooler.failover.lead_right import LONG_AGO, Fencing, LeadRight
 from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
     SuccessionEffect,
     TellClaim,
 )
+from dewledge.core.pooler.failover.primary_lease import LONG_AGO, Fencing, PrimaryLease
 from dewledge.core.pooler.failover.situation import Situation
 
 STANDING_AGAIN_SECONDS = 3.0
@@ -22,7 +22,7 @@
 class StandingClaim:
     """One process's part in keeping the standing claim of a group."""
 
-    def __init__(self, own_name: str, right: LeadRight) -> None:
+    def __init__(self, own_name: str, right: PrimaryLease) -> None:
         self._own_name = own_name
         self._right = right
         self._not_before = LONG_AGO
--- a/src/dewledge/core/pooler/load/refusal_pace.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -14,7 +14,7 @@
 """Connections that wait to be told: few of the thousands that a process may have open."""
 
 
-class RefusalPace:
+class FailedLoginThrottle:
     """Decides for each refusal of a session; `now` is the steady clock in seconds."""
 
     def __init__(self) -> None:
--- a/src/dewledge/core/pooler/load/load_teller.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -1,6 +1,6 @@
 """When a holder tells the load before a database with an answer: not where nothing has changed."""
 
-from dewledge.core.pooler.load.load_book import WORD_HALF_LIFE_SECONDS
+from dewledge.core.pooler.load.load_table import WORD_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
 COUNT_CHANGE = 1
@@ -13,7 +13,7 @@
 """The largest time told, three bytes."""
 
 
-class LoadTeller:
+class LoadReporter:
     """What one process was told of one database.
 
     The same word is told again after the half-life of word, as it counts half by then; so a peer
--- a/src/dewledge/core/pooler/load/load_book.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -88,7 +88,7 @@
         self.heard_at = word.heard_at
 
 
-class LoadBook:
+class LoadTable:
     """The databases of one group. Times: the steady clock, seconds. Bounded in size."""
 
     def __init__(self) -> None:
--- a/src/dewledge/core/pooler/load/patience.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -34,7 +34,7 @@
     LATE = 1
 
 
-class Patience(msgspec.Struct, frozen=True):
+class WaitDeadlines(msgspec.Struct, frozen=True):
     """When one statement has to start; times of the process's steady clock, in seconds.
 
     arrived: when its operation first came, refusals included. came: when it came here.
@@ -62,9 +62,9 @@
         span = max(self.latest_start - late_since, 0.0)
         return self.latest_start - REGAIN_SHARE * span
 
-    def started_after(self, service_seconds: float) -> "Patience":
+    def started_after(self, service_seconds: float) -> "WaitDeadlines":
         """Returns the same for a statement that takes so long once it has started."""
-        return Patience(
+        return WaitDeadlines(
             self.arrived,
             self.came,
             self.in_time_until - service_seconds,
@@ -91,14 +91,14 @@
         return self.regains_at if now < self.regains_at else math.inf
 
 
-def may_wait(patience: Patience, now: float, expected: ExpectedWait | None) -> bool:
+def may_wait(patience: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
     """Tells whether a statement can be served in its time; it may wait where nothing is known."""
     if now + TIMER_SECONDS >= patience.latest_start:
         return False
     return expected is None or now + expected.seconds <= patience.latest_start
 
 
-def judged_again_at(patience: Patience, now: float, expected: ExpectedWait | None) -> float:
+def judged_again_at(patience: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
     """Returns when one that waits is judged anew: after half of what it has to spare.
 
     So one that is pushed back is refused with half of that left, after few judgements.
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -7,10 +7,10 @@
 
 from dewledge.core.pooler.load.drain_rate import DrainRate
 from dewledge.core.pooler.load.expected_wait import ExpectedWait
-from dewledge.core.pooler.load.patience import Standing, judged_again_at, may_wait
 from dewledge.core.pooler.load.return_moments import ReturnMoments
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitRecord
+from dewledge.core.pooler.load.wait_deadlines import Standing, judged_again_at, may_wait
 from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, one_line
 from dewledge.core.pooler.pool.slot_rates import SlotRates
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -5,8 +5,8 @@
 from enum import IntEnum, StrEnum
 
 from dewledge.core.pooler.load.expected_wait import ExpectedWait
-from dewledge.core.pooler.load.patience import Patience, Standing
 from dewledge.core.pooler.load.verdict import Refuse
+from dewledge.core.pooler.load.wait_deadlines import Standing, WaitDeadlines
 from dewledge.core.pooler.load.wait_queue import Rank
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
@@ -67,7 +67,7 @@
         denied: Callable[[Denial], None],
         demand: Demand = Demand.OWN,
         caller: str = NO_CALLER,
-        patience: Patience | None = None,
+        patience: WaitDeadlines | None = None,
     ) -> None:
         """`caller`: only a connection of this caller will do.
 
@@ -88,7 +88,7 @@
         self.refused_wait: ExpectedWait | None = None
         self._number = next(_numbers)
         self._patience = patience
-        self.patience = patience or Patience(0.0, 0.0)
+        self.patience = patience or WaitDeadlines(0.0, 0.0)
         """When it has to start; from its arrival on."""
         self._is_withdrawn = False
 
@@ -106,7 +106,7 @@
     def arrive(self, now: float, service_seconds: float) -> None:
         """It comes to a queue now; statements there take so long once they have started."""
         if self._patience is None:
-            self.patience = Patience(now, now)
+            self.patience = WaitDeadlines(now, now)
         else:
             left = max(self._patience.latest_start - now, 0.0)
             self.patience = self._patience.started_after(
--- a/src/dewledge/core/pooler/rate_limits/caller_lines.py
+++ b/src/dewledge/core/pooler/rate_limits/caller_token_queues.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
+from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
 
 LEAST_URGENT = 7
 """What is less urgent stands with this: bounds the lines of a caller. Operators use a few."""
@@ -22,11 +22,11 @@
 
     def __init__(self, bucket: TokenBucket) -> None:
         self.bucket = ReservedBucket(bucket)
-        self.line = TokenLine(self.bucket)
+        self.line = TokenQueue(self.bucket)
         self.demand = RecentDemand()
 
 
-class CallerLines:
+class CallerTokenQueues:
     """Of one caller. Soft state; what is given is bounded by the bucket alone."""
 
     def __init__(self, bucket: TokenBucket) -> None:
@@ -48,7 +48,7 @@
     ) -> Given | Promised:
         """Gives a token, or the moment of one.
 
-        urgency: 0 is the highest. Else as for a line (token_line.py).
+        urgency: 0 is the highest. Else as for a line (token_queue.py).
         """
         level = min(max(urgency, 0), LEAST_URGENT)
         own = self._line(level)
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -1,7 +1,7 @@
 """Whether an operation of a caller may begin: asked before any work, at the process that took it.
 
 A caller without a limit is admitted at once. Else a token is asked for from the process that grants
-for the caller; a process that reaches none admits a share of its own (own_share.py). What is
+for the caller; a process that reaches none admits a share of its own (local_allowance.py). What is
 refused is told when to come back.
 """
 
@@ -16,6 +16,7 @@
 from dewledge.core.pooler.rate_limits.former_votes import FormerVotes
 from dewledge.core.pooler.rate_limits.grantor import MILLISECONDS, VOTE_SECONDS
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS, QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.local_allowances import LocalAllowances
 from dewledge.core.pooler.rate_limits.messages import (
     BEARS_MOST_MS,
     QuotaAnswer,
@@ -23,7 +24,6 @@
     TokenGrant,
     TokenWant,
 )
-from dewledge.core.pooler.rate_limits.own_shares import OwnShares
 from dewledge.core.pooler.rate_limits.slots import (
     Slot,
     candidates_after,
@@ -109,7 +109,7 @@
         """No number comes twice under one name, also after a restart."""
         self._patience = TokenPatience()
         self._asked: dict[int, _Asked] = {}
-        self._own_shares = OwnShares(own_name, policy)
+        self._own_shares = LocalAllowances(own_name, policy)
         self._is_divided_anew = False
         self._former = FormerVotes()
         """Its votes in an earlier division of callers into slots."""
--- a/src/dewledge/core/pooler/rate_limits/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.caller_lines import CallerLines
+from dewledge.core.pooler.rate_limits.caller_token_queues import CallerTokenQueues
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import (
     QuotaAnswer,
@@ -27,7 +27,7 @@
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
 from dewledge.core.pooler.rate_limits.slots import Slot, voters_after, voters_of
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_line import Given
+from dewledge.core.pooler.rate_limits.token_queue import Given
 
 VOTE_SECONDS = 1.0
 """Two votes may be lost on the way without being missed; and so long a vote counts for a process
@@ -56,7 +56,7 @@
         """Until when the vote of each process counts."""
         self.withdrawn_at: dict[str, float] = {}
         """Votes of a process that echo an older answer were sent before it started anew."""
-        self.lines: dict[str, CallerLines] = {}
+        self.lines: dict[str, CallerTokenQueues] = {}
         """By caller. Their buckets' time is `share_seconds`, so each fills with the share held."""
         self.share_seconds = 0.0
         """The share held so far, over time: a second with half of all votes counts for half."""
@@ -176,7 +176,7 @@
         size = self._policy.bucket_size(limit, state.share)
         line = state.lines.get(want.caller)
         if line is None:
-            line = CallerLines(TokenBucket(limit.rate, size, 0.0, state.filled_since))
+            line = CallerTokenQueues(TokenBucket(limit.rate, size, 0.0, state.filled_since))
             state.lines[want.caller] = line
         line.bucket.change(limit.rate, size, state.share_seconds)
         key = PlaceKey(asker, want.place) if want.place else None
--- a/src/dewledge/core/pooler/rate_limits/own_share.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowance.py
@@ -13,7 +13,7 @@
 """What of the share may be saved up: one operation, which the reserve is less for."""
 
 
-class OwnShare:
+class LocalAllowance:
     """Of one caller at one process. Times in seconds of the process's steady clock."""
 
     def __init__(
--- a/src/dewledge/core/pooler/rate_limits/own_shares.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Mapping
 
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
-from dewledge.core.pooler.rate_limits.own_share import OwnShare
+from dewledge.core.pooler.rate_limits.local_allowance import LocalAllowance
 from dewledge.core.pooler.rate_limits.slots import (
     is_voter,
     place_of,
@@ -13,7 +13,7 @@
 )
 
 
-class OwnShares:
+class LocalAllowances:
     """By caller; each begins when it is needed first."""
 
     def __init__(self, own_name: str, policy: QuotaPolicy) -> None:
@@ -21,7 +21,7 @@
         self._policy = policy
         self._members: Collection[str] = frozenset({own_name})
         self._limits: Mapping[str, RateLimit] = {}
-        self._shares: dict[str, OwnShare] = {}
+        self._shares: dict[str, LocalAllowance] = {}
 
     def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
         """Sets the limits; the shares of those that changed begin anew."""
@@ -50,10 +50,12 @@
             self._shares[caller] = share
         return share.take(now, counted_until)
 
-    def _begin(self, caller: str, limit: RateLimit, now: float) -> OwnShare:
+    def _begin(self, caller: str, limit: RateLimit, now: float) -> LocalAllowance:
         processes = len(self._members)
         place = place_of(self._own_name, caller, self._members)
-        return OwnShare(limit, self._policy, processes, place, now, self._voters_beside(caller))
+        return LocalAllowance(
+            limit, self._policy, processes, place, now, self._voters_beside(caller)
+        )
 
     def _voters_beside(self, caller: str) -> int:
         """Returns among how many votes a slot's rates are divided; 0 where none is this one's."""
--- a/src/dewledge/core/pooler/rate_limits/line_watch.py
+++ b/src/dewledge/core/pooler/rate_limits/standing_queue_watch.py
@@ -28,7 +28,7 @@
 each one would else begin with operations that are late."""
 
 
-class LineWatch:
+class StandingQueueWatch:
     """Of one line. Times of the grantor's steady clock, in seconds."""
 
     def __init__(self) -> None:
--- a/src/dewledge/core/pooler/rate_limits/token_patience.py
+++ b/src/dewledge/core/pooler/rate_limits/token_patience.py
@@ -2,7 +2,7 @@
 
 Nothing here is a share of a latency target. The grantor tells the moment of the operation's own
 token, so what is held gets it; what could not be served after it is refused at once. Before a line
-that stands it is refused too if it would be late; the grantor decides that (token_line.py).
+that stands it is refused too if it would be late; the grantor decides that (token_queue.py).
 """
 
 from collections import deque
@@ -10,7 +10,7 @@
 import msgspec
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
-from dewledge.core.pooler.rate_limits.token_line import CLAIM_SECONDS
+from dewledge.core.pooler.rate_limits.token_queue import CLAIM_SECONDS
 from dewledge.core.shared.service_rate import UsualTime
 
 SERVING_SMOOTHING = 0.05
--- a/src/dewledge/core/pooler/rate_limits/token_line.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -3,8 +3,8 @@
 A place in the line keeps a token that is still to come. It takes nothing out of the bucket, so the
 line can neither lose a token nor give one twice: what a place did not claim is there for the next.
 
-A line that stands (line_watch.py) is kept short. Who is refused then is told a moment of its own
-(told_moments.py), and has the next token when it comes back at it.
+A queue that stands (standing_queue_watch.py) is kept short. Who is refused then is told a moment
+of its own (told_moments.py), and has the next token when it comes back at it.
 """
 
 import itertools
@@ -13,8 +13,11 @@
 import msgspec
 
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
-from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS, LineWatch
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.standing_queue_watch import (
+    STANDING_SECONDS,
+    StandingQueueWatch,
+)
 from dewledge.core.pooler.rate_limits.token_bucket import ROUNDING, Tokens
 from dewledge.core.pooler.rate_limits.told_moments import TOLD_SHARE, ToldMoments
 
@@ -46,7 +49,7 @@
     is_own: bool = False
 
 
-class TokenLine:
+class TokenQueue:
     """Of one caller. Soft state: without it the next to ask is the next to be served."""
 
     def __init__(self, bucket: Tokens) -> None:
@@ -56,7 +59,7 @@
         """The places in the order of arrival; of `rate` x KEPT_SECONDS and a bucket at most."""
         self._given_at: dict[PlaceKey, float] = {}
         """For the life of a token: whoever asks again, its answer being lost or slow, has it."""
-        self._watch = LineWatch()
+        self._watch = StandingQueueWatch()
         self.told = ToldMoments()
         self._told_until = 0.0
 
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -28,7 +28,7 @@
     Terminate,
     TransactionState,
 )
-from dewledge.core.shared.caller_tokens import token_digest
+from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.errors import ErrorCode
 
 MAX_PIPELINED = 64
@@ -172,7 +172,7 @@
     def _accept(self, startup: Startup) -> None:
         routes = self._services.routes
         route = routes.find(startup.database)
-        digest = token_digest(startup.token)
+        digest = credential_digest(startup.token)
         if route is None:
             self._refuse(ErrorCode.UNKNOWN_GROUP, "no route of this name")
         elif routes.authenticate(route, digest) is None:
@@ -302,7 +302,7 @@
         if route is None:
             self._fail(statement.id, ErrorCode.UNKNOWN_GROUP, "no route of this name")
             return None
-        caller = routes.authenticate(route, state.token_digest)
+        caller = routes.authenticate(route, state.credential_digest)
         if caller is None:
             self._services.denials.note(self._name, route.name, routes.version)
             self._fail(statement.id, ErrorCode.UNAUTHENTICATED, "no caller has this token")
@@ -319,7 +319,9 @@
     def _is_allowed(self, state: SessionState) -> bool:
         """Tells whether the transaction's caller still has the client's token."""
         assert state.transaction is not None
-        caller = self._services.routes.authenticate(state.transaction.route, state.token_digest)
+        caller = self._services.routes.authenticate(
+            state.transaction.route, state.credential_digest
+        )
         return caller == state.caller
 
     def _may_go_on(
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -57,16 +57,16 @@
         "name",
         "prepared",
         "ticket",
-        "token_digest",
+        "credential_digest",
         "transaction",
         "values",
     )
 
-    def __init__(self, name: str, database: str, token_digest: str = "") -> None:
-        """`token_digest`: of the client's token, which itself is not kept."""
+    def __init__(self, name: str, database: str, credential_digest: str = "") -> None:
+        """`credential_digest`: of the client's token, which itself is not kept."""
         self.name = name
         self.database = database
-        self.token_digest = token_digest
+        self.credential_digest = credential_digest
         self.caller = NO_CALLER
         """Whose connections carry what runs now: set with each statement that begins something."""
         self.values: dict[str, str] = {}
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.load.patience import FUTILE_SECONDS
 from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.scheduling import ScheduledCall
@@ -22,8 +22,8 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
 from dewledge.core.pooler.sharing.channel_wait import MILLISECONDS, ChannelWait
-from dewledge.core.pooler.sharing.lead_proof import LeadProof
 from dewledge.core.pooler.sharing.messages import ChannelStatement, ProvenAge
+from dewledge.core.pooler.sharing.primary_proof import PrimaryProof
 from dewledge.core.pooler.statements.connection_setup import plan_setup, send_setup
 from dewledge.core.pooler.statements.statements import (
     Failure,
@@ -90,7 +90,7 @@
         self._slot_since = 0.0
         self._refuse_at = 0.0
         """Until then a statement may be sent again that found no slot."""
-        self._lead = LeadProof()
+        self._lead = PrimaryProof()
         self._ended = False
 
     @property
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.load.patience import Patience
 from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
+from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.wait_event import wait_refused
@@ -79,13 +79,13 @@
         if waiter is not None:
             waiter.withdrawn = True
 
-    def _patience(self, message: ChannelStatement) -> Patience:
+    def _patience(self, message: ChannelStatement) -> WaitDeadlines:
         now = self._services.scheduler.now()
         if not self._is_useful:
-            return Patience(now, now)
+            return WaitDeadlines(now, now)
         in_time = math.inf if message.in_time_seconds is None else now + message.in_time_seconds
         latest = now + self.longest(message)
-        return Patience(now - message.waited_seconds, now, in_time, latest)
+        return WaitDeadlines(now - message.waited_seconds, now, in_time, latest)
 
     def _judge_later(self, pool: ConnectionPool, waiter: Waiter) -> None:
         """Has the queue judge a statement that waits there anew, when it is time."""
--- a/src/dewledge/core/pooler/sharing/lead_proof.py
+++ b/src/dewledge/core/pooler/sharing/primary_proof.py
@@ -3,7 +3,7 @@
 from dewledge.core.pooler.statements.statements import StatementKind
 
 
-class LeadProof:
+class PrimaryProof:
     """Follows a connection's successful statements.
 
     Only a primary opens a plain transaction, and a database that has lost the lead refuses each
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Sequence
 
 from dewledge.core.pooler.databases.group import SEEK_AGAIN_SECONDS, Group
-from dewledge.core.pooler.load.patience import FUTILE_SECONDS, Patience
 from dewledge.core.pooler.load.return_moments import ReturnMoments
 from dewledge.core.pooler.load.ticket import Ticket, arrival_of
 from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
+from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS, WaitDeadlines
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.wait_event import wait_refused
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
@@ -258,11 +258,11 @@
         turn = max(alternative.seconds * TURN_COMPLETIONS, LEAST_TURN_SECONDS)
         return min(self.give_up_at, self._services.scheduler.now() + turn)
 
-    def _patience(self) -> Patience:
+    def _patience(self) -> WaitDeadlines:
         now = self._services.scheduler.now()
         if not self.is_useful:
-            return Patience(now, now)
-        return Patience(self.first_arrived, now, self.in_time_until, self.turn_ends_at)
+            return WaitDeadlines(now, now)
+        return WaitDeadlines(self.first_arrived, now, self.in_time_until, self.turn_ends_at)
 
     def _judge_later(self, waiter: Waiter) -> None:
         """Has the queue judge a statement that waits there anew, when it is time."""
--- a/src/dewledge/core/pooler/statements/lead_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooler.statements.targets import Proof, Target
 
 
-class LeadUse:
+class PrimaryLeaseUse:
     """Of one attempt after the other; `plan` begins each."""
 
     def __init__(
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -8,8 +8,8 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.load.choice import Candidate, Completion, order
-from dewledge.core.pooler.load.load_book import KnownLoad, LoadBook
-from dewledge.core.pooler.load.load_teller import bounded_report
+from dewledge.core.pooler.load.load_reporter import bounded_report
+from dewledge.core.pooler.load.load_table import KnownLoad, LoadTable
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.load.shown_failures import ShownFailures
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
@@ -43,7 +43,7 @@
         """`draw`: returns a number from 0 up to 1, at random."""
         self._clock = clock
         self._draw = draw
-        self.book = LoadBook()
+        self.book = LoadTable()
         self.failures = ShownFailures()
 
     def known(self, record: DatabaseRecord, pool: ConnectionPool | None) -> KnownLoad:
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -22,8 +22,8 @@
 )
 from dewledge.core.pooler.statements.database_search import RETRY_PAUSE_SECONDS, DatabaseSearch
 from dewledge.core.pooler.statements.held_connection import HeldConnection
-from dewledge.core.pooler.statements.lead_use import LeadUse
 from dewledge.core.pooler.statements.position_learning import PositionLearner
+from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from dewledge.core.pooler.statements.run_record import RunRecord
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statements import (
@@ -77,7 +77,7 @@
         self._record = RunRecord(services, session, route, statement, arrived)
         self._timers = RunTimers(services.scheduler)
         self._held = HeldConnection(services, group, self._holder_judged)
-        self._lead = LeadUse(group, self._transaction, self._writes, self._is_commit)
+        self._lead = PrimaryLeaseUse(group, self._transaction, self._writes, self._is_commit)
         self._learner = PositionLearner(group, session)
         self._watch = AnswerWatch(services.scheduler, group, self._held)
         self._search = DatabaseSearch(
--- a/src/dewledge/core/proxy/configuration/authorization.py
+++ b/src/dewledge/core/proxy/configuration/authorization.py
@@ -15,7 +15,7 @@
     Selector,
 )
 from dewledge.core.proxy.configuration.selectors import LabelIndex
-from dewledge.core.shared.caller_tokens import index_tokens, token_digest
+from dewledge.core.shared.caller_credentials import credential_digest, index_credentials
 
 BOOTSTRAP_OPERATOR = "bootstrap-operator"
 """The caller that presents the operator token of the settings; no Caller resource may be so named.
@@ -63,7 +63,7 @@
         self._groups = LabelIndex(configuration.of_kind(Kind.GROUP))
         self._databases = LabelIndex(configuration.of_kind(Kind.DATABASE))
         self._proxies = LabelIndex(configuration.of_kind(Kind.PROXY))
-        self._caller_by_digest = dict(index_tokens(_tokens_of_callers(configuration)))
+        self._caller_by_digest = dict(index_credentials(_tokens_of_callers(configuration)))
         if bootstrap_operator_token_sha256:
             self._caller_by_digest[bootstrap_operator_token_sha256] = BOOTSTRAP_OPERATOR
         rules = configuration.rules()
@@ -80,7 +80,7 @@
 
     def authenticate(self, token: str) -> str | None:
         """Returns the name of the caller that presents `token`, or None."""
-        return self._caller_by_digest.get(token_digest(token))
+        return self._caller_by_digest.get(credential_digest(token))
 
     def may_use(self, caller: str, group: str, access: Access, proxy: str) -> bool:
         """Tells whether `caller` may run statements with `access` in `group` through `proxy`.
--- a/src/dewledge/demo/steps_faults.py
+++ b/src/dewledge/demo/steps_faults.py
@@ -12,7 +12,7 @@
 from dewledge.demo.stage import Stage
 from dewledge.demo.traffic import Traffic, TrafficReport, longest_gap
 from dewledge.standin.group_types import HistoryEntry, LogEntry
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 
 WARM_UP_WRITES = 12
 WRITES_AFTER = 12
@@ -61,7 +61,7 @@
     narrator, cluster = stage.narrator, stage.cluster
     leaving = stage.random.choice(sorted(cluster.proxies))
     server = cluster.proxies[leaving]
-    place = Place(server.settings.zone, server.settings.region)
+    place = Locality(server.settings.zone, server.settings.region)
     with narrator.step(f"Planned stop of {leaving} under traffic"):
         with Traffic(stage, "stop") as traffic:
             _await_writes(stage, traffic, WARM_UP_WRITES)
--- a/src/dewledge/embedded.py
+++ b/src/dewledge/embedded.py
@@ -26,7 +26,7 @@
 from dewledge.standin.group_client import GroupClient
 from dewledge.standin.group_server import GroupServer
 from dewledge.standin.group_settings import LOOPBACK
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 from dewledge.standin.platform_client import PlatformFaultClient
 from dewledge.standin.platform_server import PlatformServer
 from dewledge.standin.platform_settings import PlatformSettings
@@ -48,16 +48,16 @@
     """
 
     deployment: Deployment
-    proxy_places: tuple[Place, ...] = ()
+    proxy_places: tuple[Locality, ...] = ()
     groups: tuple[str, ...] = ()
     timings: TimingSettings = TimingSettings()
     platform: PlatformSettings = PlatformSettings()
 
-    def places(self) -> tuple[Place, ...]:
+    def places(self) -> tuple[Locality, ...]:
         """Returns where the proxies run."""
         if self.proxy_places:
             return self.proxy_places
-        return tuple(Place(f"{site}-a", site) for site in self.deployment.sites)
+        return tuple(Locality(f"{site}-a", site) for site in self.deployment.sites)
 
     def group_names(self) -> tuple[str, ...]:
         """Returns the groups to start."""
@@ -115,7 +115,7 @@
             group.stop()
         self.platform.stop()
 
-    def add_proxy(self, place: Place, name: str | None = None) -> ProxyServer:
+    def add_proxy(self, place: Locality, name: str | None = None) -> ProxyServer:
         """Starts one more proxy, seeded from those that run."""
         self._started += 1
         chosen = name or f"proxy-{self._started}"
@@ -231,7 +231,7 @@
             addresses.update(group.addresses)
         return addresses
 
-    def _proxy_settings(self, name: str, place: Place) -> ProxySettings:
+    def _proxy_settings(self, name: str, place: Locality) -> ProxySettings:
         return ProxySettings(
             name=name,
             zone=place.zone,
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, Route, RouteTable
-from dewledge.core.shared.caller_tokens import index_tokens, token_digest
+from dewledge.core.shared.caller_credentials import credential_digest, index_credentials
 from dewledge.errors import ProtocolError
 
 MILLISECONDS = 1000.0
@@ -74,7 +74,7 @@
     try:
         row = msgspec.json.decode(value)
         for tenant in row.get("tenants", ()):
-            tenant["keyDigests"] = [token_digest(key) for key in tenant.pop("apiKeys", ())]
+            tenant["keyDigests"] = [credential_digest(key) for key in tenant.pop("apiKeys", ())]
     except (msgspec.DecodeError, AttributeError, KeyError, TypeError):
         return b""
     return msgspec.json.encode(row)
@@ -92,7 +92,9 @@
             for service in row.services
         },
         row.limits.tx_idle_ms / MILLISECONDS,
-        None if row.tenants is None else index_tokens((t.name, t.key_digests) for t in tenants),
+        None
+        if row.tenants is None
+        else index_credentials((t.name, t.key_digests) for t in tenants),
         {t.name: RateLimit(t.rate_per_s, t.burst) for t in tenants if t.rate_per_s > 0},
     )
 
--- a/src/dewledge/scale/hollow_network.py
+++ b/src/dewledge/scale/hollow_network.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from dewledge.scale.topology import Place, delay
+from dewledge.scale.topology import Locality, delay
 from dewledge.simulation.clock import EventQueue
 
 JITTER_SHARE = 0.1
@@ -51,7 +51,7 @@
         self._queue = queue
         self._random = random
 
-    def send_datagram(self, source: Place, destination: Place, deliver: Delivery) -> None:
+    def send_datagram(self, source: Locality, destination: Locality, deliver: Delivery) -> None:
         """Delivers a datagram once, twice, late or never."""
         faults = self.faults
         if self._is_cut(source, destination) or self._random.random() < faults.loss:
@@ -62,7 +62,7 @@
                 self._late(delay(source, destination)), source, destination, deliver
             )
 
-    def send_message(self, source: Place, destination: Place, deliver: Delivery) -> None:
+    def send_message(self, source: Locality, destination: Locality, deliver: Delivery) -> None:
         """Delivers a message over a link that is opened for it."""
         if self._is_cut(source, destination):
             return
@@ -75,7 +75,7 @@
         return pause
 
     def _deliver_after(
-        self, pause: float, source: Place, destination: Place, deliver: Delivery
+        self, pause: float, source: Locality, destination: Locality, deliver: Delivery
     ) -> None:
         def arrive() -> None:
             if not self._is_cut(source, destination):
@@ -84,5 +84,5 @@
         stretched = pause * (1.0 + JITTER_SHARE * self._random.random())
         self._queue.call_after(stretched, arrive)
 
-    def _is_cut(self, source: Place, destination: Place) -> bool:
+    def _is_cut(self, source: Locality, destination: Locality) -> bool:
         return self.regions_are_cut and source.region != destination.region
--- a/src/dewledge/scale/hollow_node.py
+++ b/src/dewledge/scale/hollow_node.py
@@ -27,7 +27,7 @@
 from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.core.proxy.messages import PeerMessage, decode, encode
 from dewledge.scale.hollow_network import DATAGRAM_OVERHEAD, MESSAGE_OVERHEAD, Traffic
-from dewledge.scale.topology import Place
+from dewledge.scale.topology import Locality
 
 
 class Carrier(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
     """
 
     def __init__(
-        self, me: Member, place: Place, settings: MembershipSettings, seed: str, carrier: Carrier
+        self, me: Member, place: Locality, settings: MembershipSettings, seed: str, carrier: Carrier
     ) -> None:
         self.name = me.name
         self.place = place
--- a/src/dewledge/scale/topology.py
+++ b/src/dewledge/scale/topology.py
@@ -10,7 +10,7 @@
 """One-way delays in seconds; those of the first deployment in the users' brief."""
 
 
-class Place(msgspec.Struct, frozen=True):
+class Locality(msgspec.Struct, frozen=True):
     """A zone and its region."""
 
     zone: str
@@ -18,16 +18,18 @@
 
 
 PLACES = tuple(
-    Place(f"{region}-{number}", region) for region in REGIONS for number in range(ZONES_PER_REGION)
+    Locality(f"{region}-{number}", region)
+    for region in REGIONS
+    for number in range(ZONES_PER_REGION)
 )
 
 
-def place_of(index: int) -> Place:
+def place_of(index: int) -> Locality:
     """Returns the place of the node with this number; nodes are spread evenly."""
     return PLACES[index % len(PLACES)]
 
 
-def delay(source: Place, destination: Place) -> float:
+def delay(source: Locality, destination: Locality) -> float:
     """Returns the one-way delay between two places, seconds."""
     if source.region != destination.region:
         return BETWEEN_REGIONS
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -8,8 +8,8 @@
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.databases.place import Place
-from dewledge.core.pooler.failover.lead_right import LeadRights
+from dewledge.core.pooler.databases.locality import Locality
+from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
 from dewledge.core.pooler.failover.reach_limit import ReachLimit
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sessions.services import PoolServices
@@ -38,13 +38,13 @@
         services: PoolServices,
         members: MemberTable,
         channels: ChannelClient,
-        rights: LeadRights,
+        rights: PrimaryLeases,
     ) -> None:
         self._loop = loop
         self._settings = settings
         self._platform = platform
         self._services = services
-        self._place = Place(settings.zone, settings.zones)
+        self._place = Locality(settings.zone, settings.zones)
         self._members = members
         self._rights = rights
         self.reach_limit = ReachLimit()
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -7,9 +7,13 @@
 
 from dewledge.core.pooler.coordination_store import CoordinationStore, StoreRow, StoreWrite
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
 from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
-from dewledge.core.pooler.failover.vouching import VouchAnswer, Vouching, VouchQuestion
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
+from dewledge.core.pooler.failover.quorum_confirmation import (
+    ConfirmationAnswer,
+    ConfirmationQuestion,
+    QuorumConfirmation,
+)
 from dewledge.errors import StoreError
 from dewledge.shell.pooler.links.peer_messages import ClaimAnswer, ClaimNotice
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
@@ -39,7 +43,7 @@
         self,
         loop: EventLoop,
         own_name: str,
-        rights: LeadRights,
+        rights: PrimaryLeases,
         groups: Mapping[str, Group],
         members: MemberTable,
         peers: PeerSocket,
@@ -58,7 +62,7 @@
         self._executor = executor
         self._claim_seen = claim_seen
         self._claim_known = claim_known
-        self._vouching = Vouching(own_name)
+        self._vouching = QuorumConfirmation(own_name)
         self._told: dict[str, int] = {}
         """The tokens of which the holder has been told directly, by group."""
         self._known_versions: dict[str, int] = {}
@@ -66,8 +70,8 @@
         self._stopped = False
         peers.on(ClaimNotice, self._take_notice)
         peers.on(ClaimAnswer, self._take_answer)
-        peers.on(VouchQuestion, self._take_question)
-        peers.on(VouchAnswer, self._take_vouching)
+        peers.on(ConfirmationQuestion, self._take_question)
+        peers.on(ConfirmationAnswer, self._take_vouching)
 
     def start(self) -> None:
         """Starts to look after the rights, where the platform does not fence."""
@@ -161,7 +165,7 @@
     def _take_answer(self, answer: ClaimAnswer, _sender: str) -> None:
         self._claim_known(answer.group, ClaimKnown(answer.sender, answer.token))
 
-    def _take_question(self, question: VouchQuestion, sender: str) -> None:
+    def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
         answer = self._vouching.answer(question, self._rights.by_group, self._members.members)
         if answer is None:
             return
@@ -170,7 +174,7 @@
             if answer.tokens.get(group, 0) > token:
                 self._send_claim(group, [sender])
 
-    def _take_vouching(self, answer: VouchAnswer, sender: str) -> None:
+    def _take_vouching(self, answer: ConfirmationAnswer, sender: str) -> None:
         for name in self._vouching.take(answer, self._rights.by_group):
             group = self._groups.get(name)
             if group is not None:
--- a/src/dewledge/shell/pooler/failover/succession_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -28,7 +28,7 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 
-class SuccessionCalls:
+class FailoverCalls:
     """Each call runs on the executor; what comes of it is told on the loop's thread."""
 
     def __init__(
--- a/src/dewledge/shell/pooler/failover/succession_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -10,10 +10,10 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.candidates import panel
-from dewledge.core.pooler.failover.lead_right import LeadRights
+from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
-    AskWitnesses,
+    AskIndirectProbes,
     Claim,
     ClaimKnown,
     ClaimSeen,
@@ -36,13 +36,13 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.succession import GroupSuccession
+from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.waiter import Denial, Waiter
 from dewledge.core.pooler.statements.statements import Reply, StatementKind
-from dewledge.shell.pooler.failover.succession_calls import SuccessionCalls
-from dewledge.shell.pooler.failover.witnesses import Witnesses
-from dewledge.shell.pooler.links.peer_messages import LeaderNotice, WitnessAnswer
+from dewledge.shell.pooler.failover.failover_calls import FailoverCalls
+from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
+from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice
 from dewledge.shell.pooler.tables.coordination_rows import CLAIM_PREFIX, read_claim
 from dewledge.shell.shared.event_loop import EventLoop
 
@@ -53,7 +53,7 @@
 STATUS_LIMIT_SECONDS = 1.0
 
 
-class SuccessionDriver:
+class FailoverDriver:
     """All methods belong to the loop's thread."""
 
     def __init__(
@@ -67,7 +67,7 @@
         executor: Executor,
         members: Callable[[], dict[str, str]],
         record: Callable[[msgspec.Struct], None],
-        rights: LeadRights,
+        rights: PrimaryLeases,
     ) -> None:
         """`members`: the peer address of each process by its name."""
         self._loop = loop
@@ -77,8 +77,8 @@
         self._members = members
         self._record = record
         self._rights = rights
-        self._successions: dict[str, GroupSuccession] = {}
-        self._witnesses: Witnesses | None = None
+        self._successions: dict[str, GroupFailover] = {}
+        self._witnesses: IndirectProbes | None = None
         self._stopped = False
         self._ticks = 0
         self._panels: dict[str, Sequence[str]] = {}
@@ -89,7 +89,7 @@
         """Called once a claim of this process stands in the store."""
         self.claim_taken: Callable[[str, Claim], None] = lambda group, claim: None
         """Called with a group and a claim on it that is news."""
-        self._calls = SuccessionCalls(
+        self._calls = FailoverCalls(
             loop,
             own_name,
             store,
@@ -100,7 +100,7 @@
             lambda: self.claim_written(),
         )
 
-    def start(self, witnesses: Witnesses) -> None:
+    def start(self, witnesses: IndirectProbes) -> None:
         """Starts to watch the groups' primaries."""
         self._witnesses = witnesses
         self._tick()
@@ -138,7 +138,7 @@
         """Takes which processes have rows in the store."""
         self._registered = registered
 
-    def take_answer(self, answer: WitnessAnswer) -> None:
+    def take_answer(self, answer: IndirectProbeAnswer) -> None:
         """Takes another process's word on a database."""
         record = self._find(answer.database)
         if record is not None:
@@ -186,7 +186,7 @@
         succession = self._successions.get(group_name)
         if succession is None:
             right = self._rights.of(group_name)
-            succession = GroupSuccession(group_name, self._own_name, self._record, right)
+            succession = GroupFailover(group_name, self._own_name, self._record, right)
             self._successions[group_name] = succession
         judges = self._panel(group_name)
         effects = succession.handle(event, group.view, judges, self._loop.now(), self._registered)
@@ -200,7 +200,7 @@
     def _carry_out(self, group: Group, effect: SuccessionEffect) -> None:
         if isinstance(effect, TestReach):
             self._test(group, effect.database)
-        elif isinstance(effect, AskWitnesses):
+        elif isinstance(effect, AskIndirectProbes):
             self._ask(group, effect.database)
         elif isinstance(effect, AnnounceLeader):
             self._announce(effect.database)
--- a/src/dewledge/shell/pooler/failover/witnesses.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -6,12 +6,16 @@
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.reach_limit import ReachLimit
 from dewledge.shell.pooler.links.byte_stream import Connecting
-from dewledge.shell.pooler.links.peer_messages import LeaderNotice, WitnessAnswer, WitnessQuestion
+from dewledge.shell.pooler.links.peer_messages import (
+    IndirectProbeAnswer,
+    IndirectProbeQuestion,
+    LeaderNotice,
+)
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.shared.event_loop import EventLoop
 
 
-class Witnesses:
+class IndirectProbes:
     """The questions on databases of one process, and its answers."""
 
     def __init__(
@@ -21,7 +25,7 @@
         own_name: str,
         find: Callable[[str], DatabaseRecord | None],
         asked: Callable[[DatabaseRecord], None],
-        answered: Callable[[WitnessAnswer], None],
+        answered: Callable[[IndirectProbeAnswer], None],
         leader_told: Callable[[LeaderNotice], None],
         reach_limit: ReachLimit,
     ) -> None:
@@ -32,13 +36,13 @@
         self._find = find
         self._asked = asked
         self._reach_limit = reach_limit
-        peers.on(WitnessQuestion, self._take_question)
-        peers.on(WitnessAnswer, lambda answer, _sender: answered(answer))
+        peers.on(IndirectProbeQuestion, self._take_question)
+        peers.on(IndirectProbeAnswer, lambda answer, _sender: answered(answer))
         peers.on(LeaderNotice, lambda notice, _sender: leader_told(notice))
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
         """Asks the processes at `addresses`."""
-        self._peers.send(WitnessQuestion(self._own_name, database_id), addresses)
+        self._peers.send(IndirectProbeQuestion(self._own_name, database_id), addresses)
 
     def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
         """Tells the processes at `addresses` which database leads."""
@@ -56,14 +60,14 @@
 
         Connecting(self._loop, record.address, limit, connected, lambda: done(False))
 
-    def _take_question(self, question: WitnessQuestion, sender: str) -> None:
+    def _take_question(self, question: IndirectProbeQuestion, sender: str) -> None:
         record = self._find(question.database)
         if record is None:
             return
         self._asked(record)
 
         def say(reachable: bool) -> None:
-            answer = WitnessAnswer(self._own_name, question.database, reachable)
+            answer = IndirectProbeAnswer(self._own_name, question.database, reachable)
             self._peers.send(answer, [sender])
 
         self.test(record, say)
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -6,7 +6,7 @@
 from loguru import logger
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.load.load_teller import LoadTeller
+from dewledge.core.pooler.load.load_reporter import LoadReporter
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.channel_session import ChannelSession
@@ -121,7 +121,7 @@
         self._gone = gone
         self._peer = ""
         self._loop = loop
-        self._tellers: dict[str, LoadTeller] = {}
+        self._tellers: dict[str, LoadReporter] = {}
         self._channels: dict[int, ChannelSession] = {}
         self._stream = FramedStream(loop, sock, self._received, self.close)
 
@@ -198,7 +198,7 @@
         if teller is None:
             if len(self._tellers) >= MOST_TOLD_DATABASES:
                 self._tellers.clear()
-            teller = self._tellers[database_id] = LoadTeller()
+            teller = self._tellers[database_id] = LoadReporter()
         return teller.word(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -7,7 +7,7 @@
 
 from loguru import logger
 
-from dewledge.core.pooler.load.refusal_pace import RefusalPace
+from dewledge.core.pooler.load.failed_login_throttle import FailedLoginThrottle
 from dewledge.core.pooler.sessions.client_session import ClientSession
 from dewledge.core.pooler.sessions.codec import ClientCodec
 from dewledge.core.pooler.sessions.services import PoolServices
@@ -34,7 +34,7 @@
         services: PoolServices,
         codec: ClientCodec,
         gone: Callable[["ClientConnection"], None],
-        pace: RefusalPace,
+        pace: FailedLoginThrottle,
     ) -> None:
         self._loop = loop
         self._codec = codec
@@ -54,7 +54,7 @@
         self._stream.send(self._codec.reply(statement_id, reply))
 
     def send_refusal(self, failure: Failure) -> None:
-        """Refuses the session and closes the connection; see RefusalPace for when."""
+        """Refuses the session and closes the connection; see FailedLoginThrottle for when."""
         self._is_refused = True
         pause = self._pace.pause(self._loop.now()) if failure.code in _PACED else 0.0
         if pause is None:
@@ -130,7 +130,7 @@
         self._listener = listener
         self.address = bound_address(listener)
         self._names = itertools.count(1)
-        self._pace = RefusalPace()
+        self._pace = FailedLoginThrottle()
         self.connections: set[ClientConnection] = set()
 
     @property
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -17,7 +17,7 @@
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.shell.pooler.links.byte_stream import ByteStream, Connecting
 from dewledge.shell.pooler.links.channel_client import ChannelClient
-from dewledge.shell.pooler.links.own_way import OwnWay
+from dewledge.shell.pooler.links.direct_connections import DirectConnections
 from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_LIMIT_SECONDS = 0.6
@@ -94,7 +94,7 @@
         self._channels = channels
         self._find_way = find_way
         self._fallbacks: Counter[str] = Counter()
-        self._own_ways: dict[str, OwnWay] = {}
+        self._own_ways: dict[str, DirectConnections] = {}
         """By database that was ever reached so: those of the routes in use at most."""
 
     def open(
@@ -152,13 +152,13 @@
         else:
             way.open(dial, opened, failed)
 
-    def _own_way(self, database_id: str) -> OwnWay | None:
+    def _own_way(self, database_id: str) -> DirectConnections | None:
         """Returns what is known of the direct way, None where ways are not judged."""
         if not self._channels.is_judged:
             return None
         way = self._own_ways.get(database_id)
         if way is None:
-            way = OwnWay(self._channels.loop, self._channels.jitter)
+            way = DirectConnections(self._channels.loop, self._channels.jitter)
             self._own_ways[database_id] = way
         return way
 
--- a/src/dewledge/shell/pooler/links/own_way.py
+++ b/src/dewledge/shell/pooler/links/direct_connections.py
@@ -20,7 +20,7 @@
 """Opens a connection and calls one of both once."""
 
 
-class OwnWay:
+class DirectConnections:
     """What is known of the direct way to one database."""
 
     def __init__(self, loop: EventLoop, jitter: Callable[[], float]) -> None:
--- a/src/dewledge/shell/pooler/links/peer_messages.py
+++ b/src/dewledge/shell/pooler/links/peer_messages.py
@@ -4,21 +4,24 @@
 import msgspec
 
 from dewledge.core.pooler.failover.messages import Claim
-from dewledge.core.pooler.failover.vouching import VouchAnswer, VouchQuestion
+from dewledge.core.pooler.failover.quorum_confirmation import (
+    ConfirmationAnswer,
+    ConfirmationQuestion,
+)
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
 from dewledge.errors import ProtocolError
 
 MAX_BYTES = 8192
 
 
-class WitnessQuestion(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+class IndirectProbeQuestion(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
     """Asks whether the receiver can open a connection to a database."""
 
     asker: str
     database: str
 
 
-class WitnessAnswer(msgspec.Struct, frozen=True, array_like=True, tag="say"):
+class IndirectProbeAnswer(msgspec.Struct, frozen=True, array_like=True, tag="say"):
     """The answer. A process that does not know the database gives none."""
 
     witness: str
@@ -50,13 +53,13 @@
 
 
 PeerMessage = (
-    WitnessQuestion
-    | WitnessAnswer
+    IndirectProbeQuestion
+    | IndirectProbeAnswer
     | LeaderNotice
     | ClaimNotice
     | ClaimAnswer
-    | VouchQuestion
-    | VouchAnswer
+    | ConfirmationQuestion
+    | ConfirmationAnswer
     | QuotaQuestion
     | QuotaAnswer
 )
--- a/src/dewledge/shell/pooler/observing/wait_teller.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooler.scheduling import Scheduler
 
 
-class WaitTeller:
+class WaitReporter:
     """At most a line for each pool of this process in SUMMARY_SECONDS."""
 
     def __init__(
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -8,15 +8,15 @@
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import StoreRow
-from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
 from dewledge.core.pooler.failover.messages import RegisteredProcesses
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.directory import Directory
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
-from dewledge.shell.pooler.failover.succession_driver import SuccessionDriver
-from dewledge.shell.pooler.failover.witnesses import Witnesses
+from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
+from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
 from dewledge.shell.pooler.links.channel_client import ChannelClient
 from dewledge.shell.pooler.links.channel_server import ChannelServer
 from dewledge.shell.pooler.links.client_listener import ClientListener
@@ -27,7 +27,7 @@
 from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
 from dewledge.shell.pooler.observing.process_gauges import add_process_gauges
 from dewledge.shell.pooler.observing.stall_watch import StallWatch
-from dewledge.shell.pooler.observing.wait_teller import WaitTeller
+from dewledge.shell.pooler.observing.wait_reporter import WaitReporter
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 from dewledge.shell.pooler.quota_driver import QuotaDriver
 from dewledge.shell.pooler.settings_file import SettingsFile
@@ -77,7 +77,7 @@
         # Where processes fence, a row written before this start would pass for this process's word.
         start = secrets.token_hex(4) if fencing is Fencing.PROCESSES else ""
         own = Member(settings.peer_address, settings.zone, start)
-        self._rights = LeadRights(fencing)
+        self._rights = PrimaryLeases(fencing)
         self._members = MemberTable(settings.name, own, platform.store)
         self._links = OutgoingLinks(
             self._loop, settings.name, self._log.record, settings.load.policy.silent_holders
@@ -106,7 +106,7 @@
             self._loop, settings.metrics_address, HttpLimits(), self._answer_metrics
         )
         self._executor = ThreadPoolExecutor(max_workers=EXECUTOR_THREADS)
-        self._succession = SuccessionDriver(
+        self._succession = FailoverDriver(
             self._loop,
             settings.name,
             self._services.groups,
@@ -143,7 +143,7 @@
         )
         self._succession.tell_claim = self._claims.tell
         self._succession.claim_taken = self._claims.claim_taken
-        self._witnesses = Witnesses(
+        self._witnesses = IndirectProbes(
             self._loop,
             self._peers,
             settings.name,
@@ -188,7 +188,9 @@
         self._directory.group_changed = self._succession.look_at
         self._leaving_since: float | None = None
         self._stall_watch = StallWatch(SWEEP_SECONDS)
-        self._waits = WaitTeller(self._services.scheduler, self._services.groups, self._log.record)
+        self._waits = WaitReporter(
+            self._services.scheduler, self._services.groups, self._log.record
+        )
 
     def run(self) -> None:
         """Serves until the process has left."""
--- a/src/dewledge/simulation/deployments.py
+++ b/src/dewledge/simulation/deployments.py
@@ -17,7 +17,7 @@
 )
 from dewledge.standin import deployments as standin
 from dewledge.standin.deployments import CallerRole, DeploymentName
-from dewledge.standin.link_delays import LinkDelays, Place
+from dewledge.standin.link_delays import LinkDelays, Locality
 
 __all__ = ["DEPLOYMENTS", "MENUS", "PERMITS", "Deployment", "DeploymentName", "build_configuration"]
 
@@ -43,17 +43,17 @@
     proxies_per_site: int = 2
     group_spec: GroupSpec = GroupSpec()
 
-    def proxies(self) -> dict[str, Place]:
+    def proxies(self) -> dict[str, Locality]:
         """Returns the proxies by name, spread over the zones."""
         return {
-            f"proxy-{site}-{number}": Place(f"{site}-{'ab'[number % 2]}", site)
+            f"proxy-{site}-{number}": Locality(f"{site}-{'ab'[number % 2]}", site)
             for site in self.sites
             for number in range(self.proxies_per_site)
         }
 
-    def databases(self, group: str) -> dict[str, Place]:
+    def databases(self, group: str) -> dict[str, Locality]:
         """Returns a group's databases by name: one in each site, or by zone with fewer sites."""
-        return {f"{group}-{site}": Place(f"{site}-a", site) for site in self.sites}
+        return {f"{group}-{site}": Locality(f"{site}-a", site) for site in self.sites}
 
 
 def _simulated(deployment: standin.Deployment) -> Deployment:
--- a/src/dewledge/simulation/simulated_proxy.py
+++ b/src/dewledge/simulation/simulated_proxy.py
@@ -30,7 +30,7 @@
 from dewledge.simulation.history import RevisionRecord
 from dewledge.simulation.planned_stop import PlannedStop
 from dewledge.simulation.reply_desk import AnswerReply, ProposalReply, ReplyDesk
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 
 if TYPE_CHECKING:
     from dewledge.simulation.world import World
@@ -54,7 +54,7 @@
     leaving: a planned stop has begun. store_cut: its calls to the platform are lost.
     """
 
-    def __init__(self, name: str, place: Place, world: "World", random: Random) -> None:
+    def __init__(self, name: str, place: Locality, world: "World", random: Random) -> None:
         self.name = name
         self.place = place
         self.incarnation = 0
--- a/src/dewledge/simulation/world.py
+++ b/src/dewledge/simulation/world.py
@@ -33,7 +33,7 @@
 from dewledge.simulation.workloads import SCHEMA
 from dewledge.standin.group_model import GroupModel
 from dewledge.standin.group_types import GroupTiming, ModelDatabase
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 
 MakeInterceptor = Callable[[SimulatedProxy], Interceptor]
 
@@ -208,12 +208,12 @@
 
     # Building.
 
-    def _place_nodes(self) -> dict[str, Place]:
+    def _place_nodes(self) -> dict[str, Locality]:
         places = dict(self.deployment.proxies())
         for group in self.deployment.groups:
             places |= self.deployment.databases(group)
         for site in self.deployment.sites:
-            places[CLIENT_PREFIX + site] = Place(site, site)
+            places[CLIENT_PREFIX + site] = Locality(site, site)
         return places
 
     def _delay(self, source: str, destination: str) -> float:
--- a/src/dewledge/standin/database_server.py
+++ b/src/dewledge/standin/database_server.py
@@ -28,7 +28,7 @@
 from dewledge.standin.group_runtime import GroupRuntime, GroupStopped
 from dewledge.standin.group_settings import DatabaseSettings, GroupSettings
 from dewledge.standin.http_server import ConnectionHandler, HttpReply, HttpRequest, HttpServer
-from dewledge.standin.link_delays import LinkDelays, Place
+from dewledge.standin.link_delays import LinkDelays, Locality
 
 
 class DatabaseServer:
@@ -41,7 +41,7 @@
         self.runtime = runtime
         self.group = group
         self.links: LinkDelays = group.links.to_delays()
-        self.place = Place(database.zone, database.region)
+        self.place = Locality(database.zone, database.region)
         self.slots = threading.BoundedSemaphore(database.slots)
         self._http = HttpServer(database.address, lambda: _DatabaseSession(self))
 
@@ -74,7 +74,7 @@
     def handle(self, request: HttpRequest) -> HttpReply | None:
         """Answers one request, after the delays of the link there and back."""
         if request.path in (OPEN_PATH, STATUS_PATH):
-            client = Place(request.query.get("zone", ""), request.query.get("region", ""))
+            client = Locality(request.query.get("zone", ""), request.query.get("region", ""))
             self._link_delay = self._server.links.one_way(client, self._server.place)
         _pause(self._link_delay)
         try:
--- a/src/dewledge/standin/deployment_resources.py
+++ b/src/dewledge/standin/deployment_resources.py
@@ -18,7 +18,7 @@
     Spec,
 )
 from dewledge.standin.deployments import CallerRole, Deployment, DeploymentCaller
-from dewledge.standin.link_delays import Place
+from dewledge.standin.link_delays import Locality
 
 DEPLOYMENT_LABEL = "deployment"
 ROLE_LABEL = "role"
@@ -59,7 +59,7 @@
 
 
 def _database(
-    deployment: Deployment, group: str, name: str, place: Place, address: str
+    deployment: Deployment, group: str, name: str, place: Locality, address: str
 ) -> Resource:
     labels = {
         DEPLOYMENT_LABEL: deployment.name.value,
--- a/src/dewledge/standin/deployments.py
+++ b/src/dewledge/standin/deployments.py
@@ -15,7 +15,7 @@
     GroupSettings,
     LinkSettings,
 )
-from dewledge.standin.link_delays import LinkDelays, Place
+from dewledge.standin.link_delays import LinkDelays, Locality
 from dewledge.standin.workloads import MENUS_WORKLOAD, PERMITS_WORKLOAD, Workload
 
 ZONE_LETTERS = ("a", "b")
@@ -62,19 +62,19 @@
     read_time: float = 0.002
     write_time: float = 0.004
 
-    def places(self) -> tuple[Place, ...]:
+    def places(self) -> tuple[Locality, ...]:
         """Returns every zone with its region, site by site."""
         return tuple(
-            Place(f"{site}-{letter}", site) for site in self.sites for letter in ZONE_LETTERS
+            Locality(f"{site}-{letter}", site) for site in self.sites for letter in ZONE_LETTERS
         )
 
-    def databases_of(self, group: str) -> dict[str, Place]:
+    def databases_of(self, group: str) -> dict[str, Locality]:
         """Returns the places of a group's databases by name, the first primary first."""
         home = self.groups.index(group) % len(self.sites)
         sites = self.sites[home:] + self.sites[:home]
-        return {f"{group}-{site}": Place(f"{site}-{ZONE_LETTERS[0]}", site) for site in sites}
+        return {f"{group}-{site}": Locality(f"{site}-{ZONE_LETTERS[0]}", site) for site in sites}
 
-    def databases(self) -> dict[str, Place]:
+    def databases(self) -> dict[str, Locality]:
         """Returns the places of all databases by name."""
         return {
             name: place for group in self.groups for name, place in self.databases_of(group).items()
@@ -105,7 +105,7 @@
             ),
         )
 
-    def _database_settings(self, name: str, place: Place, address: str) -> DatabaseSettings:
+    def _database_settings(self, name: str, place: Locality, address: str) -> DatabaseSettings:
         return DatabaseSettings(
             name=name,
             address=address,
--- a/src/dewledge/standin/group_types.py
+++ b/src/dewledge/standin/group_types.py
@@ -7,7 +7,7 @@
 from dewledge.core.proxy.calls import Statement
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import DatabaseError, ErrorCode
-from dewledge.standin.link_delays import LinkDelays, Place
+from dewledge.standin.link_delays import LinkDelays, Locality
 
 
 class ModelDatabase(msgspec.Struct, frozen=True):
@@ -21,9 +21,9 @@
     region: str = ""
 
     @property
-    def place(self) -> Place:
+    def place(self) -> Locality:
         """Returns where the database is."""
-        return Place(self.zone, self.region)
+        return Locality(self.zone, self.region)
 
 
 class GroupTiming(msgspec.Struct, frozen=True):
--- a/src/dewledge/standin/link_delays.py
+++ b/src/dewledge/standin/link_delays.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Place(msgspec.Struct, frozen=True):
+class Locality(msgspec.Struct, frozen=True):
     """Where a machine is. Zone names are unique over all regions."""
 
     zone: str
@@ -18,7 +18,7 @@
     between_regions: float = 0.0
     to_clients: float = 0.0
 
-    def one_way(self, source: Place, target: Place) -> float:
+    def one_way(self, source: Locality, target: Locality) -> float:
         """Returns the delay from one place to another; an unnamed zone is taken as the same."""
         if source.zone == target.zone or not source.zone or not target.zone:
             return self.within_zone
--- a/tests/core/pooler/failover/test_succession.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -5,9 +5,10 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
-    AskWitnesses,
+    AskIndirectProbes,
     Claim,
     ClaimRefused,
     ClaimSeen,
@@ -28,7 +29,6 @@
     WriteClaim,
 )
 from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
-from dewledge.core.pooler.failover.succession import GroupSuccession
 from dewledge.core.shared.positions import LogPosition
 
 MEMBERS = ("a", "b", "c")
@@ -44,7 +44,7 @@
         self.revision = 0
         for name, role in (("p", "primary"), ("r1", "replica"), ("r2", "replica")):
             self.announce(name, role)
-        self.succession = GroupSuccession("menus", "a", self.events.append)
+        self.succession = GroupFailover("menus", "a", self.events.append)
         self.effects: list[SuccessionEffect] = []
 
     def announce(self, name: str, role: str, draining: bool = False) -> None:
@@ -112,7 +112,7 @@
     def test_when_all_agree_the_duty_is_claimed_at_once(self) -> None:
         self.lose_primary()
         self.confirm()
-        self.assertEqual(self.of(AskWitnesses), [AskWitnesses("p")])
+        self.assertEqual(self.of(AskIndirectProbes), [AskIndirectProbes("p")])
         self.assertEqual(self.replacements(), [WriteClaim("p", 0)])
 
     def test_a_majority_is_enough_after_a_while(self) -> None:
@@ -272,7 +272,7 @@
     def test_one_process_holds_the_duty_of_a_healthy_group(self) -> None:
         writers = []
         for name in MEMBERS:
-            succession = GroupSuccession("menus", name, self.events.append)
+            succession = GroupFailover("menus", name, self.events.append)
             for now in (self.now, self.now + SETTLED_SECONDS):
                 effects = succession.handle(Ticked(), self.view, MEMBERS, now)
                 writers += [name for effect in effects if isinstance(effect, WriteClaim)]
@@ -286,7 +286,7 @@
             (0.2 + 2 * SETTLED_SECONDS, MEMBERS),
         )
         for name in MEMBERS[1:]:
-            succession = GroupSuccession("menus", name, self.events.append)
+            succession = GroupFailover("menus", name, self.events.append)
             for after, members in known:
                 effects = succession.handle(Ticked(), self.view, members, self.now + after)
                 self.assertEqual(effects, [], (name, after))
@@ -318,7 +318,7 @@
         view = view.with_record(record, 0.0).with_record(other, 0.0)
         leaving = DatabaseRecord("p", "menus", "x", "z", DatabaseRole.PRIMARY, True, 3, 3)
         view = view.with_record(leaving, 0.0)
-        succession = GroupSuccession("menus", "outsider", lambda _: None)
+        succession = GroupFailover("menus", "outsider", lambda _: None)
         for step in range(5):
             self.assertEqual(succession.handle(Ticked(), view, MEMBERS, step * 0.04), [])
 
@@ -392,7 +392,7 @@
 
 class RaceTest(SuccessionCase):
     def test_of_many_that_claim_at_once_only_the_holder_of_the_row_promotes(self) -> None:
-        contenders = {name: GroupSuccession("menus", name, self.events.append) for name in MEMBERS}
+        contenders = {name: GroupFailover("menus", name, self.events.append) for name in MEMBERS}
         promotions = []
         row: Claim | None = None
         for step in range(200):
--- a/tests/core/pooler/failover/test_lead_right.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -9,14 +9,18 @@
     standing_claim,
     withdrawn_claim,
 )
-from dewledge.core.pooler.failover.lead_right import (
+from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses, WriteClaim
+from dewledge.core.pooler.failover.primary_lease import (
     RIGHT_SECONDS,
     Fencing,
-    LeadRight,
-    LeadRights,
+    PrimaryLease,
+    PrimaryLeases,
+)
+from dewledge.core.pooler.failover.quorum_confirmation import (
+    ConfirmationAnswer,
+    ConfirmationQuestion,
+    QuorumConfirmation,
 )
-from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses, WriteClaim
-from dewledge.core.pooler.failover.vouching import VouchAnswer, Vouching, VouchQuestion
 
 NOW = 1000.0
 VOTERS = ("a", "b", "c", "d", "e")
@@ -42,27 +46,27 @@
         )
         for name, fencing, confirmed_at, leader, allowed in cases:
             with self.subTest(name):
-                right = LeadRight(fencing)
+                right = PrimaryLease(fencing)
                 if confirmed_at is not None:
                     right.confirm(confirmed_at)
                 right.take_claim(claim(5, leader))
                 self.assertEqual(right.allows("p", NOW), allowed)
 
     def test_an_older_claim_changes_nothing(self) -> None:
-        right = LeadRight(Fencing.PROCESSES)
+        right = PrimaryLease(Fencing.PROCESSES)
         self.assertTrue(right.take_claim(claim(7, "")))
         self.assertFalse(right.take_claim(claim(5)))
         self.assertFalse(right.take_claim(claim(7)))
         self.assertTrue(right.is_banned("p"))
 
     def test_an_older_word_does_not_shorten_the_right(self) -> None:
-        right = LeadRight(Fencing.PROCESSES)
+        right = PrimaryLease(Fencing.PROCESSES)
         right.confirm(NOW)
         right.confirm(NOW - 1.0)
         self.assertEqual(right.confirmed_at, NOW)
 
     def test_a_group_first_seen_shares_the_word_on_all(self) -> None:
-        rights = LeadRights(Fencing.PROCESSES)
+        rights = PrimaryLeases(Fencing.PROCESSES)
         rights.confirm_all(NOW)
         self.assertTrue(rights.of("menus").allows("p", NOW + 0.1))
 
@@ -125,10 +129,10 @@
 
 class ClaimWritingTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.right = LeadRight(Fencing.PROCESSES)
+        self.right = PrimaryLease(Fencing.PROCESSES)
 
     def test_where_the_platform_fences_it_is_as_short_as_before(self) -> None:
-        right = LeadRight(Fencing.PLATFORM)
+        right = PrimaryLease(Fencing.PLATFORM)
         expected = WriteClaim("p", 0)
         self.assertEqual(duty_claim(right, VOTERS, "p", False), expected)
 
@@ -142,7 +146,7 @@
         )
         for name, before, serves_on, leader in cases:
             with self.subTest(name):
-                self.right = LeadRight(Fencing.PROCESSES)
+                self.right = PrimaryLease(Fencing.PROCESSES)
                 self.right.take_claim(claim(7, before))
                 write = duty_claim(self.right, VOTERS, "p", serves_on)
                 self.assertEqual(write.leader, leader)
@@ -167,7 +171,7 @@
 
     def test_a_standing_claim_leaves_the_leader(self) -> None:
         for leader in (None, "", "p"):
-            self.right = LeadRight(Fencing.PROCESSES)
+            self.right = PrimaryLease(Fencing.PROCESSES)
             self.right.take_claim(claim(7, leader))
             write = standing_claim(self.right, VOTERS, False)
             self.assertEqual(write.leader, leader)
@@ -183,24 +187,24 @@
 
 class VouchingTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.rights = {name: LeadRights(Fencing.PROCESSES) for name in VOTERS}
+        self.rights = {name: PrimaryLeases(Fencing.PROCESSES) for name in VOTERS}
         for rights in self.rights.values():
             rights.of("menus").take_claim(claim(7))
             rights.confirm_all(NOW)
-        self.vouching = Vouching("a")
+        self.vouching = QuorumConfirmation("a")
 
-    def ask(self, now: float) -> VouchQuestion:
+    def ask(self, now: float) -> ConfirmationQuestion:
         inquiry = self.vouching.ask(self.rights["a"].by_group, now)
         assert inquiry is not None
         self.assertEqual(inquiry.voters, VOTERS[1:])
         return inquiry.question
 
-    def answer(self, voter: str, question: VouchQuestion) -> VouchAnswer:
-        answer = Vouching(voter).answer(question, self.rights[voter].by_group, VOTERS)
+    def answer(self, voter: str, question: ConfirmationQuestion) -> ConfirmationAnswer:
+        answer = QuorumConfirmation(voter).answer(question, self.rights[voter].by_group, VOTERS)
         assert answer is not None
         return answer
 
-    def take(self, answer: VouchAnswer) -> None:
+    def take(self, answer: ConfirmationAnswer) -> None:
         self.vouching.take(answer, self.rights["a"].by_group)
 
     def test_while_the_word_is_young_nobody_is_asked(self) -> None:
@@ -239,8 +243,10 @@
         self.assertEqual(self.rights["a"].of("menus").confirmed_at, NOW)
 
     def test_a_process_without_a_row_is_not_vouched_for(self) -> None:
-        question = VouchQuestion("stranger", 1, {"menus": 7})
-        self.assertIsNone(Vouching("b").answer(question, self.rights["b"].by_group, VOTERS))
+        question = ConfirmationQuestion("stranger", 1, {"menus": 7})
+        self.assertIsNone(
+            QuorumConfirmation("b").answer(question, self.rights["b"].by_group, VOTERS)
+        )
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/failover/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.lead_right import RIGHT_SECONDS, Fencing, LeadRight
+from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
@@ -24,9 +24,9 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.succession import GroupSuccession
+from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS, Fencing, PrimaryLease
 from dewledge.core.shared.positions import LogPosition
-from tests.core.pooler.failover.test_succession import MEMBERS, SuccessionCase
+from tests.core.pooler.failover.test_group_failover import MEMBERS, SuccessionCase
 
 
 class UnfencedCase(SuccessionCase):
@@ -34,8 +34,8 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.right = LeadRight(Fencing.PROCESSES)
-        self.succession = GroupSuccession("menus", "a", self.events.append, self.right)
+        self.right = PrimaryLease(Fencing.PROCESSES)
+        self.succession = GroupFailover("menus", "a", self.events.append, self.right)
         self.is_store_up = True
         self.token = 0
 
--- a/tests/core/pooler/harness.py
+++ b/tests/core/pooler/harness.py
@@ -7,7 +7,7 @@
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.events import PoolingEvent, StatementAnswered
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.opener import Opener
@@ -381,7 +381,7 @@
         self.suspected: list[str] = []
         self.services = PoolServices(self.scheduler, self.events.append)
         self.services.suspect = lambda group, database: self.suspected.append(database)
-        place = Place("b", {"a": "north", "b": "north", "c": "south"})
+        place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(GROUP, place, opener or self.model, self.scheduler.now, 5.0)
         self.group.set_connection_limit(limit)
         self.services.groups[GROUP] = self.group
--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.load.choice import Candidate, Completion, order
-from dewledge.core.pooler.load.load_book import LoadBook
+from dewledge.core.pooler.load.load_table import LoadTable
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.load.shown_failures import MOST_DATABASES, ShownFailures
 
@@ -114,7 +114,7 @@
     def test_shares_stay_bounded_while_word_comes_with_answers(self) -> None:
         """Each round all processes send one statement; word tells the queue of the last round."""
         source = random.Random(5)
-        books = [LoadBook() for _ in range(PROCESSES)]
+        books = [LoadTable() for _ in range(PROCESSES)]
         queued = dict.fromkeys("abc", 0)
         total: Counter[str] = Counter()
         worst = 0
--- a/tests/core/pooler/load/test_load_book.py
+++ b/tests/core/pooler/load/test_load_table.py
@@ -7,16 +7,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.load_book import (
+from dewledge.core.pooler.load.load_reporter import LoadReporter, bounded_report
+from dewledge.core.pooler.load.load_table import (
     MOST_DATABASES,
     MOST_HOLDERS,
     SERVICE_HALF_LIFE_SECONDS,
     USUAL_SERVICE_SECONDS,
     WORD_HALF_LIFE_SECONDS,
     KnownLoad,
-    LoadBook,
+    LoadTable,
 )
-from dewledge.core.pooler.load.load_teller import LoadTeller, bounded_report
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sharing.messages import channel_reply, decode, encode
 from dewledge.core.pooler.statements.statements import Reply, TransactionState
@@ -60,25 +60,25 @@
         )
         for title, later, is_told in cases:
             with self.subTest(title):
-                teller = LoadTeller()
+                teller = LoadReporter()
                 self.assertEqual(teller.word(report(), NOW), report())
                 word = teller.word(later, NOW + 0.01)
                 self.assertEqual(word, later if is_told else None)
 
     def test_the_same_is_told_again_once_it_counts_half(self) -> None:
-        teller = LoadTeller()
+        teller = LoadReporter()
         told = [teller.word(report(), NOW + tick / 100) for tick in range(1000)]
         words = sum(word is not None for word in told)
         self.assertEqual(words, round(10 / WORD_HALF_LIFE_SECONDS))
 
     def test_small_changes_add_up(self) -> None:
-        teller = LoadTeller()
+        teller = LoadReporter()
         told = [teller.word(report(waiting=tick), NOW) for tick in range(5)]
         self.assertEqual([word is not None for word in told], [True, False, True, False, True])
 
 
 class BookTest(unittest.TestCase):
-    def wait(self, book: LoadBook, now: float, sent: int = 0, in_flight: int = 0) -> float:
+    def wait(self, book: LoadTable, now: float, sent: int = 0, in_flight: int = 0) -> float:
         known = book.known("d", now)
         assert known is not None
         return known.expected_wait(sent, in_flight).seconds
@@ -97,12 +97,12 @@
         )
         for title, told, sent, expected in cases:
             with self.subTest(title):
-                book = LoadBook()
+                book = LoadTable()
                 book.take("d", "h", told, NOW)
                 self.assertAlmostEqual(self.wait(book, NOW, sent, sent), expected)
 
     def test_old_word_counts_less_until_own_counts_take_over(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         book.take("d", "h", report(waiting=40, running=4), NOW)
         waits = [self.wait(book, NOW + age, in_flight=5) for age in (0.0, 0.5, 2.0, 60.0)]
         self.assertEqual(waits, sorted(waits, reverse=True))
@@ -114,7 +114,7 @@
         self.assertAlmostEqual(known.age_seconds, 2.0)  # type: ignore[union-attr]
 
     def test_what_was_sent_counts_until_the_next_word(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         book.note_sent("d")
         self.assertEqual(book.sent_since("d"), 0)
         book.take("d", "h", report(), NOW)
@@ -125,7 +125,7 @@
         self.assertEqual(book.sent_since("d"), 0)
 
     def test_a_lost_holder_soon_says_nothing_beside_another(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         book.take("d", "lost", report(waiting=40, running=4), NOW)
         book.take("d", "h", report(), NOW)
         self.assertAlmostEqual(self.wait(book, NOW), (22 + 1 - 2) * 0.01 / 2)
@@ -133,7 +133,7 @@
         self.assertAlmostEqual(self.wait(book, NOW + 3.0), 0.0)
 
     def test_a_database_that_was_slow_is_taken_for_a_usual_one_in_time(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         book.take("d", "h", report(service_ms=40), NOW)
         for other in ("e", "f"):
             book.take(other, "h", report(), NOW)
@@ -142,24 +142,24 @@
         self.assertAlmostEqual(times[1], 0.025)
         self.assertAlmostEqual(times[2], 0.01, places=4)
         self.assertEqual(SERVICE_HALF_LIFE_SECONDS, 4.0)
-        self.assertEqual(LoadBook().usual_service(), USUAL_SERVICE_SECONDS)
+        self.assertEqual(LoadTable().usual_service(), USUAL_SERVICE_SECONDS)
 
     def test_a_process_that_wakes_takes_its_word_for_old(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         book.take("d", "h", report(waiting=40, running=4), NOW)
         known = book.known("d", NOW + 30.0)
         self.assertLess(known.weight, 1e-9)  # type: ignore[union-attr]
 
     @given(st.lists(st.tuples(st.integers(0, 1400), st.integers(0, 40), st.integers(0, 300))))
     def test_state_is_bounded(self, words: list[tuple[int, int, int]]) -> None:
-        book = LoadBook()
+        book = LoadTable()
         for number, (database, holder, waiting) in enumerate(words):
             book.take(f"d{database}", f"h{holder}", report(waiting=waiting), NOW + number)
             book.note_sent(f"d{database}")
         self.assertLessEqual(len(book), MOST_DATABASES)
 
     def test_many_databases_and_holders_leave_the_newest(self) -> None:
-        book = LoadBook()
+        book = LoadTable()
         for number in range(1400):
             for holder in range(2 * MOST_HOLDERS):
                 book.take(f"d{number}", f"h{holder}", report(), NOW + number)
--- a/tests/core/pooler/load/test_refusal_pace.py
+++ b/tests/core/pooler/load/test_refusal_pace.py
@@ -2,11 +2,11 @@
 
 import unittest
 
-from dewledge.core.pooler.load.refusal_pace import (
+from dewledge.core.pooler.load.failed_login_throttle import (
     ANSWERS_PER_SECOND,
     MOST_HELD,
     PAUSE_SECONDS,
-    RefusalPace,
+    FailedLoginThrottle,
 )
 
 
@@ -21,14 +21,14 @@
         ]
         for name, tries, held, closed in rows:
             with self.subTest(name):
-                pace = RefusalPace()
+                pace = FailedLoginThrottle()
                 pauses = [pace.pause(100.0) for _ in range(tries)]
                 self.assertEqual(pauses.count(PAUSE_SECONDS), held)
                 self.assertEqual(pauses.count(None), closed)
                 self.assertEqual(pauses.count(0.0), tries - held - closed)
 
     def test_told_ones_make_room_and_time_fills_up(self) -> None:
-        pace = RefusalPace()
+        pace = FailedLoginThrottle()
         for _ in range(int(ANSWERS_PER_SECOND) + MOST_HELD):
             pace.pause(100.0)
         self.assertIsNone(pace.pause(100.0))
@@ -37,7 +37,7 @@
         self.assertEqual(pace.pause(100.2), 0.0)
 
     def test_a_client_that_comes_back_at_once_is_bounded_by_the_pause(self) -> None:
-        pace, now, tries = RefusalPace(), 100.0, 0
+        pace, now, tries = FailedLoginThrottle(), 100.0, 0
         while now < 200.0:
             pause = pace.pause(now)
             tries += 1
--- a/tests/core/pooler/load/test_patience.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -7,7 +7,6 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.load.expected_wait import ExpectedWait
-from dewledge.core.pooler.load.patience import Patience, Standing, judged_again_at, may_wait
 from dewledge.core.pooler.load.return_moments import (
     LEAST_RETURN_SECONDS,
     LONGEST_RETURN_SECONDS,
@@ -15,8 +14,14 @@
 )
 from dewledge.core.pooler.load.ticket import Ticket, arrival_of
 from dewledge.core.pooler.load.wait_counts import WaitRecord
+from dewledge.core.pooler.load.wait_deadlines import (
+    Standing,
+    WaitDeadlines,
+    judged_again_at,
+    may_wait,
+)
 
-HURRIED = Patience(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
+HURRIED = WaitDeadlines(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
 SECONDS = st.floats(0, 20, allow_nan=False)
 
 
@@ -40,13 +45,13 @@
             self.assertEqual(HURRIED.standing(now), Standing(standing), now)
 
     def test_one_that_has_come_back_is_not_passed_over_again(self) -> None:
-        returned = Patience(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
+        returned = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
         for now in (10.0, 11.4, 11.6):
             self.assertEqual(returned.standing(now), Standing.IN_TIME, now)
             self.assertTrue(returned.is_urgent_by_time(now))
 
     def test_without_a_target_or_a_time_nothing_is_late(self) -> None:
-        endless = Patience(1.0, 1.0)
+        endless = WaitDeadlines(1.0, 1.0)
         self.assertTrue(may_wait(endless, 1e9, ExpectedWait(1e9)))
         self.assertEqual(endless.standing(1e9), Standing.IN_TIME)
         self.assertEqual(endless.next_change(5.0), math.inf)
@@ -56,7 +61,7 @@
     def test_its_standing_changes_when_it_says_so_and_at_most_twice(
         self, came: float, in_time: float, latest: float, now: float
     ) -> None:
-        patience = Patience(came, came, in_time, latest)
+        patience = WaitDeadlines(came, came, in_time, latest)
         changes = 0
         while (change := patience.next_change(now)) < math.inf:
             between = (now + change) / 2
@@ -70,7 +75,7 @@
     def test_it_is_judged_a_few_times_and_never_after_its_time(
         self, latest: float, expected: float | None
     ) -> None:
-        patience = Patience(0.0, 0.0, latest_start=latest)
+        patience = WaitDeadlines(0.0, 0.0, latest_start=latest)
         wait = None if expected is None else ExpectedWait(expected)
         now, judgements = 0.0, 0
         while may_wait(patience, now, wait):
--- a/tests/core/pooler/rate_limits/crowd.py
+++ b/tests/core/pooler/rate_limits/crowd.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
+from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
 
 AT_ONCE_SECONDS = 0.1
 """Clients that do not heed what they are told ask again after this, twice."""
@@ -50,7 +50,7 @@
     def __init__(
         self, rate: float, size: float, heeds: bool, bears: float = BEARS, tokens: float = 0.0
     ) -> None:
-        self.line = TokenLine(TokenBucket(rate, size, tokens, 0.0))
+        self.line = TokenQueue(TokenBucket(rate, size, tokens, 0.0))
         self.operations: list[Operation] = []
         self._heeds = heeds
         self._bears = bears
--- a/tests/core/pooler/rate_limits/test_caller_lines.py
+++ b/tests/core/pooler/rate_limits/test_caller_token_queues.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.caller_lines import LEAST_URGENT, CallerLines
+from dewledge.core.pooler.rate_limits.caller_token_queues import LEAST_URGENT, CallerTokenQueues
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
 from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_line import Given, Promised, TokenLine
+from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
 from tests.core.pooler.rate_limits.crowd import Crowd, Operation, steady
 
 RATE = 20.0
@@ -32,7 +32,7 @@
     """The lines of one caller as one line, the urgency by the operation's number."""
 
     def __init__(self, bucket: TokenBucket, urgency: Urgency) -> None:
-        self._lines = CallerLines(bucket)
+        self._lines = CallerTokenQueues(bucket)
         self._urgency = urgency
 
     def ask(
@@ -149,8 +149,8 @@
     def test_one_urgency_is_one_line(
         self, asked: list[tuple[float, int]], urgency: int, tokens: float
     ) -> None:
-        lines = CallerLines(TokenBucket(RATE, SIZE, tokens, 0.0))
-        line = TokenLine(TokenBucket(RATE, SIZE, tokens, 0.0))
+        lines = CallerTokenQueues(TokenBucket(RATE, SIZE, tokens, 0.0))
+        line = TokenQueue(TokenBucket(RATE, SIZE, tokens, 0.0))
         now = 0.0
         for pause, number in asked:
             now += pause
@@ -170,7 +170,7 @@
         self, asked: list[tuple[float, int]], rate: float, size: float, share: float
     ) -> None:
         """Whatever is asked: the bound on a caller rests on its bucket alone."""
-        lines = CallerLines(TokenBucket(rate, size, size, 0.0))
+        lines = CallerTokenQueues(TokenBucket(rate, size, size, 0.0))
         now, given_count = 0.0, 0
         for number, (pause, urgency) in enumerate(asked):
             now += pause
@@ -183,13 +183,13 @@
 
     def test_a_bucket_of_one_token_serves_both(self) -> None:
         """The share of a grantor with few votes."""
-        lines = CallerLines(TokenBucket(2.0, 1.0, 1.0, 0.0))
+        lines = CallerTokenQueues(TokenBucket(2.0, 1.0, 1.0, 0.0))
         for number, urgency in enumerate((URGENT, OTHERS, URGENT, OTHERS)):
             found = lines.ask(urgency, PlaceKey("p", number), number, number, 1.0, 0.5)
             self.assertIsInstance(found, Given)
 
     def test_lines_are_bounded(self) -> None:
-        lines = CallerLines(TokenBucket(RATE, SIZE, SIZE, 0.0))
+        lines = CallerTokenQueues(TokenBucket(RATE, SIZE, SIZE, 0.0))
         for urgency in range(-50, 1000):
             lines.ask(urgency, PlaceKey("p", urgency), 0.0, 0.0, 1.0, 0.5)
         self.assertLessEqual(len(lines._lines), LEAST_URGENT + 1)
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -8,8 +8,8 @@
 
 from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS, Grantor, GrantorChanged
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
+from dewledge.core.pooler.rate_limits.local_allowance import LocalAllowance
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion, TokenWant
-from dewledge.core.pooler.rate_limits.own_share import OwnShare
 from dewledge.core.pooler.rate_limits.slots import (
     PROCESSES_PER_SLOT,
     VOTES_EACH,
@@ -323,35 +323,35 @@
 
 
 class OwnShareTest(unittest.TestCase):
-    def admitted(self, share: OwnShare, seconds: float, counted_until: float) -> int:
+    def admitted(self, share: LocalAllowance, seconds: float, counted_until: float) -> int:
         return sum(share.take(step / 100, counted_until) for step in range(int(seconds * 100)))
 
     def test_while_its_vote_may_count_a_process_has_its_reserve_alone(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = OwnShare(LIMIT, POLICY, 10, 0, 0.0)
+        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
         self.assertEqual(self.admitted(share, 5.0, counted_until=99.0), reserve - 1)
 
     def test_after_that_it_has_its_share_of_the_rate_too(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = OwnShare(LIMIT, POLICY, 10, 0, 0.0)
+        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
         admitted = self.admitted(share, 5.0, counted_until=0.0)
         self.assertLessEqual(admitted, reserve + 50)
         self.assertGreater(admitted, 45)
 
     def test_without_a_vote_it_has_its_reserve_alone(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = OwnShare(LIMIT, POLICY, 10, 0, 0.0, voters=0)
+        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0, voters=0)
         self.assertEqual(self.admitted(share, 5.0, counted_until=0.0), reserve)
 
     def test_the_rate_is_divided_among_the_voters(self) -> None:
-        shares = [OwnShare(LIMIT, POLICY, 40, place, 0.0, voters=10) for place in range(10)]
+        shares = [LocalAllowance(LIMIT, POLICY, 40, place, 0.0, voters=10) for place in range(10)]
         admitted = sum(self.admitted(share, 5.0, counted_until=0.0) for share in shares)
         reserves = sum(POLICY.reserve(LIMIT, 40, place) for place in range(10))
         self.assertLessEqual(admitted, reserves + LIMIT.rate * 5.0)
         self.assertGreater(admitted, LIMIT.rate * 5.0 * 0.9)
 
     def test_a_share_that_is_no_operation_in_a_window_is_none(self) -> None:
-        share = OwnShare(RateLimit(1, 1), POLICY, 60, 59, 0.0)
+        share = LocalAllowance(RateLimit(1, 1), POLICY, 60, 59, 0.0)
         self.assertEqual(self.admitted(share, 10.0, counted_until=0.0), 0)
 
 
--- a/tests/core/pooler/rate_limits/test_line_watch.py
+++ b/tests/core/pooler/rate_limits/test_line_watch.py
@@ -3,18 +3,18 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.pooler.rate_limits.line_watch import (
+from dewledge.core.pooler.rate_limits.standing_queue_watch import (
     STANDING_AFTER_SECONDS,
     STANDING_SECONDS,
-    LineWatch,
+    StandingQueueWatch,
 )
 
 STEP = 0.02
 
 
-def watch_of(wait: Callable[[float], float], seconds: float) -> LineWatch:
+def watch_of(wait: Callable[[float], float], seconds: float) -> StandingQueueWatch:
     """Returns a watch that has seen the waits of operations at equal distances."""
-    watch = LineWatch()
+    watch = StandingQueueWatch()
     for number in range(int(seconds / STEP)):
         now = number * STEP
         watch.note(wait(now), STANDING_SECONDS, now)
--- a/tests/core/pooler/rate_limits/test_standing_line.py
+++ b/tests/core/pooler/rate_limits/test_standing_queue.py
@@ -5,9 +5,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.line_watch import STANDING_SECONDS
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
-from dewledge.core.pooler.rate_limits.token_line import KEPT_SECONDS, Promised
+from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
+from dewledge.core.pooler.rate_limits.token_queue import KEPT_SECONDS, Promised
 from dewledge.core.pooler.rate_limits.told_moments import TOLD_SECONDS, TOLD_SHARE
 from tests.core.pooler.rate_limits.crowd import Crowd, by_chance, steady
 
--- a/tests/core/pooler/rate_limits/test_token_line.py
+++ b/tests/core/pooler/rate_limits/test_token_queue.py
@@ -8,19 +8,19 @@
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
 from dewledge.core.pooler.rate_limits.place_key import PlaceKey
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_line import (
+from dewledge.core.pooler.rate_limits.token_queue import (
     CLAIM_SECONDS,
     KEPT_SECONDS,
     Given,
     Promised,
-    TokenLine,
+    TokenQueue,
 )
 
 RATE = 10.0
 
 
-def line_of(size: float = 5.0, tokens: float = 0.0, rate: float = RATE) -> TokenLine:
-    return TokenLine(TokenBucket(rate, size, tokens, 0.0))
+def line_of(size: float = 5.0, tokens: float = 0.0, rate: float = RATE) -> TokenQueue:
+    return TokenQueue(TokenBucket(rate, size, tokens, 0.0))
 
 
 def key(number: int) -> PlaceKey:
@@ -28,10 +28,10 @@
 
 
 class LineTest(unittest.TestCase):
-    def ask(self, line: TokenLine, number: int, now: float) -> Given | Promised:
+    def ask(self, line: TokenQueue, number: int, now: float) -> Given | Promised:
         return line.ask(key(number) if number else None, now, now, 1.0)
 
-    def promised(self, line: TokenLine, number: int, now: float) -> Promised:
+    def promised(self, line: TokenQueue, number: int, now: float) -> Promised:
         found = self.ask(line, number, now)
         assert isinstance(found, Promised)
         return found
@@ -121,7 +121,7 @@
 
     def come_back(
         self,
-        line: TokenLine,
+        line: TokenQueue,
         due: list[tuple[float, int]],
         served: list[int],
         now: float,
--- a/tests/core/pooler/sharing/model_channels.py
+++ b/tests/core/pooler/sharing/model_channels.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from dewledge.core.pooler.load.load_teller import LoadTeller
+from dewledge.core.pooler.load.load_reporter import LoadReporter
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sharing.channel_session import ChannelSession
 from dewledge.core.pooler.sharing.messages import (
@@ -71,7 +71,7 @@
         self.connection = DatabaseConnection(database_id, self)
         self.is_over = False
         self.sent_at: deque[float] = deque()
-        self._teller = LoadTeller()
+        self._teller = LoadReporter()
         self._closed = closed
         holder = channels.holder
         self.session = ChannelSession(
--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -14,17 +14,17 @@
 from dewledge.core.pooler.rate_limits.token_patience import KeptToken
 from dewledge.core.pooler.sharing.holders import Holding
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
-from dewledge.core.shared.caller_tokens import token_digest
+from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.errors import ErrorCode
 from tests.core.pooler.harness import ModelGroup, ModelScheduler, PoolerHarness
 
 NORTH, SOUTH = "north", "south"
 TOKENS = {
-    token_digest("first"): NORTH,
-    token_digest("second"): NORTH,
-    token_digest("third"): SOUTH,
+    credential_digest("first"): NORTH,
+    credential_digest("second"): NORTH,
+    credential_digest("third"): SOUTH,
 }
-WITHOUT_FIRST = {token_digest("second"): NORTH, token_digest("third"): SOUTH}
+WITHOUT_FIRST = {credential_digest("second"): NORTH, credential_digest("third"): SOUTH}
 
 
 class CallerCase(unittest.TestCase):
@@ -53,7 +53,7 @@
         self.assertEqual(self.callers_told(), [NORTH, SOUTH])
 
     def test_an_unknown_token_is_refused_at_once(self) -> None:
-        for token in ("", "fourth", NORTH, token_digest("first"), "first "):
+        for token in ("", "fourth", NORTH, credential_digest("first"), "first "):
             with self.subTest(token):
                 refused = self.pooler.session(token=token).client.refused
                 assert refused is not None
@@ -88,7 +88,7 @@
     def test_a_token_that_moves_to_another_caller_takes_its_connections(self) -> None:
         session = self.pooler.session(token="first")
         session.write()
-        self.set_tokens({token_digest("first"): SOUTH})
+        self.set_tokens({credential_digest("first"): SOUTH})
         session.write()
         self.assertEqual(self.callers_told(), [NORTH, SOUTH])
 
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.events import CallerHeldToShare, PoolingEvent
-from dewledge.core.pooler.load.patience import Patience
 from dewledge.core.pooler.load.verdict import WaitUntil
+from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.connection_openings import MOST_OPENED_AHEAD
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -80,7 +80,7 @@
         now = self.scheduler.now()
         asked = Asked(caller, now, work)
         self.asked.append(asked)
-        patience = Patience(now, now, now + target, now + TIMEOUT)
+        patience = WaitDeadlines(now, now, now + target, now + TIMEOUT)
 
         def given(connection: DatabaseConnection) -> None:
             self._given(asked, connection)
@@ -292,7 +292,7 @@
     scheduler = ModelScheduler()
     group = Group(
         GROUP,
-        Place("b", {"b": "north"}),
+        Locality("b", {"b": "north"}),
         ModelGroup(scheduler),
         scheduler.now,
         5.0,
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -10,7 +10,7 @@
     DatabaseSilence,
 )
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.databases.place import Place
+from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.events import DatabaseSilenceJudged
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -153,7 +153,7 @@
 
     def harness(self, judges_silence: bool) -> PoolerHarness:
         harness = PoolerHarness(configured=False, limit=LIMIT)
-        place = Place("b", {"a": "north", "b": "north", "c": "south"})
+        place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         clock = harness.scheduler.now
         group = Group(GROUP, place, harness.model, clock, 5.0, judges_silence=judges_silence)
         group.record = harness.events.append
--- a/tests/core/pooler/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.pooler.failover.lead_right import RIGHT_SECONDS, Fencing, LeadRight
 from dewledge.core.pooler.failover.messages import Claim
+from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS, Fencing, PrimaryLease
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.errors import ErrorCode
@@ -13,7 +13,7 @@
 class UseOfPrimaryTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
-        self.right = LeadRight(Fencing.PROCESSES)
+        self.right = PrimaryLease(Fencing.PROCESSES)
         self.harness.group.right = self.right
 
     def confirm(self) -> None:
@@ -180,7 +180,7 @@
         self.assertFalse(self.right.is_proven("p"))
 
     def test_a_fencing_platform_asks_for_nothing(self) -> None:
-        self.harness.group.right = LeadRight(Fencing.PLATFORM)
+        self.harness.group.right = PrimaryLease(Fencing.PLATFORM)
         self.assertIsNone(self.session().write().failure)
 
 
--- a/tests/core/pooler/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.patience import Patience
 from dewledge.core.pooler.load.verdict import WaitUntil
+from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.slot_window import SlotWindow
@@ -58,7 +58,9 @@
         now = self.scheduler.now()
         asked.arrived = now - asked.waited
         asked.latest_start = now + asked.timeout - WORK
-        patience = Patience(asked.arrived, now, asked.arrived + asked.target, now + asked.timeout)
+        patience = WaitDeadlines(
+            asked.arrived, now, asked.arrived + asked.target, now + asked.timeout
+        )
 
         def given(connection: DatabaseConnection) -> None:
             self._given(asked, connection)
@@ -228,7 +230,7 @@
         denied: list[Denial] = []
         for _ in range(50):
             now = scheduler.now()
-            patience = Patience(now, now, now + 0.1, now + 0.2)
+            patience = WaitDeadlines(now, now, now + 0.1, now + 0.2)
             pool.acquire(
                 Waiter(1, lambda _: None, denied.append, Demand.SINGLE, patience=patience), {}
             )
--- a/tests/core/proxy/configuration/test_authorization.py
+++ b/tests/core/proxy/configuration/test_authorization.py
@@ -18,7 +18,7 @@
     Selector,
     SelectorOperator,
 )
-from dewledge.core.shared.caller_tokens import token_digest
+from dewledge.core.shared.caller_credentials import credential_digest
 
 READ, WRITE = Access.READ, Access.WRITE
 NOT_PUBLIC = Expression("edge", SelectorOperator.NOT_IN, ("public",))
@@ -29,7 +29,7 @@
 
 
 def caller(name: str, *tokens: str, **labels: str) -> Resource:
-    digests = tuple(token_digest(token) for token in tokens)
+    digests = tuple(credential_digest(token) for token in tokens)
     return Resource(Kind.CALLER, name, tuple(sorted(labels.items())), CallerSpec(digests))
 
 
@@ -111,7 +111,7 @@
 
 class AccessPolicyTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.policy = AccessPolicy(CONFIGURATION, token_digest("first-token"))
+        self.policy = AccessPolicy(CONFIGURATION, credential_digest("first-token"))
 
     def test_use(self) -> None:
         for name, group, access, proxy, expected in USE_TABLE:
@@ -143,7 +143,7 @@
             "": None,
             "wrong": None,
             "\ud800": None,
-            token_digest("portal-token"): None,
+            credential_digest("portal-token"): None,
         }
         for token, expected in table.items():
             with self.subTest(token=token):
--- a/tests/platform/test_peer_messages.py
+++ b/tests/platform/test_peer_messages.py
@@ -13,17 +13,17 @@
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.errors import ProtocolError
 from dewledge.shell.pooler.links.peer_messages import (
+    IndirectProbeAnswer,
+    IndirectProbeQuestion,
     LeaderNotice,
     PeerMessage,
-    WitnessAnswer,
-    WitnessQuestion,
     decode,
     encode,
 )
 
 MESSAGES: tuple[PeerMessage, ...] = (
-    WitnessQuestion("a", "db"),
-    WitnessAnswer("b", "db", True),
+    IndirectProbeQuestion("a", "db"),
+    IndirectProbeAnswer("b", "db", True),
     LeaderNotice("a", "db"),
     QuotaQuestion("a", 1, Slot(2, 1), True, None, (TokenWant("north", 1),)),
     QuotaQuestion("a", 2, Slot(2, 1), False, 17.25),
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -8,8 +8,8 @@
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole
-from dewledge.core.pooler.databases.place import Place
-from dewledge.core.pooler.load import load_teller
+from dewledge.core.pooler.databases.locality import Locality
+from dewledge.core.pooler.load import load_reporter
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.messages import (
@@ -48,7 +48,7 @@
         self.loop = EventLoop()
         self.services = PoolServices(self.loop, lambda _event: None)
         opener = DirectOpener(self.loop, "holder", WireDatabaseCodec, self.find)
-        self.group = Group("menus", Place("z", {}), opener, self.loop.now, 5.0)
+        self.group = Group("menus", Locality("z", {}), opener, self.loop.now, 5.0)
         for database in self.model.databases.values():
             record = self.find(f"i-{database.name.removeprefix('i-')}")
             assert record is not None
@@ -123,7 +123,7 @@
         assert first is not None
         self.assertEqual((first.waiting, first.window), (0, 1))
         with (
-            mock.patch.object(load_teller, "WORD_HALF_LIFE_SECONDS", 60.0),
+            mock.patch.object(load_reporter, "WORD_HALF_LIFE_SECONDS", 60.0),
             mock.patch.object(self.group, "load_report", return_value=first),
         ):
             self.assertEqual([self.load_told(link), self.load_told(link)], [None, None])
--- a/tests/shell/edge_services.py
+++ b/tests/shell/edge_services.py
@@ -17,7 +17,7 @@
 from dewledge.core.proxy.configuration.store import ChangeLookedUp, ProposalFinished, ProposedChange
 from dewledge.core.proxy.gateway.report import DatabaseReport
 from dewledge.core.proxy.membership.member import Member
-from dewledge.core.shared.caller_tokens import token_digest
+from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.shell.proxy.http_edge import HttpEdge
 from dewledge.shell.proxy.metrics import ProxyMetrics
 from dewledge.shell.proxy.proxy_services import DeadlineBounds
@@ -33,12 +33,12 @@
     7,
     [
         Resource(Kind.GROUP, "g", (("team", "permits"),), GroupSpec()),
-        Resource(Kind.CALLER, "c", (), CallerSpec((token_digest(CALLER_TOKEN),))),
+        Resource(Kind.CALLER, "c", (), CallerSpec((credential_digest(CALLER_TOKEN),))),
         Resource(
             Kind.CALLER,
             "o",
             (("role", "operator"),),
-            CallerSpec((token_digest(OPERATOR_TOKEN),)),
+            CallerSpec((credential_digest(OPERATOR_TOKEN),)),
         ),
         Resource(Kind.RULE, "r", (), RuleSpec(RuleEffect.OPERATE, callers=OPERATORS)),
     ],
@@ -55,7 +55,7 @@
         self.metrics = ProxyMetrics()
         self.deadlines = DeadlineBounds(5.0, 60.0)
         self.configuration = configuration
-        self.policy = AccessPolicy(configuration, token_digest(BOOTSTRAP_TOKEN))
+        self.policy = AccessPolicy(configuration, credential_digest(BOOTSTRAP_TOKEN))
         self.members = (Member("p", "127.0.0.1:1", "127.0.0.1:2", "z"),)
         self.is_leaving = False
         self.is_serving = True
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.events import PoolingEvent, SessionDenied
-from dewledge.core.pooler.load.refusal_pace import ANSWERS_PER_SECOND, PAUSE_SECONDS
+from dewledge.core.pooler.load.failed_login_throttle import ANSWERS_PER_SECOND, PAUSE_SECONDS
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.shared.caller_tokens import token_digest
+from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.platform.wire_codec import WireClientCodec
 from dewledge.shell.pooler.links.client_listener import ClientListener
 from dewledge.shell.shared.event_loop import EventLoop
@@ -31,7 +31,7 @@
         self.services = PoolServices(self.loop, self.events.append)
         self.services.groups = model.groups
         self.services.routes = msgspec.structs.replace(
-            model.routes, callers={token_digest(KEY): CALLER}
+            model.routes, callers={credential_digest(KEY): CALLER}
         )
         listening, _ = listen_tcp("127.0.0.1:0")
         self.listener = ClientListener(self.loop, listening, self.services, WireClientCodec, 2000)
@@ -123,7 +123,16 @@
 
 class StartupFuzzTest(ListenerCase):
     def test_no_answer_tells_a_guesser_more(self) -> None:
-        keys = ["wrong", CALLER, KEY[:-1], KEY + "x", KEY.upper(), token_digest(KEY), "-", "\xff"]
+        keys = [
+            "wrong",
+            CALLER,
+            KEY[:-1],
+            KEY + "x",
+            KEY.upper(),
+            credential_digest(KEY),
+            "-",
+            "\xff",
+        ]
         self.assertEqual(len({self.answer(self.start(key)) for key in keys}), 1)
         self.assertTrue(self.answer(self.start(KEY)).startswith(b"READY"))
 
--- a/tests/shell/test_own_way.py
+++ b/tests/shell/test_direct_connections.py
@@ -8,7 +8,11 @@
 
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.errors import ErrorCode
-from dewledge.shell.pooler.links.own_way import FailedCallback, OpenedCallback, OwnWay
+from dewledge.shell.pooler.links.direct_connections import (
+    DirectConnections,
+    FailedCallback,
+    OpenedCallback,
+)
 from tests.core.pooler.harness import ModelScheduler
 
 
@@ -26,7 +30,7 @@
 class OwnWayTest(unittest.TestCase):
     def setUp(self) -> None:
         self.scheduler = ModelScheduler()
-        self.way = OwnWay(self.scheduler, lambda: 0.5)  # type: ignore[arg-type]
+        self.way = DirectConnections(self.scheduler, lambda: 0.5)  # type: ignore[arg-type]
         self.dials: list[tuple[OpenedCallback, FailedCallback]] = []
         self.told: list[str] = []
 
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -10,16 +10,16 @@
 from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.databases.place import Place
-from dewledge.core.pooler.failover.lead_right import Fencing, LeadRights
+from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.failover.messages import PhaseChanged, RegisteredProcesses
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
 from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, RouteTable
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreError
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
-from dewledge.shell.pooler.failover.succession_driver import SuccessionDriver
-from dewledge.shell.pooler.links.peer_messages import LeaderNotice, PeerMessage, WitnessAnswer
+from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
+from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice, PeerMessage
 from dewledge.shell.pooler.tables.coordination_rows import (
     MEMBER_PREFIX,
     TABLE,
@@ -137,8 +137,8 @@
         self.events: list[msgspec.Struct] = []
         self._find = find
         self.services = PoolServices(self.loop, self.events.append)
-        self.rights = LeadRights(Fencing.PROCESSES)
-        place = Place("b", {"a": "north", "b": "north", "c": "south"})
+        self.rights = PrimaryLeases(Fencing.PROCESSES)
+        place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(
             GROUP, place, self.opener, self.loop.now, 5.0, right=self.rights.of(GROUP)
         )
@@ -152,7 +152,7 @@
         members: Any = self.members
         peers: Any = self.peers
         store_client: Any = self.client
-        self.driver = SuccessionDriver(
+        self.driver = FailoverDriver(
             loop,
             name,
             self.services.groups,
@@ -285,7 +285,7 @@
             other.opener.test(database_id, lambda reached: answer(other, reached))
 
         def answer(other: "ModelProcess", reached: bool) -> None:
-            word = WitnessAnswer(other.name, database_id, reached)
+            word = IndirectProbeAnswer(other.name, database_id, reached)
             other.to(self.name, lambda asker: asker.driver.take_answer(word))
 
         self.to(address, asked)
--- a/tests/unfenced/test_guards.py
+++ b/tests/unfenced/test_guards.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from dewledge.core.pooler.failover.claim_recall import ClaimRecall
-from dewledge.core.pooler.failover.lead_right import LeadRight
-from dewledge.core.pooler.statements.lead_use import LeadUse
+from dewledge.core.pooler.failover.primary_lease import PrimaryLease
+from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from tests.unfenced.day import UnfencedDay
 
 SECONDS = 30.0
@@ -18,10 +18,10 @@
 
 
 GUARDS: tuple[tuple[str, Any, str, bool, tuple[int, ...]], ...] = (
-    ("any primary may be used", LeadRight, "allows", True, (6, 7)),
-    ("the right never lapses", LeadRight, "is_confirmed", True, (1,)),
+    ("any primary may be used", PrimaryLease, "allows", True, (6, 7)),
+    ("the right never lapses", PrimaryLease, "is_confirmed", True, (1,)),
     ("nobody is waited for", ClaimRecall, "is_over", True, (23, 29)),
-    ("the right is not asked for", LeadUse, "is_lacking", False, (5, 15)),
+    ("the right is not asked for", PrimaryLeaseUse, "is_lacking", False, (5, 15)),
 )
 """Name, where the guard is, what it is made to say, and seeds of days that it holds."""
 
