--- a/src/dewledge/cli/main.py
+++ b/src/dewledge/cli/main.py
@@ -57,12 +57,15 @@
     "explain": CommandSource("dewledge.cli.explain_command", "explain"),
     "demo": CommandSource("dewledge.cli.demo_command", "demo"),
     "bench": CommandSource("dewledge.cli.bench_command", "bench"),
-    "scale": CommandSource("dewledge.cli.scale_command", "scale"),
     "standin": CommandSource("dewledge.cli.standin_commands", "app", is_group=True),
 }
 """Sub-commands, in the order of the help page; one whose module is not installed is left out."""
 
 
+WITHDRAWN = {"scale": "scale runs were withdrawn; docs/CAPACITY.md keeps their figures"}
+"""Sub-commands that are no more, and what is said to whoever asks for one."""
+
+
 class LazyCommands(TyperGroup):
     """A group that imports a sub-command when it is asked for."""
 
@@ -71,7 +74,12 @@
         return [name for name, source in COMMANDS.items() if _is_installed(source)]
 
     def get_command(self, ctx: Any, cmd_name: str) -> Any:
-        """Imports one sub-command; None if there is none of that name."""
+        """Imports one sub-command; None if there is none of that name.
+
+        Raises BadParameter for one that was withdrawn.
+        """
+        if cmd_name in WITHDRAWN:
+            raise typer.BadParameter(WITHDRAWN[cmd_name], ctx)
         source = COMMANDS.get(cmd_name)
         if source is None or not _is_installed(source):
             return None
--- a/src/dewledge/scale/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Hollow nodes: the decision core of many nodes in one process."""
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -46,6 +46,12 @@
                 self.assertEqual(result.exit_code, 2)
                 self.assertTrue(result.errors)
 
+    def test_a_withdrawn_command_names_the_page_with_its_figures(self) -> None:
+        result = run_command("scale", "--nodes", "850")
+        self.assertEqual(result.exit_code, 2)
+        self.assertIn("docs/CAPACITY.md", result.errors)
+        self.assertNotIn("scale", LazyCommands(name="dewledge").list_commands(None))
+
     def test_start_up_loads_nothing_heavy(self) -> None:
         program = (
             "import sys, dewledge.cli.main as m; m.run(['--version']);"
--- a/src/dewledge/scale/hollow_cluster.py
+++ b/tests/core/proxy/membership/hollow_cluster.py
@@ -22,10 +22,10 @@
     encode_datagram,
 )
 from dewledge.core.proxy.membership.settings import MembershipSettings
-from dewledge.scale.hollow_network import HollowNetwork
-from dewledge.scale.hollow_node import Carrier, HollowNode
-from dewledge.scale.topology import place_of
 from dewledge.simulation.clock import EventQueue, ScheduledEvent
+from tests.core.proxy.membership.hollow_network import HollowNetwork
+from tests.core.proxy.membership.hollow_node import Carrier, HollowNode
+from tests.core.proxy.membership.hollow_topology import place_of
 
 DIRECTORY_ADDRESS = "10.255.255.255:7002"
 """Answers newcomers at the first start of all, so that a run need not begin with a join storm."""
--- a/src/dewledge/scale/hollow_network.py
+++ b/tests/core/proxy/membership/hollow_network.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from dewledge.scale.topology import Locality, delay
 from dewledge.simulation.clock import EventQueue
+from tests.core.proxy.membership.hollow_topology import Locality, delay
 
 JITTER_SHARE = 0.1
 """Each delay is stretched by up to this share of itself."""
--- a/src/dewledge/scale/hollow_node.py
+++ b/tests/core/proxy/membership/hollow_node.py
@@ -26,8 +26,8 @@
 )
 from dewledge.core.proxy.membership.settings import MembershipSettings
 from dewledge.core.proxy.messages import PeerMessage, decode, encode
-from dewledge.scale.hollow_network import DATAGRAM_OVERHEAD, MESSAGE_OVERHEAD, Traffic
-from dewledge.scale.topology import Locality
+from tests.core.proxy.membership.hollow_network import DATAGRAM_OVERHEAD, MESSAGE_OVERHEAD, Traffic
+from tests.core.proxy.membership.hollow_topology import Locality
 
 
 class Carrier(msgspec.Struct, frozen=True):
--- a/tests/scale/test_faults.py
+++ b/tests/core/proxy/membership/test_hollow_cluster_faults.py
@@ -5,8 +5,8 @@
 
 from dewledge.core.proxy.configuration.configuration import ChangeSet, Configuration
 from dewledge.core.proxy.configuration.resources import Kind, ProxySpec, Resource
-from dewledge.scale.hollow_cluster import HollowCluster
-from dewledge.scale.hollow_network import NetworkFaults
+from tests.core.proxy.membership.hollow_cluster import HollowCluster
+from tests.core.proxy.membership.hollow_network import NetworkFaults
 
 SIZE = 18
 SEEDS = (1, 2, 3)
