--- a/tests/outside_forms/roots.py
+++ b/tests/outside_forms/roots.py
@@ -10,25 +10,25 @@
 import dewledge
 from dewledge.adapters import database_protocol, platform_protocol
 from dewledge.cli import main as command_line
-from dewledge.core import messages as proxy_messages
-from dewledge.core.configuration import codec as configuration_codec
-from dewledge.core.configuration import store as configuration_store
-from dewledge.core.configuration.configuration import ChangeSet
-from dewledge.core.database_status import DatabaseStatus
-from dewledge.core.effects import LogEvent
-from dewledge.core.entry.session_token import SessionTokenCodec
-from dewledge.core.load.verdict import RefusalCause
-from dewledge.core.load.wait_summaries import WaitsCounted
-from dewledge.core.membership import messages as membership_messages
-from dewledge.core.pooling.events import PoolingEvent, StatementAnswered
-from dewledge.core.pooling.statements import Reply, Statement
-from dewledge.core.ports import ExecutionResult, MachineState, Row, RowWrite
-from dewledge.core.positions import LogPosition
-from dewledge.core.quota.grantor import GrantorChanged
-from dewledge.core.sharing import messages as link_messages
-from dewledge.core.sharing.members import Member
-from dewledge.core.sharing.packing import pack_value, unpack_value
-from dewledge.core.succession.messages import PhaseChanged
+from dewledge.core.pooler.events import PoolingEvent, StatementAnswered
+from dewledge.core.pooler.failover.messages import PhaseChanged
+from dewledge.core.pooler.load.verdict import RefusalCause
+from dewledge.core.pooler.load.wait_summaries import WaitsCounted
+from dewledge.core.pooler.rate_limits.grantor import GrantorChanged
+from dewledge.core.pooler.sharing import messages as link_messages
+from dewledge.core.pooler.sharing.members import Member
+from dewledge.core.pooler.sharing.packing import pack_value, unpack_value
+from dewledge.core.pooler.statements.statements import Reply, Statement
+from dewledge.core.proxy import messages as proxy_messages
+from dewledge.core.proxy.configuration import codec as configuration_codec
+from dewledge.core.proxy.configuration import store as configuration_store
+from dewledge.core.proxy.configuration.configuration import ChangeSet
+from dewledge.core.proxy.database_status import DatabaseStatus
+from dewledge.core.proxy.effects import LogEvent
+from dewledge.core.proxy.entry.session_token import SessionTokenCodec
+from dewledge.core.proxy.membership import messages as membership_messages
+from dewledge.core.proxy.ports import ExecutionResult, MachineState, Row, RowWrite
+from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from dewledge.explain.causes import CASES
 from dewledge.explain.ended_processes import EndedProcess
@@ -40,23 +40,24 @@
 from dewledge.platform.wire_codec import WireClientCodec, WireDatabaseCodec
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.settings import ProxySettings
-from dewledge.shell import (
+from dewledge.shell.pooler.links import peer_messages
+from dewledge.shell.pooler.observing.event_log import EventLog
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.observing.process_gauges import add_process_gauges
+from dewledge.shell.pooler.tables import coordination_rows
+from dewledge.shell.proxy import (
     configuration_handlers,
-    http_messages,
     request_bodies,
     statement_handlers,
     status_handlers,
 )
-from dewledge.shell.frames import HEARTBEAT_FRAME, frame_of
-from dewledge.shell.http_edge import HttpEdge
-from dewledge.shell.http_status import status_of_refusal
-from dewledge.shell.log import format_line
-from dewledge.shell.metrics import ProxyMetrics
-from dewledge.shell.pooling import coordination_rows, peer_messages
-from dewledge.shell.pooling.event_log import EventLog
-from dewledge.shell.pooling.pooler_metrics import PoolerMetrics
-from dewledge.shell.pooling.process_gauges import add_process_gauges
-from dewledge.shell.proxy_server import ProxyServer
+from dewledge.shell.proxy.http_edge import HttpEdge
+from dewledge.shell.proxy.http_status import status_of_refusal
+from dewledge.shell.proxy.metrics import ProxyMetrics
+from dewledge.shell.proxy.proxy_server import ProxyServer
+from dewledge.shell.shared import http_messages
+from dewledge.shell.shared.frames import HEARTBEAT_FRAME, frame_of
+from dewledge.shell.shared.log import format_line
 
 PACKAGE = dewledge
 COMMAND_LINE = typer.main.get_command(command_line.app)
