--- a/tests/run.py
+++ b/tests/run.py
@@ -9,18 +9,28 @@
 import io
 import os
 import sys
+import tempfile
 import time
 import unittest
 from collections import Counter
+from collections.abc import Iterator
 from concurrent.futures import ProcessPoolExecutor, as_completed
+from contextlib import contextmanager
 from dataclasses import dataclass, field
 from pathlib import Path
+from typing import TextIO
+
+from loguru import logger
 
 from tests.busy import busy_processors
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED_FILE = ROOT / "KNOWN-RED.txt"
 SLOWEST_SHOWN = 10
+STANDARD_ERROR = 2
+"""The descriptor."""
+LOG_LINES_SHOWN = 400
+"""Of a module with a failed test: the last ones hold what led to it."""
 DEFAULT_JOBS = 4
 SLOW_STARTS = (
     "unfenced",
@@ -98,18 +108,45 @@
 
 
 def run_module(module: str) -> ModuleReport:
-    """Runs the tests of one module."""
+    """Runs the tests of one module; what the code under test logs is shown only if one fails."""
     stream = io.StringIO()
-    suite = unittest.defaultTestLoader.loadTestsFromName(module)
-    runner = unittest.TextTestRunner(stream, verbosity=1, buffer=True, resultclass=TimedResult)
-    result = runner.run(suite)
-    failed = failed_tests(result)
-    output = stream.getvalue() if failed else ""
+    with tempfile.TemporaryFile("w+") as log, caught_standard_error(log):
+        suite = unittest.defaultTestLoader.loadTestsFromName(module)
+        runner = unittest.TextTestRunner(stream, verbosity=1, buffer=True, resultclass=TimedResult)
+        result = runner.run(suite)
+        logger.complete()
+        failed = failed_tests(result)
+        output = stream.getvalue() + end_of(log) if failed else ""
     return ModuleReport(
         module, result.testsRun, failed, len(result.skipped), result.durations, output
     )
 
 
+@contextmanager
+def caught_standard_error(log: TextIO) -> Iterator[None]:
+    """Sends this process's standard error, and that of processes it starts, into a file.
+
+    At the level of the descriptor: loguru's own handler and child processes write past sys.stderr.
+    """
+    sys.stderr.flush()
+    kept = os.dup(STANDARD_ERROR)
+    os.dup2(log.fileno(), STANDARD_ERROR)
+    try:
+        yield
+    finally:
+        sys.stderr.flush()
+        os.dup2(kept, STANDARD_ERROR)
+        os.close(kept)
+
+
+def end_of(log: TextIO) -> str:
+    """Returns the last lines of what a module logged."""
+    log.seek(0)
+    lines = log.read().splitlines()
+    left_out = max(len(lines) - LOG_LINES_SHOWN, 0)
+    return "\n".join((f"log, {left_out} lines before it left out:", *lines[left_out:]))
+
+
 def run_modules(modules: list[str], jobs: int) -> list[ModuleReport]:
     """Runs modules in `jobs` processes; tells each one's end, and what a failed one printed."""
     reports = []
