--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
 from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
 from dewledge.core.pooler.rate_limits.former_votes import FormerVotes
-from dewledge.core.pooler.rate_limits.grantor import MILLISECONDS, VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS, QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowances import LocalAllowances
 from dewledge.core.pooler.rate_limits.messages import (
@@ -41,6 +41,7 @@
 )
 from dewledge.core.pooler.rate_limits.voter import Voter
 from dewledge.core.pooler.scheduling import Scheduler
+from dewledge.core.shared.units import MILLISECONDS
 
 VOTE_SPACING_SECONDS = 0.3
 """A third of a vote's time, so that two may be lost."""
--- a/src/dewledge/core/pooler/rate_limits/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -28,11 +28,11 @@
 from dewledge.core.pooler.rate_limits.slots import Slot, voters_after, voters_of
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Given
+from dewledge.core.shared.units import MILLISECONDS
 
 VOTE_SECONDS = 1.0
 """Two votes may be lost on the way without being missed; and so long a vote counts for a process
 that is gone."""
-MILLISECONDS = 1000
 
 
 class GrantorChanged(msgspec.Struct, frozen=True):
