--- a/src/dewledge/bench/plot.py
+++ b/src/dewledge/bench/plot.py
@@ -4,9 +4,9 @@
 from typing import Any
 
 from dewledge.bench.figures import BenchReport
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 
-MILLISECONDS = 1000
 PERCENT = 100
 FIGURE_SIZE = (12.0, 4.8)
 """Inches."""
--- a/src/dewledge/bench/report.py
+++ b/src/dewledge/bench/report.py
@@ -4,8 +4,8 @@
 from rich.table import Table
 
 from dewledge.bench.figures import BenchReport, RunFigures, VariantFigures
+from dewledge.core.shared.units import MILLISECONDS
 
-MILLISECONDS = 1000
 PERCENT = 100
 NOTHING = "-"
 
--- a/src/dewledge/cli/query.py
+++ b/src/dewledge/cli/query.py
@@ -18,12 +18,13 @@
     print_table,
 )
 from dewledge.core.proxy.calls import Access, Outcome
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode, InvalidInput
 
 ANSWER_GRACE = 2.0
 """Seconds after the deadline in which the proxy's own answer may still come."""
 
-MILLISECONDS = 1000
+
 BAD_REQUEST = 400
 
 
--- a/src/dewledge/core/proxy/configuration/codec.py
+++ b/src/dewledge/core/proxy/configuration/codec.py
@@ -22,6 +22,7 @@
 from dewledge.errors import ProtocolError
 
 FORMAT = 1
+"""Version of the encoded form; a reader refuses any other."""
 
 SPEC_TYPES: dict[Kind, type[msgspec.Struct]] = {
     Kind.GROUP: GroupSpec,
--- a/src/dewledge/core/proxy/configuration/resource_documents_check.py
+++ b/src/dewledge/core/proxy/configuration/resource_documents_check.py
@@ -30,9 +30,13 @@
 )
 DIGEST = re.compile(r"[0-9a-f]{64}")
 MAX_LABELS = 64
+"""Labels of one resource; bounds a row of the table service and the index. Chosen, not measured."""
 MAX_READ_WAIT = 60.0
+"""Seconds; beyond the longest deadline of a call a wait serves nobody. Chosen, not measured."""
 MAX_CONNECTIONS = 100_000
+"""To one database; catches a slip of the keyboard, far above what a database bears. Chosen."""
 MAX_WEIGHT = 1_000
+"""Ratio of the largest to the least share of two callers. Chosen, not measured."""
 
 SELECTORS_BY_EFFECT = {
     RuleEffect.ALLOW: ("callers", "groups", "proxies"),
--- a/src/dewledge/core/proxy/configuration/resources.py
+++ b/src/dewledge/core/proxy/configuration/resources.py
@@ -59,9 +59,13 @@
 
 
 DEFAULT_READ_WAIT = 0.01
+"""Seconds that a read waits at most for a replica to reach its floor; see read_routing.py."""
 DEFAULT_SLOTS = 5
+"""Statements that a database runs at once: of the smaller deployment in the users' brief."""
 DEFAULT_MAX_CONNECTIONS = 40
+"""Connections that a database takes: of the smaller deployment in the users' brief."""
 DEFAULT_WEIGHT = 1
+"""Share of a caller among those that wait, relative to the others: all alike."""
 
 
 class GroupSpec(msgspec.Struct, frozen=True, array_like=True, tag="group"):
--- a/src/dewledge/core/proxy/entry/failover_wait.py
+++ b/src/dewledge/core/proxy/entry/failover_wait.py
@@ -5,6 +5,7 @@
 from dewledge.core.proxy.entry.primary_doubt import DoubtReason, PrimaryClaim, PrimaryDoubt
 
 EXPECTED_DURATION_GAIN = 0.3
+"""Weight of the newest failover in the moving average of durations. Chosen, not measured."""
 EXPECTED_SHARE_TO_WAIT_FOR = 0.5
 """A request is refused at once if its deadline falls before this share of a usual failover."""
 
--- a/src/dewledge/core/proxy/entry/group_description.py
+++ b/src/dewledge/core/proxy/entry/group_description.py
@@ -12,8 +12,11 @@
 from dewledge.core.shared.positions import LOG_START, LogPosition, TermStart, is_cut_off
 
 LAG_GAIN = 0.125
+"""Weight of the newest sample in the average lag: that of TCP's smoothed round-trip time."""
 LAG_DEVIATION_GAIN = 0.25
+"""Weight of the newest sample in the lag's deviation: that of TCP's round-trip variance."""
 SUCCESS_GAIN = 0.2
+"""Weight of the newest try of a lagging replica in its rate of success. Chosen, not measured."""
 _NEVER = float("-inf")
 
 
--- a/src/dewledge/core/proxy/entry/session_token.py
+++ b/src/dewledge/core/proxy/entry/session_token.py
@@ -19,11 +19,14 @@
 from dewledge.errors import BadSessionToken
 
 MAX_TOKEN_CHARACTERS = 2048
+"""Characters of a token, which goes with each request and answer. Chosen, not measured."""
 MAX_GROUPS = 32
+"""Floors in one token; the least recently raised are dropped beyond it. Chosen, not measured."""
 REMEMBERED_TOKENS = 2048
 """Tokens whose signature has been verified lately and need not be again; a bad one is not kept."""
 
 TOKEN_VERSION = 1
+"""Version of the payload; a token of any other is refused."""
 _KEY_PURPOSE = b"dewledge session token"
 
 
--- a/src/dewledge/core/proxy/entry/state.py
+++ b/src/dewledge/core/proxy/entry/state.py
@@ -16,6 +16,8 @@
 from dewledge.errors import ErrorCode
 
 _CORRELATION_START_BITS = 48
+"""Of the random first request number, so that a process started anew repeats none of its
+former numbers."""
 
 
 class EntryState:
--- a/src/dewledge/core/proxy/gateway/running_jobs.py
+++ b/src/dewledge/core/proxy/gateway/running_jobs.py
@@ -13,6 +13,7 @@
 from dewledge.errors import ErrorCode
 
 FINGERPRINT_BYTES = 16
+"""Of the hash of a statement that goes with its idempotency key: 128 bits, no chance collision."""
 
 
 def fingerprint_of(statement: Statement) -> str:
--- a/src/dewledge/core/proxy/gateway/transactions.py
+++ b/src/dewledge/core/proxy/gateway/transactions.py
@@ -15,6 +15,7 @@
 from dewledge.errors import ErrorCode
 
 SECRET_BITS = 128
+"""Of the random part of a transaction id, which nobody can guess."""
 
 
 class RunningOperation(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/proxy/membership/machine_list_reader.py
+++ b/src/dewledge/core/proxy/membership/machine_list_reader.py
@@ -11,7 +11,9 @@
 """So many members together read about as often as a lone proxy does."""
 
 LONE_RETRY_SECONDS = 2.0
+"""Between two reads of a proxy that knows no other: it cannot join without. Chosen."""
 ANSWER_BOUND_SECONDS = 10.0
+"""Seconds after which a read that was never answered no longer holds up the next. Chosen."""
 
 
 class MachineListReader:
--- a/src/dewledge/core/proxy/membership/messages.py
+++ b/src/dewledge/core/proxy/membership/messages.py
@@ -15,8 +15,12 @@
 from dewledge.errors import ProtocolError
 
 MEMBERSHIP_VERSION = 1
+"""Of datagrams; one of any other version is refused."""
 MAX_DATAGRAM_BYTES = 1400
+"""Of a datagram's content: below an Ethernet frame's 1,500 with IP and UDP headers, so that none
+is fragmented."""
 AUTHENTICATION_BYTES = 16
+"""Of the truncated HMAC-SHA256 at a datagram's end: half of the hash, as RFC 2104 advises."""
 ENVELOPE_BYTES = 150
 """Room kept for everything in a datagram but its claims and digests (names up to 63 bytes)."""
 TEXT_BYTES = 2
@@ -24,6 +28,7 @@
 CLAIM_BYTES = 1 + TEXT_BYTES + 9 + 1 + 1 + 1
 """Most bytes of a claim without its texts: array, name, incarnation, state, two absent fields."""
 MAX_CLAIM_BYTES = MAX_DATAGRAM_BYTES - AUTHENTICATION_BYTES - ENVELOPE_BYTES
+"""Of the member records in one datagram: what the envelope and the HMAC leave."""
 
 
 Age = Annotated[float, msgspec.Meta(ge=0.0)]
--- a/src/dewledge/core/proxy/membership/relay.py
+++ b/src/dewledge/core/proxy/membership/relay.py
@@ -3,6 +3,7 @@
 import msgspec
 
 MAX_RELAYS = 64
+"""Indirect probes under way for others; bounds what a storm of them can hold. Chosen."""
 NOT_WAITING = float("inf")
 
 
--- a/src/dewledge/core/proxy/membership/table.py
+++ b/src/dewledge/core/proxy/membership/table.py
@@ -9,7 +9,10 @@
 from dewledge.core.proxy.membership.member import Member, MemberState
 
 BUCKETS = 64
+"""Parts of the table that are compared by digest: 850 members give 13 each, and a digest of all
+parts fits a datagram."""
 DIGEST_BYTES = 4
+"""Of one part's digest: 64 of them are 256 bytes of a datagram."""
 
 
 def bucket_of(name: str) -> int:
--- a/src/dewledge/core/proxy/timer_queue.py
+++ b/src/dewledge/core/proxy/timer_queue.py
@@ -4,6 +4,7 @@
 from typing import Generic, Protocol, TypeVar
 
 _COMPACT_SLACK = 64
+"""Cancelled timers borne in a small heap before it is built anew. Chosen, not measured."""
 
 
 class Timed(Protocol):
--- a/src/dewledge/shell/proxy/statement_handlers.py
+++ b/src/dewledge/shell/proxy/statement_handlers.py
@@ -13,6 +13,7 @@
     Scalar,
     Statement,
 )
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 from dewledge.shell.proxy.http_authentication import authenticate
 from dewledge.shell.proxy.http_status import status_of
@@ -20,8 +21,6 @@
 from dewledge.shell.proxy.request_bodies import BeginBody, FinishBody, StatementBody, read_body
 from dewledge.shell.shared.http_messages import Exchange, Headers, json_response
 
-MILLISECONDS = 1000.0
-
 
 class AnswerBody(msgspec.Struct, frozen=True, omit_defaults=True):
     """The JSON answer to a statement or a step of a transaction."""
--- a/src/dewledge/simulation/simulated_proxy.py
+++ b/src/dewledge/simulation/simulated_proxy.py
@@ -23,6 +23,7 @@
 from dewledge.core.proxy.membership.member import Member
 from dewledge.core.proxy.membership.messages import SendDatagram
 from dewledge.core.proxy.messages import decode
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.simulation.absences import AbsenceReason, AbsenceTracker
 from dewledge.simulation.clock import Action, ScheduledEvent
 from dewledge.simulation.core_factory import make_core
@@ -35,7 +36,6 @@
 if TYPE_CHECKING:
     from dewledge.simulation.world import World
 
-MILLISECONDS = 1000
 
 Handler = Callable[[ProxyCore, float], Iterable[ProxyEffect]]
 
