--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -17,7 +17,6 @@
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.shell.pooler.links.byte_stream import ByteStream, Connecting
 from dewledge.shell.pooler.links.channel_client import ChannelClient
-from dewledge.shell.pooler.links.direct_connections import DirectConnections
 from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_LIMIT_SECONDS = 0.6
@@ -94,8 +93,6 @@
         self._channels = channels
         self._find_way = find_way
         self._fallbacks: Counter[str] = Counter()
-        self._own_ways: dict[str, DirectConnections] = {}
-        """By database that was ever reached so: those of the routes in use at most."""
 
     def open(
         self,
@@ -125,10 +122,6 @@
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
         """No holder can be reached: a few connections are opened without them."""
-        way = self._own_way(database_id)
-        if way is not None and not way.is_usable and not way.may_probe:
-            failed(ErrorCode.DATABASE_UNREACHABLE)
-            return
         if self._fallbacks[database_id] >= FALLBACK_CONNECTIONS:
             failed(ErrorCode.CONNECTION_LIMIT)
             return
@@ -138,29 +131,11 @@
             self._fallbacks[database_id] -= 1
             closed(connection)
 
-        def dial(
-            stands: Callable[[DatabaseConnection], None], fails: Callable[[ErrorCode], None]
-        ) -> None:
-            def refused(code: ErrorCode) -> None:
-                self._fallbacks[database_id] -= 1
-                fails(code)
-
-            self._direct.open(database_id, caller, stands, refused, ended)
+        def refused(code: ErrorCode) -> None:
+            self._fallbacks[database_id] -= 1
+            failed(code)
 
-        if way is None:
-            dial(opened, failed)
-        else:
-            way.open(dial, opened, failed)
-
-    def _own_way(self, database_id: str) -> DirectConnections | None:
-        """Returns what is known of the direct way, None where ways are not judged."""
-        if not self._channels.is_judged:
-            return None
-        way = self._own_ways.get(database_id)
-        if way is None:
-            way = DirectConnections(self._channels.loop, self._channels.jitter)
-            self._own_ways[database_id] = way
-        return way
+        self._direct.open(database_id, caller, opened, refused, ended)
 
 
 class _DatabaseLink:
