--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -35,12 +35,8 @@
     """All channels of one process to others."""
 
     def __init__(self, loop: EventLoop, links: OutgoingLinks) -> None:
-        self.loop = self._loop = loop
+        self._loop = loop
         self._links = links
-        self.is_judged = links.is_judged
-        """Whether silence of a holder is known to all statements."""
-        self.jitter = links.jitter
-        """Numbers from 0 to 1 that spread probes."""
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
         self._numbers = itertools.count(1)
         self.proof_told: ProofCallback = lambda database_id, sent_at, position: None
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -45,7 +45,7 @@
         self._record = record
         self.is_judged = is_judged
         self._rules = HolderRules() if is_judged else WITHOUT_PROBES
-        self.jitter = Random(own_name).random
+        self._jitter = Random(own_name).random
         self._links: dict[str, OutgoingLink] = {}
         self._users: list[LinkUser] = []
         self._health_watchers: list[Callable[[OutgoingLink], None]] = []
@@ -72,7 +72,7 @@
         known = self._links.get(address)
         if known is None:
             known = OutgoingLink(
-                self._loop, self._own_name, address, self, self._rules, self.jitter
+                self._loop, self._own_name, address, self, self._rules, self._jitter
             )
             self._links[address] = known
         return known
