--- a/tests/contracts/test_at_most_once.py
+++ b/tests/contracts/test_at_most_once.py
@@ -1,10 +1,10 @@
 """A submission that may not be repeated takes effect at most once, whoever repeats it."""
 
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import ResendsUnknown
 from dewledge.simulation.violations import Promise
 from dewledge.simulation.workloads import Action
 from tests.contracts.fault_table import ContractTestCase, Expected, Row, workload
+from tests.contracts.naive_ways import ResendsUnknown
 
 ANSWERS_LOST = Fault(FaultKind.COMMIT_ANSWERS_LOST, 1.0)
 CUT = Fault(FaultKind.PRIMARY_CUT, 1.0, 1.0)
--- a/tests/contracts/test_configuration.py
+++ b/tests/contracts/test_configuration.py
@@ -3,10 +3,10 @@
 from dewledge.core.proxy.calls import Outcome
 from dewledge.errors import ErrorCode
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import DeafToChanges
 from dewledge.simulation.scenario import run_scenario
 from dewledge.simulation.violations import Promise
 from tests.contracts.fault_table import FIRST_SEED, SEEDS, ContractTestCase, Expected, Row
+from tests.contracts.naive_ways import DeafToChanges
 
 CHANGE = Fault(FaultKind.DATABASE_DRAINED, 1.0)
 RACE = Fault(FaultKind.TWO_CHANGES, 1.0)
--- a/tests/contracts/test_not_run.py
+++ b/tests/contracts/test_not_run.py
@@ -1,10 +1,10 @@
 """What a caller is told was "not run" really did not run, then or later."""
 
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import UnknownIsNotRun
 from dewledge.simulation.violations import Promise
 from dewledge.simulation.workloads import Action
 from tests.contracts.fault_table import ContractTestCase, Expected, Row, workload
+from tests.contracts.naive_ways import UnknownIsNotRun
 
 SLOW = Fault(FaultKind.DATABASE_SLOW, 0.5, 4.0)
 
--- a/tests/contracts/test_own_answer.py
+++ b/tests/contracts/test_own_answer.py
@@ -1,10 +1,10 @@
 """Every caller gets one whole answer, its own, also when answers come late or out of order."""
 
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import AnswersByOrder
 from dewledge.simulation.violations import Promise
 from dewledge.simulation.workloads import Action
 from tests.contracts.fault_table import ContractTestCase, Expected, Row, workload
+from tests.contracts.naive_ways import AnswersByOrder
 
 REORDERED = Fault(FaultKind.MESSAGES_REORDERED, 0.5, 4.0)
 DOUBLED = Fault(FaultKind.MESSAGES_DOUBLED, 0.5, 4.0)
--- a/tests/contracts/test_planned_stop.py
+++ b/tests/contracts/test_planned_stop.py
@@ -1,9 +1,9 @@
 """A planned stop of a proxy cuts no request in flight."""
 
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import EndsAtOnce
 from dewledge.simulation.violations import Promise
 from tests.contracts.fault_table import ContractTestCase, Expected, Row
+from tests.contracts.naive_ways import EndsAtOnce
 
 STOP = Fault(FaultKind.PROXY_STOPPED, 1.0, 2.0)
 STOPPED = (Expected.STOPPED,)
--- a/tests/contracts/test_retired_databases.py
+++ b/tests/contracts/test_retired_databases.py
@@ -4,10 +4,10 @@
 
 from dewledge.core.proxy.configuration.spread import ConfigurationSpread
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import DeafToChanges
 from dewledge.simulation.scenario import run_scenario
 from dewledge.simulation.violations import Promise
 from tests.contracts.fault_table import FIRST_SEED, SEEDS, ContractTestCase, Expected, Row
+from tests.contracts.naive_ways import DeafToChanges
 
 DRAIN = Fault(FaultKind.DATABASE_DRAINED, 1.0)
 DRAIN_PRIMARY = Fault(FaultKind.PRIMARY_DRAINED, 1.0)
--- a/tests/contracts/test_transactions.py
+++ b/tests/contracts/test_transactions.py
@@ -1,10 +1,10 @@
 """Statements of one caller's transaction never land in another's, and a transaction is whole."""
 
 from dewledge.simulation.faults import Fault, FaultKind
-from dewledge.simulation.naive import SharesTransactionConnection
 from dewledge.simulation.violations import Promise
 from dewledge.simulation.workloads import Action
 from tests.contracts.fault_table import ContractTestCase, Expected, Row, workload
+from tests.contracts.naive_ways import SharesTransactionConnection
 
 ROWS = (
     Row("no fault", (), (Expected.ALL_DONE,)),
