--- a/src/dewledge/core/proxy/gateway/group_monitor.py
+++ b/src/dewledge/core/proxy/gateway/group_monitor.py
@@ -3,13 +3,14 @@
 from collections.abc import Callable, Mapping
 
 from dewledge.core.proxy.configuration.resources import Confirmation
-from dewledge.core.proxy.effects import SendToPeer
 from dewledge.core.proxy.gateway.confirmation import Claim, RoundEvidence, Verdict, judge
 from dewledge.core.proxy.gateway.context import GatewayContext, Timer
+from dewledge.core.proxy.gateway.group_heartbeat import GroupHeartbeat
+from dewledge.core.proxy.gateway.status_answers import StatusAnswers
 from dewledge.core.proxy.gateway.status_cache import StatusCache
 from dewledge.core.proxy.gateway.status_rounds import StatusRound, StatusRounds
 from dewledge.core.proxy.jobs import StatusReading
-from dewledge.core.proxy.messages import GroupStatusAnswer, GroupStatusRequest
+from dewledge.core.proxy.messages import GroupStatusRequest
 from dewledge.core.shared.service_rate import UsualTime
 from dewledge.errors import ErrorCode
 
@@ -39,17 +40,6 @@
         self.timer: Timer | None = None
 
 
-class _StatusWaiter:
-    """A peer's status request that waits for a round later than `after_round`."""
-
-    __slots__ = ("after_round", "message", "peer")
-
-    def __init__(self, peer: str, message: GroupStatusRequest, after_round: int) -> None:
-        self.peer = peer
-        self.message = message
-        self.after_round = after_round
-
-
 class GroupMonitor:
     """Watches one group. One round at a time serves everyone who waits for one."""
 
@@ -58,22 +48,20 @@
         self._settings = context.settings
         self._group = group
         self._policy = Confirmation.MAJORITY_POSITION
-        self._active: frozenset[str] = frozenset()
         self._rounds = StatusRounds(context, group, self._on_reading, self._on_abandoned)
         self._waiters: dict[int, _Waiter] = {}
-        self._status_waiters: list[_StatusWaiter] = []
         self._latest: StatusRound | None = None
         self._seen: StatusRound | None = None
         self._on_answer: dict[str, Callable[[float], None]] = {}
         self._on_primary: dict[str, Callable[[str, int, float], None]] = {}
         self._last_waiter = 0
         self._retry_pause = 0.0
-        self._heartbeat_timer: Timer | None = None
-        self._last_use = float("-inf")
         self._search_pause = context.settings.no_primary_interval
         self._known_primary: str | None = None
         self._confirmation_time = UsualTime(context.settings.service_time_smoothing)
         self.statuses = StatusCache()
+        self._status_answers = StatusAnswers(context, self.statuses)
+        self._heartbeat = GroupHeartbeat(context, self._rounds, lambda: self.primary)
 
     @property
     def newest_round(self) -> int:
@@ -106,22 +94,11 @@
         self._rounds.configure(addresses)
         self.statuses.keep_only(addresses)
         self._policy = policy
-        self._active = active
-        if active and self._heartbeat_timer is None:
-            self._heartbeat_timer = self._context.call_at(now, self._heartbeat)
-        if not active:
-            self._context.cancel(self._heartbeat_timer)
-            self._heartbeat_timer = None
+        self._heartbeat.configure(active, now)
 
     def note_use(self, now: float) -> None:
         """Notes a request for this group, which makes its heartbeat the quicker one."""
-        was_idle = now - self._last_use > self._settings.in_use_period
-        self._last_use = now
-        if was_idle and self._heartbeat_timer is not None:
-            self._context.cancel(self._heartbeat_timer)
-            self._heartbeat_timer = self._context.call_at(
-                now + self._heartbeat_pause(now), self._heartbeat
-            )
+        self._heartbeat.note_use(now)
 
     def request_round(self, now: float) -> None:
         """Asks for a round at once, which a result is going to need."""
@@ -188,14 +165,14 @@
     def answer_status(self, peer: str, message: GroupStatusRequest, now: float) -> None:
         """Answers from the cache if it will do, else after a round that starts from now on."""
         if not message.fresh and self._cache_is_recent(now):
-            self._send_status(peer, message, now)
+            self._status_answers.send(peer, message, now)
             return
-        self._status_waiters.append(_StatusWaiter(peer, message, self.newest_round))
+        self._status_answers.wait(peer, message, self.newest_round)
         self.look_again(now)
 
     def forget_peer(self, peer: str) -> None:
         """Drops the status requests of a peer that is gone."""
-        self._status_waiters = [item for item in self._status_waiters if item.peer != peer]
+        self._status_answers.forget_peer(peer)
 
     def _on_reading(self, status_round: StatusRound, reading: StatusReading, now: float) -> None:
         self.statuses.note(reading.database, reading.status, status_round.started_at)
@@ -212,8 +189,12 @@
         is_newest = self._seen is None or status_round.round_id >= self._seen.round_id
         if is_newest and status_round.tells_primary:
             self._seen = status_round
-        self._answer_status_waiters(status_round, now)
-        if status_round.primary is None and self._active and self._in_use(now):
+        self._status_answers.round_ended(status_round.round_id, now)
+        if (
+            status_round.primary is None
+            and self._heartbeat.is_active
+            and self._heartbeat.in_use(now)
+        ):
             self._rounds.want_at(now + self._next_search_pause(), now)
         self._note_primary(status_round.primary)
         if status_round.primary is not None:
@@ -222,8 +203,8 @@
                 callback(status_round.primary, term, now)
 
     def _on_abandoned(self, status_round: StatusRound, now: float) -> None:
-        self._answer_status_waiters(status_round, now)
-        if self._waiters or self._status_waiters:
+        self._status_answers.round_ended(status_round.round_id, now)
+        if self._waiters or self._status_answers:
             self._rounds.want(now)
 
     def _judge_waiters(self, status_round: StatusRound, now: float) -> None:
@@ -273,7 +254,7 @@
             return
         if not self._waiters:
             self._retry_pause = 0.0
-            if self._status_waiters:
+            if self._status_answers:
                 self.look_again(now)
             return
         newest = next(reversed(self._waiters.values()))
@@ -288,27 +269,6 @@
         self._retry_pause = min(grown, self._settings.confirmation_retry_max)
         self._rounds.want_at(now + self._context.jittered(self._retry_pause), now)
 
-    def _answer_status_waiters(self, status_round: StatusRound, now: float) -> None:
-        waiting = self._status_waiters
-        if not waiting:
-            return
-        self._status_waiters = []
-        for item in waiting:
-            if item.after_round < status_round.round_id:
-                self._send_status(item.peer, item.message, now)
-            else:
-                self._status_waiters.append(item)
-
-    def _send_status(self, peer: str, message: GroupStatusRequest, now: float) -> None:
-        known = self.statuses.all()
-        answer = GroupStatusAnswer(
-            message.correlation,
-            message.group,
-            tuple(cached.status for cached in known),
-            tuple(now - cached.asked_at for cached in known),
-        )
-        self._context.emit(SendToPeer(peer, answer))
-
     def _cache_is_recent(self, now: float) -> bool:
         if self._seen is None:
             return False
@@ -328,24 +288,6 @@
         )
         self._known_primary = primary
 
-    def _heartbeat(self, now: float) -> None:
-        pause = self._heartbeat_pause(now)
-        due = self._rounds.last_started_at + pause
-        if due <= now:
-            self._rounds.want(now)
-            due = now + pause
-        self._heartbeat_timer = self._context.call_at(due, self._heartbeat)
-
-    def _heartbeat_pause(self, now: float) -> float:
-        primary = self.primary
-        serves = primary is None or primary in self._active
-        if serves and self._in_use(now):
-            return self._context.jittered(self._settings.heartbeat_interval)
-        return self._context.jittered(self._settings.idle_heartbeat_interval)
-
-    def _in_use(self, now: float) -> bool:
-        return now - self._last_use <= self._settings.in_use_period
-
     def _next_search_pause(self) -> float:
         """Draws the pause before the next look for a primary; it grows while there is none."""
         pause = self._search_pause
