--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -73,6 +73,23 @@
         self.decided = decided
         self.is_over = False
 
+    def allow_wait(self, until: float, bears: float) -> None:
+        """It may wait for its token."""
+        self.until = until
+        self.bears = bears
+
+    def expect_answer_by(self, moment: float) -> None:
+        """A grantor has to have said something by then."""
+        self.answer_by = moment
+
+    def hold(self) -> None:
+        """It waits for the moment of its token from now on."""
+        self.is_held = True
+
+    def end_hold(self) -> None:
+        """The moment of its token has come."""
+        self.is_held = False
+
     def withdraw(self) -> None:
         """Who asked is gone."""
         self.is_over = True
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,9 +1,10 @@
 """Has the process's admission and its part in granting run on the loop and the datagrams."""
 
-from dewledge.core.pooler.rate_limits.gate import SEARCH_SPACING_SECONDS, QuotaGate
+from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_SPACING_SECONDS
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.observing.event_log import EventLog
