--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -5,8 +5,8 @@
 one slot (voter.py, former_votes.py) and on the division of callers into slots (slots.py).
 """
 
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
 from dewledge.core.pooler.rate_limits.former_votes import FormerVotes
-from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
 from dewledge.core.pooler.rate_limits.questions import Asked, Questions
 from dewledge.core.pooler.rate_limits.slots import (
--- /dev/null
+++ b/src/dewledge/core/pooler/rate_limits/vote_binding.py
@@ -0,0 +1,72 @@
+"""To which candidate this process's vote in one slot binds it, and until when.
+
+Inputs: the moments at which candidates answered (own steady clock, seconds). Decision: whether a
+vote for another candidate may be sent now. Reason: each vote counts at one grantor at most, so a
+vote for another is sent only when the last one cannot count any more: VOTE_SECONDS after the answer
+that it echoes, or once the candidate has dropped it. What an earlier start of the process did is
+forgotten, so after a start it votes for nobody for as long, or until each candidate has dropped its
+earlier votes.
+"""
+
+import math
+from collections.abc import Collection, Sequence
+
+from dewledge.core.pooler.rate_limits.candidate_answers import CandidateAnswers
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
+
+
+class VoteBinding:
+    """Of one slot at one process."""
+
+    def __init__(
+        self, answers: CandidateAnswers, started_at: float, withdrawing: Collection[str]
+    ) -> None:
+        """`withdrawing`: the candidates that may count votes of an earlier start of this process.
+
+        started_at: of the process.
+        """
+        self._answers = answers
+        self._free_at = started_at + VOTE_SECONDS
+        """From then on no vote of an earlier start of the process counts."""
+        self._voted_for = ""
+        self._withdrawing = set(withdrawing)
+
+    @property
+    def voted_for(self) -> str:
+        """Whom the last vote was for, empty where there was none."""
+        return self._voted_for
+
+    @property
+    def counted_until(self) -> float:
+        """Until then a vote of this process may count.
+
+        A vote counts for VOTE_SECONDS from the sending of the answer that it echoes, which came
+        here later.
+        """
+        return max(self._answers.answered_at(self._voted_for) + VOTE_SECONDS, self._free_at)
+
+    def may_vote(self, candidate: str, now: float) -> bool:
+        """Tells whether a vote for the candidate can count beside no earlier one."""
+        return self._voted_for == candidate or now >= self.counted_until
+
+    def note_vote(self, candidate: str) -> None:
+        """A vote for the candidate is sent now."""
+        self._voted_for = candidate
+
+    def free(self) -> None:
+        """No vote from before this binding counts any more."""
+        self._free_at = -math.inf
+
+    def withdrawing_from(self, now: float) -> Sequence[str]:
+        """Returns the candidates that are to drop the earlier votes of this process."""
+        return sorted(self._withdrawing) if now < self._free_at else ()
+
+    def take_withdrawal(self, sender: str) -> bool:
+        """A candidate has dropped the earlier votes; returns whether all have, just now."""
+        if sender not in self._withdrawing:
+            return False
+        self._withdrawing.discard(sender)
+        if self._withdrawing or self._voted_for:
+            return False
+        self.free()
+        return True
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -6,7 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.grantor import VOTE_SECONDS, Grantor, GrantorChanged
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.grantor import Grantor, GrantorChanged
+from dewledge.core.pooler.rate_limits.grantor_search import WANTED_SECONDS
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowance import LocalAllowance
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion, TokenWant
@@ -26,7 +28,6 @@
     SILENT_SECONDS,
     SILENT_WITHOUT_VOTE_SECONDS,
     UNVOTED_AGAIN_SECONDS,
-    WANTED_SECONDS,
     Voter,
 )
 
