--- a/src/dewledge/core/shared/caller_credentials.py
+++ b/src/dewledge/core/shared/caller_credentials.py
@@ -1,17 +1,17 @@
-"""Callers' tokens: held as digests only, and looked up the same way at every door."""
+"""Callers' credentials (API keys): held as digests, looked up the same way by both programs."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
 
 
-def credential_digest(token: str) -> str:
-    """Returns the SHA-256 of a caller's token in hexadecimal, as resources and settings hold it."""
-    return hashlib.sha256(token.encode("utf-8", "surrogatepass")).hexdigest()
+def credential_digest(credential: str) -> str:
+    """Returns the SHA-256 of a caller's credential in hexadecimal, as resources and settings do."""
+    return hashlib.sha256(credential.encode("utf-8", "surrogatepass")).hexdigest()
 
 
 def index_credentials(callers: Iterable[tuple[str, Iterable[str]]]) -> Mapping[str, str]:
     """Returns the name of the caller of each digest.
 
-    callers: each caller's name, and the digests of its tokens.
+    callers: each caller's name, and the digests of its credentials.
     """
     return {digest: name for name, digests in callers for digest in digests}
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -12,9 +12,10 @@
 import msgspec
 
 DEFAULT_WEIGHT = 1.0
+"""Share of a caller without a weight of its own, relative to others; a definition."""
 MOST_STALE = 8
-"""Notes of when a caller can be forgotten are made anew beyond so many for each that is remembered:
-so that callers who come and leave unserved are bounded by their number."""
+"""Notes for each remembered caller of when it can be forgotten, beyond which they are made anew: so
+that callers who come and leave unserved are bounded by their number; chosen, not measured."""
 
 
 class _Share(msgspec.Struct):
--- a/src/dewledge/core/shared/positions.py
+++ b/src/dewledge/core/shared/positions.py
@@ -23,6 +23,7 @@
 
 
 LOG_START = LogPosition(0, 0)
+"""Before the first entry of the first term."""
 
 
 def is_cut_off(position: LogPosition, term_starts: Sequence[TermStart]) -> bool:
--- a/src/dewledge/core/shared/retry_budget.py
+++ b/src/dewledge/core/shared/retry_budget.py
@@ -1,4 +1,8 @@
-"""The retry budget: retries are a bounded share of the traffic, so that they cannot amplify it."""
+"""The retry budget: retries are a bounded share of the traffic, so that they cannot amplify it.
+
+Inputs: each request, each wish to retry. Decision: whether one retry may be made now. Reason: where
+all fails, retries of all would multiply the load that makes it fail.
+"""
 
 
 class RetryBudget:
