--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -1,4 +1,8 @@
-"""What asks for admission, and what it is told. The gate (gate.py) decides."""
+"""What asks for admission, and what it is told. The gate (gate.py) decides.
+
+Owns the state of one operation that waits to be admitted. Relies on nothing but its caller: the
+session asks (operation_admission.py), the gate holds, admits or refuses it.
+"""
 
 import math
 from collections.abc import Callable
@@ -7,7 +11,7 @@
 import msgspec
 
 from dewledge.core.pooler.load.verdict import RefusalCause
-from dewledge.core.pooler.rate_limits.token_patience import KeptToken
+from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 
 
 class Wish(msgspec.Struct, frozen=True):
@@ -47,22 +51,22 @@
 
     __slots__ = (
         "answer_by",
-        "bears",
+        "accepted_wait",
         "caller",
         "decided",
         "is_over",
         "is_held",
-        "place",
+        "number",
         "until",
         "urgency",
     )
 
-    def __init__(self, wish: Wish, now: float, place: int, decided: Decided) -> None:
-        """`place`: its number in its caller's line; 0: no token is kept for it."""
+    def __init__(self, wish: Wish, now: float, number: int, decided: Decided) -> None:
+        """`number`: of its key at the grantor; 0: no token is kept for it."""
         self.caller = wish.caller
         self.urgency = wish.urgency
-        self.place = place
-        self.bears = 0.0
+        self.number = number
+        self.accepted_wait = 0.0
         """For so many seconds it may be held and still be in time."""
         self.until = now
         """It may be held for its token until then."""
@@ -73,10 +77,10 @@
         self.decided = decided
         self.is_over = False
 
-    def allow_wait(self, until: float, bears: float) -> None:
+    def allow_wait(self, until: float, accepted_wait: float) -> None:
         """It may wait for its token."""
         self.until = until
-        self.bears = bears
+        self.accepted_wait = accepted_wait
 
     def expect_answer_by(self, moment: float) -> None:
         """A grantor has to have said something by then."""
--- a/src/dewledge/core/pooler/rate_limits/candidate_answers.py
+++ b/src/dewledge/core/pooler/rate_limits/candidate_answers.py
@@ -1,4 +1,7 @@
-"""What the candidates of one slot said last, and when."""
+"""What the candidates of one slot said last, and when; the voter of the slot reads it.
+
+Owns two moments for each candidate: its own clock's, to be told back, and this process's.
+"""
 
 import math
 
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -8,7 +8,7 @@
 of the limit of its own (local_allowance.py), and what could not be served in time is refused now.
 
 Owns the operations that wait for an answer or a token. Relies on slot_voters.py for whom to ask,
-questions.py for the messages, token_patience.py for how long an operation may be held.
+questions.py for the messages, token_wait.py for how long an operation may be held.
 """
 
 import itertools
@@ -17,20 +17,21 @@
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
 from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
+from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS, QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowances import LocalAllowances
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, TokenGrant
 from dewledge.core.pooler.rate_limits.questions import Questions, SendQuestion
+from dewledge.core.pooler.rate_limits.return_times import UNKNOWN_RETURN_MS
 from dewledge.core.pooler.rate_limits.slot_voters import (
     SEARCH_SPACING_SECONDS,
     VOTE_SPACING_SECONDS,
     SlotVoters,
 )
-from dewledge.core.pooler.rate_limits.token_patience import (
+from dewledge.core.pooler.rate_limits.token_wait import (
     FIXED_HOLD_SECONDS,
-    KeptToken,
-    TokenPatience,
-    judge,
+    HoldTimes,
+    hold_or_refuse,
 )
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.shared.units import MILLISECONDS
@@ -53,8 +54,6 @@
 LOOK_AGAIN_SECONDS = 0.03
 """Seconds between two looks while no grantor is known: a third of what lies between two questions
 for one; chosen, not measured."""
-COME_BACK_UNKNOWN_MS = 500
-"""Told where no grantor is known, milliseconds: about the time in which one is found."""
 NUMBERS_PER_SECOND = 1_000_000
 """Numbers of operations for each second of the clock at the start: a process that starts anew
 begins above all numbers of its earlier start unless that took more operations a second."""
@@ -73,9 +72,9 @@
     ) -> None:
         self._scheduler = scheduler
         self._limits: Mapping[str, RateLimit] = {}
-        self._places = itertools.count(int(started_at * NUMBERS_PER_SECOND) + 1)
+        self._numbers = itertools.count(int(started_at * NUMBERS_PER_SECOND) + 1)
         """No number comes twice under one name, also after a restart."""
-        self._patience = TokenPatience()
+        self._hold_times = HoldTimes()
         self._allowances = LocalAllowances(own_name, policy)
         self._questions = Questions(scheduler, own_name, send)
         self._voters = SlotVoters(scheduler, own_name, self._questions, started_at)
@@ -100,13 +99,13 @@
     def apply(self, wish: Wish, decided: Decided) -> Application:
         """Decides at once, or when the grantor has answered; see Admission.apply."""
         now = self._scheduler.now()
-        application = Application(wish, now, self._place_of(wish), decided)
+        application = Application(wish, now, self._number_of(wish), decided)
         if wish.caller not in self._limits:
             application.decide(None)
             return application
         application.allow_wait(
             now + self._hold_seconds(wish),
-            self._patience.bears_seconds(wish.target_latency, wish.statement_timeout),
+            self._hold_times.accepted_seconds(wish.target_latency, wish.statement_timeout),
         )
         self._search_until_answered(application)
         self._ask(application)
@@ -114,7 +113,7 @@
 
     def note_served(self, seconds: float) -> None:
         """Takes in how long an admitted operation took, from its token to its first answer."""
-        self._patience.note_served(seconds)
+        self._hold_times.note_served(seconds)
 
     def tick(self) -> float:
         """Votes, and leaves grantors that are gone; returns the seconds until the next time."""
@@ -141,13 +140,13 @@
     def _hold_seconds(self, wish: Wish) -> float:
         if not wish.keeps:
             return FIXED_HOLD_SECONDS
-        return self._patience.hold_seconds(wish.statement_timeout)
+        return self._hold_times.hold_seconds(wish.statement_timeout)
 
-    def _place_of(self, wish: Wish) -> int:
-        """Returns the operation's number in the line: that kept for it, or a new one."""
+    def _number_of(self, wish: Wish) -> int:
+        """Returns the operation's number in its key: that kept for it, or a new one."""
         if not wish.keeps:
             return 0
-        return next(self._places) if wish.kept is None else wish.kept.place
+        return next(self._numbers) if wish.kept is None else wish.kept.number
 
     def _search_until_answered(self, application: Application) -> None:
         """Gives it a moment to hear from a grantor, and the time in which another takes over."""
@@ -196,14 +195,14 @@
             return
         now = self._scheduler.now()
         token_in = grant.come_back_ms / MILLISECONDS
-        verdict = judge(now, application.until, token_in, grant.refuses)
+        verdict = hold_or_refuse(now, application.until, token_in, grant.refuses)
         if isinstance(verdict, WaitUntil):
             application.hold()
-            self._scheduler.call_later(verdict.at - now, lambda: self._claim(application))
+            self._scheduler.call_later(verdict.at - now, lambda: self._redeem(application))
         elif isinstance(verdict, Refuse):
             application.decide(_refusal(application, verdict, grant.is_kept, now))
 
-    def _claim(self, application: Application) -> None:
+    def _redeem(self, application: Application) -> None:
         """The moment of its token has come."""
         application.end_hold()
         self._search_until_answered(application)
@@ -224,7 +223,7 @@
         if self._take_allowance(application.caller):
             application.decide(None)
         else:
-            application.decide(Refusal(COME_BACK_UNKNOWN_MS, RefusalCause.NO_GRANTOR))
+            application.decide(Refusal(UNKNOWN_RETURN_MS, RefusalCause.NO_GRANTOR))
 
     def _take_allowance(self, caller: str) -> bool:
         voter = self._voters.voter(self._voters.slot_of(caller))
@@ -235,6 +234,6 @@
     kept = None
     if is_kept:
         return_at = now + verdict.come_back_seconds
-        kept = KeptToken(application.caller, application.place, return_at)
+        kept = KeptToken(application.caller, application.number, return_at)
     come_back_ms = math.ceil(verdict.come_back_seconds * MILLISECONDS)
     return Refusal(come_back_ms, verdict.cause, kept)
--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -14,16 +14,19 @@
 from dewledge.core.pooler.rate_limits.slots import CANDIDATES
 
 TOKEN_SECONDS = 0.25
-"""A token ends so long after it was asked for, so what is granted in a window may be used that much
-later. Some round trips between regions; each further second costs the bucket a second's rate."""
+"""Seconds after it was asked for at which a token ends, so what is granted in a window may be used
+that much later. Some round trips between regions; each further second costs the bucket a second's
+rate. Chosen, not measured."""
 BUCKET_SHARE = 0.8
-"""Of what the bound leaves beside the steady rate: how much may be granted at once. Nothing is set
-aside for changes of grantors: a new bucket begins empty."""
+"""Share, of what the bound leaves beside the steady rate, that may be granted at once. Nothing is
+set aside for changes of grantors: a new bucket begins empty. Chosen, not measured: the rest of 1 is
+RESERVE_SHARE."""
 RESERVE_SHARE = 0.2
-"""Of the same: what all processes together may admit in a window without a grantor. Also those that
-vote may use theirs, when answers are lost, so it is left out of the buckets in any case."""
+"""Share of the same that all processes together may admit in a window without a grantor. Also those
+that vote may use theirs, when answers are lost, so it is left out of the buckets in any case.
+Chosen, not measured."""
 LEAST_BUCKET = 1.0
-"""A bucket that holds less would give nothing."""
+"""Tokens: a bucket that holds less would give nothing."""
 
 
 class RateLimit(msgspec.Struct, frozen=True):
@@ -63,11 +66,11 @@
         divided = self.spare(limit) * BUCKET_SHARE - (CANDIDATES - 1) * LEAST_BUCKET
         return max(divided * share, LEAST_BUCKET)
 
-    def reserve(self, limit: RateLimit, processes: int, place: int) -> int:
+    def reserve(self, limit: RateLimit, processes: int, rank: int) -> int:
         """Returns how many operations one process may admit in a window by itself.
 
-        place: its place among the `processes`, from 0; the first ones take what is left over.
+        rank: its rank among the `processes`, from 0; the first ones take what is left over.
         """
         whole = int(self.spare(limit) * RESERVE_SHARE)
         each, left = divmod(whole, max(processes, 1))
-        return each + (place < left)
+        return each + (rank < left)
--- a/src/dewledge/core/pooler/rate_limits/local_allowance.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowance.py
@@ -1,8 +1,10 @@
 """What one process may admit of one caller by itself, while it reaches nobody that grants.
 
-A process whose vote cannot count any more has that vote's share of the caller's rate: the grantor,
-if there is one elsewhere, gives out only the shares of those whose votes count. Besides there is a
-small reserve for each window, for the time until then.
+Inputs: the caller's limit, the policy's window (seconds), this process's rank among the members,
+until when its vote may count for a grantor (own steady clock, seconds). Decision: whether one
+operation may begin. Reason: a process whose vote cannot count any more has that vote's share of the
+caller's rate: the grantor, if there is one elsewhere, gives out only the shares of those whose
+votes count. Besides there is a small reserve for each window, for the time until then.
 """
 
 from collections import deque
@@ -10,7 +12,8 @@
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 
 CREDIT = 1.0
-"""What of the share may be saved up: one operation, which the reserve is less for."""
+"""Operations of the share that may be saved up: one, which the reserve is less for; by the
+arithmetic of the bound, not measured."""
 
 
 class LocalAllowance:
@@ -21,11 +24,11 @@
         limit: RateLimit,
         policy: QuotaPolicy,
         processes: int,
-        place: int,
+        rank: int,
         now: float,
         voters: int | None = None,
     ) -> None:
-        """`place`: of this process among the `processes`, from 0.
+        """`rank`: of this process among the `processes`, from 0.
 
         voters: among so many the rate is divided, this one with them; 0 if it has no vote, None if
         all processes have one.
@@ -33,7 +36,7 @@
         self._window = policy.window
         voters = processes if voters is None else voters
         self._rate = limit.rate / voters if voters else 0.0
-        reserve = policy.reserve(limit, processes, place)
+        reserve = policy.reserve(limit, processes, rank)
         self._has_share = reserve >= 1 and self._rate * policy.window >= CREDIT
         self._reserve = reserve - 1 if self._has_share else reserve
         self._credit = 0.0
--- a/src/dewledge/core/pooler/rate_limits/local_allowances.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -1,4 +1,8 @@
-"""What one process admits of all callers by itself, while it reaches nobody that grants."""
+"""What one process admits of all callers by itself, while it reaches nobody that grants.
+
+Owns one allowance for each caller (local_allowance.py decides). Relies on the members for this
+process's rank among them, another for each caller, and on slots.py for who votes.
+"""
 
 from collections.abc import Collection, Mapping
 
@@ -6,7 +10,7 @@
 from dewledge.core.pooler.rate_limits.local_allowance import LocalAllowance
 from dewledge.core.pooler.rate_limits.slots import (
     is_voter,
-    place_of,
+    rank_of,
     slot_count,
     slot_of,
     voters_of,
@@ -21,19 +25,19 @@
         self._policy = policy
         self._members: Collection[str] = frozenset({own_name})
         self._limits: Mapping[str, RateLimit] = {}
-        self._shares: dict[str, LocalAllowance] = {}
+        self._allowances: dict[str, LocalAllowance] = {}
 
     def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
-        """Sets the limits; the shares of those that changed begin anew."""
-        changed = [name for name in self._shares if limits.get(name) != self._limits.get(name)]
+        """Sets the limits; the allowances of those that changed begin anew."""
+        changed = [name for name in self._allowances if limits.get(name) != self._limits.get(name)]
         for name in changed:
-            del self._shares[name]
+            del self._allowances[name]
         self._limits = limits
 
     def set_members(self, members: Collection[str]) -> None:
         """Sets the processes among which callers are divided."""
         if members != self._members:
-            self._shares = {}
+            self._allowances = {}
         self._members = members
 
     def take(self, caller: str, now: float, counted_until: float) -> bool:
@@ -44,17 +48,17 @@
         limit = self._limits.get(caller)
         if limit is None:
             return True
-        share = self._shares.get(caller)
-        if share is None:
-            share = self._begin(caller, limit, now)
-            self._shares[caller] = share
-        return share.take(now, counted_until)
+        allowance = self._allowances.get(caller)
+        if allowance is None:
+            allowance = self._begin(caller, limit, now)
+            self._allowances[caller] = allowance
+        return allowance.take(now, counted_until)
 
     def _begin(self, caller: str, limit: RateLimit, now: float) -> LocalAllowance:
         processes = len(self._members)
-        place = place_of(self._own_name, caller, self._members)
+        rank = rank_of(self._own_name, caller, self._members)
         return LocalAllowance(
-            limit, self._policy, processes, place, now, self._voters_beside(caller)
+            limit, self._policy, processes, rank, now, self._voters_beside(caller)
         )
 
     def _voters_beside(self, caller: str) -> int:
--- a/src/dewledge/core/pooler/rate_limits/messages.py
+++ b/src/dewledge/core/pooler/rate_limits/messages.py
@@ -8,14 +8,16 @@
 from dewledge.core.pooler.rate_limits.slots import Slot
 
 BEARS_MOST_MS = 60_000
-"""What lets an operation wait for longer than this lets it wait for as long as tokens are kept."""
+"""Milliseconds: an operation that may wait for longer than this may wait for as long as tokens are
+kept (KEPT_SECONDS of token_queue.py is far less); bounds the number in the message."""
 
 
 class TokenWant(msgspec.Struct, frozen=True, array_like=True):
     """A token that is wanted for an operation of a caller.
 
-    count: one, for an operation; processes of an earlier release read it.
-    place: the operation's number at the asker, the same each time it asks; 0: nothing is kept.
+    count: one, for an operation; processes of an earlier release read it, so its position stays.
+    place: the number in the operation's key (queue_key.py), the same each time it asks; 0: nothing
+    is kept.
     bears_ms: for so long it may wait for its token and still be answered within its target.
     urgency: of its route, 0 is the highest.
     """
--- a/src/dewledge/core/pooler/rate_limits/questions.py
+++ b/src/dewledge/core/pooler/rate_limits/questions.py
@@ -99,10 +99,10 @@
 
 
 def _want_of(application: Application) -> TokenWant:
-    bears_ms = min(application.bears * MILLISECONDS, BEARS_MOST_MS)
+    accepted_ms = min(application.accepted_wait * MILLISECONDS, BEARS_MOST_MS)
     return TokenWant(
         application.caller,
-        place=application.place,
-        bears_ms=int(bears_ms),
+        place=application.number,
+        bears_ms=int(accepted_ms),
         urgency=application.urgency,
     )
--- a/src/dewledge/core/pooler/rate_limits/recent_demand.py
+++ b/src/dewledge/core/pooler/rate_limits/recent_demand.py
@@ -3,8 +3,8 @@
 import math
 
 HALF_LIFE_SECONDS = 2.0
-"""What was taken so long ago counts half: demand comes in waves of some seconds, and a rate known
-for less is mostly chance."""
+"""Seconds after which what was taken counts half: demand comes in waves of some seconds, and a rate
+known for less is mostly chance; chosen, not measured."""
 
 
 class RecentDemand:
--- a/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
@@ -1,16 +1,21 @@
-"""A bucket of tokens as those see it for whom a part of it is set aside."""
+"""A bucket as less urgent operations see it: without what is set aside for more urgent ones.
+
+Inputs: how many more urgent operations wait, the tokens a second that they usually take. Decision:
+how many tokens, and at which moments, are left for others. Reason: the more urgent find a token as
+they come, and a moment told to others holds while demand is as usual.
+"""
 
 import math
 
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 
 RESERVE_SECONDS = 0.1
-"""Of the usual demand of what is more urgent is set aside: some round trips between processes, in
-which one that was promised the next token comes for it. More is left over when a wave of demand
-ends: with a second of it 2% fewer operations were served on a played day."""
+"""Seconds of the usual demand of what is more urgent that are set aside: some round trips between
+processes, in which one that was promised the next token comes for it. More is left over when a wave
+of demand ends: with a second of it 2% fewer operations were served on a played day."""
 LEAST_RATE_SHARE = 0.1
-"""Of the rate, to reckon with where the more urgent take nearly all of it: a moment has to be told,
-and what is told later than in ten times the usual is refused anyhow."""
+"""Share of the rate to reckon with where the more urgent take nearly all of it: a moment has to be
+told, and what is told later than in ten times the usual is refused anyhow; chosen, not measured."""
 
 
 class ReservedBucket:
@@ -24,7 +29,7 @@
     def set_aside(self, waiting: int, rate: float) -> None:
         """Sets how many tokens are not for those who see this.
 
-        waiting: of more urgent operations that have a place. rate: tokens that more urgent ones
+        waiting: of more urgent operations that have a position. rate: tokens that more urgent ones
         usually take in a second of the bucket's. Set aside is a token for each that waits, what
         usually comes in RESERVE_SECONDS and as much as that varies (its square root), but so that a
         whole token is left to others.
--- /dev/null
+++ b/src/dewledge/core/pooler/rate_limits/return_times.py
@@ -0,0 +1,110 @@
+"""The moment that an operation over its caller's limit is told to come back at.
+
+Inputs, at the grantor: the caller's rate (tokens a second, the share held now), the seconds until
+the queue has a token for one more, the moments told so far (grantor's steady clock, seconds; at
+most RETURN_SECONDS ahead). At the process that asked: the grantor's answer, one round trip old.
+Decision: for an operation that a standing queue refused, a moment of its own, 1 / (rate x
+RETURN_SHARE) seconds after the one before; for one beyond a queue that drains, the next moment at
+the rate; never less than LEAST_RETURN_SECONDS; without a grantor UNKNOWN_RETURN_MS.
+Reason: one that comes back at its own moment has the next token before all that wait, so the
+moments are so far apart that others have their part of the tokens too, and those refused together
+do not come back together.
+
+Owns the moments told. The operation's own refusal is made in gate.py; log line:
+operation_not_admitted, with come_back_ms.
+"""
+
+import itertools
+
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
+
+RETURN_SHARE = 0.5
+"""Share of the rate for those that come back. With all of it whoever asks for the first time would
+be refused, and each operation would be served late; chosen, not measured."""
+RETURN_SECONDS = 5.0
+"""Seconds ahead for which moments are remembered; bounds their number at `rate` x RETURN_SHARE x
+this. Clients have some seconds for an operation; chosen, not measured."""
+LEAST_RETURN_SECONDS = 0.02
+"""Seconds that any wait for a token is told to last at least: a round trip between processes;
+chosen, not measured."""
+UNKNOWN_RETURN_MS = 500
+"""Milliseconds told where no grantor is known: about the time in which one is found (half a second
+among 59 processes that start at once, measured)."""
+
+
+def return_seconds(token_in: float) -> float:
+    """Returns the seconds that an operation is told whose token comes in `token_in` seconds."""
+    return max(token_in, LEAST_RETURN_SECONDS)
+
+
+class ReturnTimes:
+    """Of one caller. Soft state: without it who comes back is last in the queue."""
+
+    def __init__(self) -> None:
+        self._due_at: dict[QueueKey, float] = {}
+        """Of who may come back, in the order of the moments."""
+        self._token_at: dict[QueueKey, float] = {}
+        """Of who came back and found no token yet, in the order in which they came."""
+        self._last = 0.0
+        self._spread_until = 0.0
+
+    def __len__(self) -> int:
+        return len(self._due_at) + len(self._token_at)
+
+    @property
+    def waiting(self) -> int:
+        """How many came back and have no token yet: the next ones are theirs."""
+        return len(self._token_at)
+
+    def due_at(self, key: QueueKey | None) -> float | None:
+        """Returns the moment that an operation was told or promised, None without one."""
+        if key is None:
+            return None
+        return self._token_at.get(key, self._due_at.get(key))
+
+    def tell(self, key: QueueKey, now: float, earliest: float, rate: float) -> tuple[float, bool]:
+        """Returns a moment after all that were told, and whether it is the operation's own.
+
+        Where so many were told that it would be too far ahead, it is last when it comes.
+        rate: tokens a second that come in now.
+        """
+        moment = max(earliest, self._last + 1.0 / (rate * RETURN_SHARE))
+        if moment > now + RETURN_SECONDS:
+            return now + RETURN_SECONDS, False
+        self._last = moment
+        self._due_at[key] = moment
+        return moment, True
+
+    def spread(self, earliest: float, rate: float) -> float:
+        """Returns a moment beyond the queue: one for each who is told, one after the other.
+
+        No token is kept for it. rate: tokens a second that come in now.
+        """
+        self._spread_until = max(earliest, self._spread_until + 1.0 / rate)
+        return self._spread_until
+
+    def come(self, key: QueueKey, now: float) -> int:
+        """One is back; returns how many that were back before it have no token yet."""
+        self._due_at.pop(key, None)
+        self._token_at.setdefault(key, now)
+        return next(ahead for ahead, other in enumerate(self._token_at) if other == key)
+
+    def wait(self, key: QueueKey, moment: float) -> None:
+        """One that is back has its token at a later moment."""
+        self._token_at[key] = moment
+
+    def leave(self, key: QueueKey) -> None:
+        """One that is back has its token."""
+        del self._token_at[key]
+
+    def drop_before(self, earliest: float) -> None:
+        """Who did not come is left; its token is for the next."""
+        drop_before(self._due_at, earliest)
+        drop_before(self._token_at, earliest)
+
+
+def drop_before(moments: dict[QueueKey, float], earliest: float) -> None:
+    """Drops from the front what is older."""
+    old = list(itertools.takewhile(lambda key: moments[key] < earliest, moments))
+    for key in old:
+        del moments[key]
--- a/src/dewledge/core/pooler/rate_limits/slot_grants.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_grants.py
@@ -17,7 +17,7 @@
 from dewledge.core.pooler.rate_limits.held_share import HeldShare
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import TokenGrant, TokenWant
-from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Given
 from dewledge.core.shared.units import MILLISECONDS
@@ -48,15 +48,15 @@
         """Returns a token for an operation, or when its own token comes."""
         share = self._share
         queues = self._queues_of(want.caller, limit)
-        key = PlaceKey(asker, want.place) if want.place else None
-        bears = want.bears_ms / MILLISECONDS
-        found = queues.ask(want.urgency, key, now, share.share_seconds, share.share, bears)
+        key = QueueKey(asker, want.place) if want.place else None
+        accepted = want.bears_ms / MILLISECONDS
+        found = queues.ask(want.urgency, key, now, share.share_seconds, share.share, accepted)
         if isinstance(found, Given):
             age_ms = math.ceil(found.age * MILLISECONDS)
             return TokenGrant(want.caller, 1, 0, age_ms=age_ms)
         milliseconds = math.ceil(found.seconds * MILLISECONDS)
         is_kept = found.is_kept or found.is_own
-        return TokenGrant(want.caller, 0, milliseconds, is_kept, refuses=found.is_told)
+        return TokenGrant(want.caller, 0, milliseconds, is_kept, refuses=found.is_refused)
 
     def _queues_of(self, caller: str, limit: RateLimit) -> CallerTokenQueues:
         """Returns a caller's queues, with the bucket of the present limit and share."""
--- a/src/dewledge/core/pooler/rate_limits/slots.py
+++ b/src/dewledge/core/pooler/rate_limits/slots.py
@@ -1,4 +1,7 @@
-"""Which processes may grant a caller's tokens. Pure functions.
+"""Which processes may grant a caller's tokens, and which vote for them. Pure functions.
+
+Inputs: a caller's name, the names of the members known here (their list's age is that of the member
+table). Decision: the slot of the caller, the slot's candidates and voters.
 
 Callers are divided into slots, more with more processes, so that no process answers all. For
 each slot every process works out the same few candidates by rendezvous hashing; how much each may
@@ -15,14 +18,17 @@
 import xxhash
 
 PROCESSES_PER_SLOT = 32
-"""At most. A slot has VOTES_EACH times as many voters, between them and half of them: a grantor
-hears some two hundred votes a second, about a hundredth of a small machine's core."""
+"""Processes for each slot, at most. A slot has VOTES_EACH times as many voters, between them and
+half of them: a grantor hears some two hundred votes a second, reckoned at about a hundredth of a
+small machine's core."""
 VOTES_EACH = 2
-"""In so many slots each process votes. With more, a side of a split has more nearly its part of the
-votes (of 32 to 64 within a few); each costs a datagram and its answer in a third of a second."""
+"""Slots in which each process votes. With more, a side of a split has more nearly its part of the
+votes (of 32 to 64 within a few); each costs a datagram and its answer in a third of a second. With
+two, a process sends and takes 1.1 KB a second at 59, 300 and 850 processes, measured with the real
+codec on a model (docs/CAPACITY.md)."""
 CANDIDATES = 5
-"""So many processes stand in for each other: of a side with a third of all, one is among them with
-seven chances of eight."""
+"""Processes that stand in for each other in a slot: of a side with a third of all, one is among
+them with seven chances of eight (1 - (2/3)^5), reckoned."""
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
@@ -49,7 +55,7 @@
     a caller's voters are some of those that it had.
     """
     first = xxhash.xxh3_64_intdigest(f"votes {name}".encode()) % count
-    return [Slot(count, (first + place) % count) for place in range(min(VOTES_EACH, count))]
+    return [Slot(count, (first + step) % count) for step in range(min(VOTES_EACH, count))]
 
 
 def is_voter(name: str, slot: Slot) -> bool:
@@ -96,8 +102,8 @@
     return (known & members) | voters_of(slot, members - before)
 
 
-def place_of(own_name: str, caller: str, members: Collection[str]) -> int:
-    """Returns a process's place among all, another order for each caller."""
+def rank_of(own_name: str, caller: str, members: Collection[str]) -> int:
+    """Returns a process's rank among all, another order for each caller."""
     own = _weight(f"reserve {caller}", own_name)
     return sum(_weight(f"reserve {caller}", name) < own for name in members)
 
--- a/src/dewledge/core/pooler/rate_limits/standing_queue_watch.py
+++ b/src/dewledge/core/pooler/rate_limits/standing_queue_watch.py
@@ -1,35 +1,40 @@
-"""Tells a line of tokens that drains from one that stands.
+"""Tells a standing queue for tokens from one that drains.
 
-Operations that were held up by an outage come together; the line that they make becomes shorter,
-and holding them serves them all. A caller that steadily asks for more than its limit has a line
-that never becomes shorter: waiting in it serves no operation more, it only makes each of them late.
-As CoDel does for packets, the least wait over an interval tells the two apart; besides, a long line
-that becomes shorter is left alone.
+Inputs: the wait that each new operation would have (seconds, now, at the grantor) over the last
+BLOCKS spans of BLOCK_SECONDS. Decision: whether the queue stands, for STANDING_AFTER_SECONDS from
+then on. Reason: operations that were held up by an outage come together; their queue becomes
+shorter, and holding them serves them all. A caller that steadily asks for more than its limit has a
+queue that never becomes shorter: waiting in it serves no operation more and makes each of them
+late. As CoDel does for packets, the least wait over an interval tells the two apart; besides, a
+long queue that becomes shorter is left alone.
 """
 
 from collections import deque
 
 STANDING_SECONDS = 0.15
-"""A line in which operations wait no longer than this is no fault: some round trips between
-processes, so that no token is left over while somebody waits."""
+"""Seconds of wait that are no fault: some round trips between processes, so that no token is left
+over while somebody waits; chosen, not measured. As the longest wait of a standing queue it left
+nothing that could be served after a wave of demand (docs/design/heavy-load.md), so there the
+operation's own accepted wait counts."""
 BLOCK_SECONDS = 0.5
-"""The longest wait of each such span is compared with that of the span before."""
+"""Seconds of a span whose longest wait is compared with that of the span before; chosen, not
+measured."""
 BLOCKS = 3
-"""A line that was longer in so many spans one after the other may be found to stand. What an
-outage held up comes within the first two of them."""
+"""Spans one after the other in which a queue was longer than usual before it may be found to stand.
+What an outage held up comes within the first two of them; chosen, not measured."""
 DRAINING_PACE = 0.1
-"""A line drains if its wait falls by so many seconds a second: usual demand leaves more of the rate
-than this, and the error of some tens of operations is smaller."""
+"""Seconds of wait by which a draining queue falls each second: usual demand leaves more of the rate
+than this, and the error of some tens of operations is smaller; chosen, not measured."""
 STANDING_AFTER_TOKENS = 20
-"""And for the time of so many tokens: the demand of a caller of few operations a second differs by
-chance for that long."""
+"""Tokens in whose time a queue stands at least: the demand of a caller of few operations a second
+differs by chance for that long; chosen, not measured."""
 STANDING_AFTER_SECONDS = 2.0
-"""It stands until no operation was too many for so long: demand comes in waves of some seconds, and
-each one would else begin with operations that are late."""
+"""Seconds for which a queue stands after an operation was too many: demand comes in waves of some
+seconds, and each one would else begin with operations that are late; chosen, not measured."""
 
 
 class StandingQueueWatch:
-    """Of one line. Times of the grantor's steady clock, in seconds."""
+    """Of one queue. Times of the grantor's steady clock, in seconds."""
 
     def __init__(self) -> None:
         self._longest: deque[float] = deque(maxlen=BLOCKS)
@@ -44,8 +49,8 @@
     def note(self, wait: float, usual: float, now: float, gap: float = 0.0) -> None:
         """Takes in for how long an operation that comes now would wait for its token.
 
-        usual: a wait up to which the line is not too long. gap: the seconds in which a token comes;
-        by so much waits differ by chance.
+        usual: a wait up to which the queue is not too long. gap: the seconds in which a token
+        comes; by so much waits differ by chance.
         """
         if wait <= usual:
             self._longest.clear()
@@ -58,7 +63,7 @@
             self._begin_block(wait, now)
 
     def note_too_many(self, now: float, gap: float = 0.0) -> None:
-        """An operation found the line too long, though it is kept short."""
+        """An operation found the queue too long, though it is kept short."""
         self._stands_until = now + max(STANDING_AFTER_SECONDS, STANDING_AFTER_TOKENS * gap)
 
     def _begin_block(self, wait: float, now: float) -> None:
--- a/src/dewledge/core/pooler/rate_limits/token_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/token_bucket.py
@@ -3,11 +3,11 @@
 from typing import Protocol
 
 ROUNDING = 1e-9
-"""Of a token: sums of many small gains may miss a whole one by so much."""
+"""Tokens by which sums of many small gains may miss a whole one; floating point, not measured."""
 
 
 class Tokens(Protocol):
-    """What gives tokens, as a line of those who want them sees it."""
+    """What gives tokens, as a queue of those who want them sees it."""
 
     @property
     def rate(self) -> float:
--- /dev/null
+++ b/src/dewledge/core/pooler/rate_limits/token_wait.py
@@ -0,0 +1,59 @@
+"""How long an operation is held for its token: while it can still be served in its time after it.
+
+Inputs: the statement's timeout and the route's target latency (seconds), the measured time from a
+token to the first answer (running mean of this process, seconds), and the grantor's answer: in how
+many seconds the operation's own token comes (one round trip old). Decision: hold it until then, or
+refuse it now. Reason: the grantor tells the moment of the operation's own token, so what is held
+gets it; what could not be served after it would only use up its client's time. Nothing here is a
+share of a latency target. Before a standing queue it is refused too if it would be late; the
+grantor decides that (token_queue.py).
+"""
+
+from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
+from dewledge.core.pooler.rate_limits.return_times import return_seconds
+from dewledge.core.shared.service_rate import UsualTime
+
+SERVING_SMOOTHING = 0.05
+"""Share of a new time in the running mean of serving times: the last some tens of operations count;
+chosen, not measured."""
+FIRST_SERVING_SECONDS = 0.2
+"""Seconds of serving taken to be usual until one was measured: some round trips between regions and
+a connection; chosen, not measured."""
+FIXED_HOLD_SECONDS = 0.15
+"""Seconds that an operation waits for a token where tokens are not kept, whatever it has left;
+chosen, not measured."""
+
+
+class HoldTimes:
+    """For how long operations may be held, from how long they take once they are admitted."""
+
+    def __init__(self) -> None:
+        self._usual = UsualTime(SERVING_SMOOTHING)
+
+    @property
+    def serving_seconds(self) -> float:
+        """What most operations need from their token to their answer."""
+        return self._usual.seconds or FIRST_SERVING_SECONDS
+
+    def note_served(self, seconds: float) -> None:
+        """Takes in the time from an operation's token to its first statement's answer."""
+        self._usual.note(seconds)
+
+    def hold_seconds(self, statement_timeout: float) -> float:
+        """Returns how long an operation may be held, so that it can be served after that."""
+        return max(statement_timeout - self.serving_seconds, 0.0)
+
+    def accepted_seconds(self, target_latency: float, statement_timeout: float) -> float:
+        """Returns how long it may be held and still be answered in time and within its target."""
+        return self.hold_seconds(min(target_latency, statement_timeout))
+
+
+def hold_or_refuse(now: float, until: float, token_in: float, refuses: bool = False) -> Verdict:
+    """Decides on an operation whose token comes in `token_in` seconds; it may be held to `until`.
+
+    refuses: the grantor would not have it held. Times of the process's steady clock, in seconds.
+    """
+    seconds = return_seconds(token_in)
+    if not refuses and now + seconds <= until:
+        return WaitUntil(now + seconds)
+    return Refuse(RefusalCause.OVER_LIMIT, seconds)
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooler.events import OperationHeld, OperationNotAdmitted
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.rate_limits.admission import Application, Refusal, Wish
-from dewledge.core.pooler.rate_limits.token_patience import KeptTokens
+from dewledge.core.pooler.rate_limits.kept_tokens import KeptTokens
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
@@ -83,7 +83,7 @@
 
     def _wish(self, state: SessionState, route: Route) -> Wish:
         """Returns what asks for admission, with the token that is kept for this moment."""
-        kept = self._kept_tokens.claim(state.caller, self._services.scheduler.now())
+        kept = self._kept_tokens.redeem(state.caller, self._services.scheduler.now())
         policy = self._services.load_policy
         urgency = route.priority if policy.urgent_tokens else 0
         return Wish(
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,4 +1,9 @@
-"""Has the process's admission and its part in granting run on the loop and the datagrams."""
+"""Runs a process's admission and its part in granting on the event loop and the datagrams.
+
+Owns the gate and the grantor of the process and their timer. Relies on the member table for whom
+to ask and at which address, and on the configuration in force for the limits. A question to this
+process itself goes to its own grantor without a datagram.
+"""
 
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
--- a/tests/core/pooler/rate_limits/crowd.py
+++ b/tests/core/pooler/rate_limits/crowd.py
@@ -1,4 +1,4 @@
-"""Operations of one caller before one line of tokens, and clients that heed it or do not."""
+"""Operations of one caller before one queue of tokens, and clients that heed it or do not."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
@@ -50,7 +50,7 @@
     def __init__(
         self, rate: float, size: float, heeds: bool, bears: float = BEARS, tokens: float = 0.0
     ) -> None:
-        self.line = TokenQueue(TokenBucket(rate, size, tokens, 0.0))
+        self.queue = TokenQueue(TokenBucket(rate, size, tokens, 0.0))
         self.operations: list[Operation] = []
         self._heeds = heeds
         self._bears = bears
@@ -76,8 +76,8 @@
         heapq.heappush(self._events, (at, next(self._order), operation, as_told))
 
     def _ask(self, now: float, operation: Operation, as_told: bool) -> None:
-        key = PlaceKey("process", operation.number)
-        found = self.line.ask(key, now, now, 1.0, self._bears)
+        key = QueueKey("process", operation.number)
+        found = self.queue.ask(key, now, now, 1.0, self._bears)
         operation.returned += as_told
         if operation.is_new_try:
             operation.is_new_try = False
--- a/tests/core/pooler/rate_limits/test_caller_token_queues.py
+++ b/tests/core/pooler/rate_limits/test_caller_token_queues.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.rate_limits.caller_token_queues import LEAST_URGENT, CallerTokenQueues
-from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
@@ -29,16 +29,16 @@
 
 
 class ByNumber:
-    """The lines of one caller as one line, the urgency by the operation's number."""
+    """The queues of one caller as one queue, the urgency by the operation's number."""
 
     def __init__(self, bucket: TokenBucket, urgency: Urgency) -> None:
-        self._lines = CallerTokenQueues(bucket)
+        self._queues = CallerTokenQueues(bucket)
         self._urgency = urgency
 
     def ask(
-        self, key: PlaceKey, now: float, filled_to: float, share: float, bears: float
+        self, key: QueueKey, now: float, filled_to: float, share: float, bears: float
     ) -> Given | Promised:
-        return self._lines.ask(self._urgency(key.number), key, now, filled_to, share, bears)
+        return self._queues.ask(self._urgency(key.number), key, now, filled_to, share, bears)
 
 
 def urgent_every(number: int) -> int:
@@ -53,7 +53,7 @@
     arrivals: Sequence[float], urgency: Urgency, heeds: bool = False, tokens: float = 0.0
 ) -> Crowd:
     crowd = Crowd(RATE, SIZE, heeds)
-    crowd.line = ByNumber(TokenBucket(RATE, SIZE, tokens, 0.0), urgency)  # type: ignore[assignment]
+    crowd.queue = ByNumber(TokenBucket(RATE, SIZE, tokens, 0.0), urgency)  # type: ignore[assignment]
     crowd.play(arrivals)
     return crowd
 
@@ -124,8 +124,8 @@
         served: dict[str, int] = {}
         for name, urgency in (("by urgency", every_third), ("alike", all_alike)):
             crowd = Crowd(200.0, 228.0, heeds=False)
-            lines = ByNumber(TokenBucket(200.0, 228.0, 228.0, 0.0), urgency)
-            crowd.line = lines  # type: ignore[assignment]
+            queues = ByNumber(TokenBucket(200.0, 228.0, 228.0, 0.0), urgency)
+            crowd.queue = queues  # type: ignore[assignment]
             crowd.play(waves)
             served[name] = sum(each.given_at is not None for each in crowd.operations)
         # With a second of the urgent demand set aside it was 1.09.
@@ -146,18 +146,18 @@
         st.integers(0, 9),
         st.floats(0, SIZE),
     )
-    def test_one_urgency_is_one_line(
+    def test_one_urgency_is_one_queue(
         self, asked: list[tuple[float, int]], urgency: int, tokens: float
     ) -> None:
-        lines = CallerTokenQueues(TokenBucket(RATE, SIZE, tokens, 0.0))
-        line = TokenQueue(TokenBucket(RATE, SIZE, tokens, 0.0))
+        queues = CallerTokenQueues(TokenBucket(RATE, SIZE, tokens, 0.0))
+        queue = TokenQueue(TokenBucket(RATE, SIZE, tokens, 0.0))
         now = 0.0
         for pause, number in asked:
             now += pause
-            key = PlaceKey("process", number)
-            found = lines.ask(urgency, key, now, now, 1.0, 0.5)
-            self.assertEqual(found, line.ask(key, now, now, 1.0, 0.5))
-        self.assertEqual(len(lines), len(line))
+            key = QueueKey("process", number)
+            found = queues.ask(urgency, key, now, now, 1.0, 0.5)
+            self.assertEqual(found, queue.ask(key, now, now, 1.0, 0.5))
+        self.assertEqual(len(queues), len(queue))
 
     @settings(max_examples=100, deadline=None)
     @given(
@@ -170,12 +170,12 @@
         self, asked: list[tuple[float, int]], rate: float, size: float, share: float
     ) -> None:
         """Whatever is asked: the bound on a caller rests on its bucket alone."""
-        lines = CallerTokenQueues(TokenBucket(rate, size, size, 0.0))
+        queues = CallerTokenQueues(TokenBucket(rate, size, size, 0.0))
         now, given_count = 0.0, 0
         for number, (pause, urgency) in enumerate(asked):
             now += pause
-            key = PlaceKey("process", number)
-            found = lines.ask(urgency, key, now, now * share, share, 0.5)
+            key = QueueKey("process", number)
+            found = queues.ask(urgency, key, now, now * share, share, 0.5)
             given_count += isinstance(found, Given)
             if isinstance(found, Promised):
                 self.assertGreater(found.seconds, 0.0)
@@ -183,16 +183,16 @@
 
     def test_a_bucket_of_one_token_serves_both(self) -> None:
         """The share of a grantor with few votes."""
-        lines = CallerTokenQueues(TokenBucket(2.0, 1.0, 1.0, 0.0))
+        queues = CallerTokenQueues(TokenBucket(2.0, 1.0, 1.0, 0.0))
         for number, urgency in enumerate((URGENT, OTHERS, URGENT, OTHERS)):
-            found = lines.ask(urgency, PlaceKey("p", number), number, number, 1.0, 0.5)
+            found = queues.ask(urgency, QueueKey("p", number), number, number, 1.0, 0.5)
             self.assertIsInstance(found, Given)
 
-    def test_lines_are_bounded(self) -> None:
-        lines = CallerTokenQueues(TokenBucket(RATE, SIZE, SIZE, 0.0))
+    def test_queues_are_bounded(self) -> None:
+        queues = CallerTokenQueues(TokenBucket(RATE, SIZE, SIZE, 0.0))
         for urgency in range(-50, 1000):
-            lines.ask(urgency, PlaceKey("p", urgency), 0.0, 0.0, 1.0, 0.5)
-        self.assertLessEqual(len(lines._lines), LEAST_URGENT + 1)
+            queues.ask(urgency, QueueKey("p", urgency), 0.0, 0.0, 1.0, 0.5)
+        self.assertLessEqual(len(queues._queues), LEAST_URGENT + 1)
 
 
 class ReserveTest(unittest.TestCase):
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -17,7 +17,7 @@
     VOTES_EACH,
     Slot,
     candidates_of,
-    place_of,
+    rank_of,
     slot_count,
     slot_of,
     voters_of,
@@ -404,7 +404,7 @@
         self.assertEqual(found, {0, 1, 2, 3})
 
     def test_places_are_all_different(self) -> None:
-        places = sorted(place_of(name, "north", MEMBERS) for name in MEMBERS)
+        places = sorted(rank_of(name, "north", MEMBERS) for name in MEMBERS)
         self.assertEqual(places, [0, 1, 2, 3])
 
 
--- a/tests/core/pooler/rate_limits/test_standing_queue.py
+++ b/tests/core/pooler/rate_limits/test_standing_queue.py
@@ -1,19 +1,19 @@
-"""A line of tokens that stands is kept short; one that drains is held for all who stand in it."""
+"""A queue of tokens that stands is kept short; one that drains is held for all who stand in it."""
 
 import unittest
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
+from dewledge.core.pooler.rate_limits.return_times import RETURN_SECONDS, RETURN_SHARE
 from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
 from dewledge.core.pooler.rate_limits.token_queue import KEPT_SECONDS, Promised
-from dewledge.core.pooler.rate_limits.told_moments import TOLD_SECONDS, TOLD_SHARE
 from tests.core.pooler.rate_limits.crowd import Crowd, by_chance, steady
 
 RATE = 20.0
 SETTLED = 5.0
-"""By then the line has been found to stand, and who was promised a token before that has it."""
+"""By then the queue has been found to stand, and who was promised a token before that has it."""
 
 
 class StandingTest(unittest.TestCase):
@@ -55,7 +55,7 @@
             waves = [steady(3 * RATE, begin, begin + 4.0) for begin in (0.0, 8.0, 16.0)]
             crowd.play([at for wave in waves for at in wave])
             served[bears] = sum(each.given_at is not None for each in crowd.operations)
-        least_gain = 2 * RATE * (1.6 - 0.3) * (1.0 - TOLD_SHARE)
+        least_gain = 2 * RATE * (1.6 - 0.3) * (1.0 - RETURN_SHARE)
         self.assertGreater(served[1.6], served[0.3] + 0.8 * least_gain)
 
     def test_also_of_a_caller_of_few_operations_that_come_by_chance(self) -> None:
@@ -121,29 +121,29 @@
     def test_moments_told_are_bounded_in_number_and_time(self) -> None:
         crowd = Crowd(RATE, 15.0, heeds=False)
         crowd.play(steady(10 * RATE, 0.0, 20.0))
-        self.assertLessEqual(len(crowd.line.told), TOLD_SECONDS * RATE)
-        found = crowd.line.ask(PlaceKey("process", 0), 20.0, 20.0, 1.0)
+        self.assertLessEqual(len(crowd.queue.returns), RETURN_SECONDS * RATE)
+        found = crowd.queue.ask(QueueKey("process", 0), 20.0, 20.0, 1.0)
         assert isinstance(found, Promised)
-        self.assertLessEqual(found.seconds, TOLD_SECONDS)
+        self.assertLessEqual(found.seconds, RETURN_SECONDS)
 
     def test_who_comes_before_its_moment_is_told_the_same_again(self) -> None:
         crowd = Crowd(RATE, 15.0, heeds=False)
         crowd.play(steady(3 * RATE, 0.0, 2.0))
-        line = crowd.line
+        queue = crowd.queue
         told: list[tuple[int, float]] = []
         for number in range(1000, 1020):
-            found = line.ask(PlaceKey("process", number), 2.5, 2.5, 1.0)
+            found = queue.ask(QueueKey("process", number), 2.5, 2.5, 1.0)
             if isinstance(found, Promised) and found.is_own:
                 told.append((number, found.seconds))
         self.assertGreater(len(told), 0)
         for number, seconds in told:
-            again = line.ask(PlaceKey("process", number), 2.5, 2.5, 1.0)
+            again = queue.ask(QueueKey("process", number), 2.5, 2.5, 1.0)
             self.assertEqual(again, Promised(seconds, False, True, True))
 
     def test_a_token_of_one_that_came_back_and_left_is_for_the_next(self) -> None:
         crowd = Crowd(RATE, 1.0, heeds=False)
         crowd.play(steady(3 * RATE, 0.0, 4.0))
-        crowd.line.told.come(PlaceKey("process", 5000), 8.0)
+        crowd.queue.returns.come(QueueKey("process", 5000), 8.0)
         crowd.play(steady(3 * RATE, 8.0, 11.0))
         self.assertGreaterEqual(crowd.given_between(8.0, 11.0), 0.95 * RATE * 3.0 - 2)
 
--- a/tests/core/pooler/rate_limits/test_line_watch.py
+++ b/tests/core/pooler/rate_limits/test_standing_queue_watch.py
@@ -1,4 +1,4 @@
-"""What is taken for a line that stands: a table of waits over time."""
+"""What is taken for a queue that stands: a table of waits over time."""
 
 import unittest
 from collections.abc import Callable
--- a/tests/core/pooler/rate_limits/test_token_queue.py
+++ b/tests/core/pooler/rate_limits/test_token_queue.py
@@ -1,4 +1,4 @@
-"""The line before a caller's tokens: who gets which, and that none is lost or given twice."""
+"""The queue before a caller's tokens: who gets which, and that none is lost or given twice."""
 
 import unittest
 
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
-from dewledge.core.pooler.rate_limits.place_key import PlaceKey
+from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import (
-    CLAIM_SECONDS,
     KEPT_SECONDS,
+    REDEEM_SECONDS,
     Given,
     Promised,
     TokenQueue,
@@ -19,70 +19,70 @@
 RATE = 10.0
 
 
-def line_of(size: float = 5.0, tokens: float = 0.0, rate: float = RATE) -> TokenQueue:
+def queue_of(size: float = 5.0, tokens: float = 0.0, rate: float = RATE) -> TokenQueue:
     return TokenQueue(TokenBucket(rate, size, tokens, 0.0))
 
 
-def key(number: int) -> PlaceKey:
-    return PlaceKey("process", number)
+def key(number: int) -> QueueKey:
+    return QueueKey("process", number)
 
 
 class LineTest(unittest.TestCase):
-    def ask(self, line: TokenQueue, number: int, now: float) -> Given | Promised:
-        return line.ask(key(number) if number else None, now, now, 1.0)
+    def ask(self, queue: TokenQueue, number: int, now: float) -> Given | Promised:
+        return queue.ask(key(number) if number else None, now, now, 1.0)
 
-    def promised(self, line: TokenQueue, number: int, now: float) -> Promised:
-        found = self.ask(line, number, now)
+    def promised(self, queue: TokenQueue, number: int, now: float) -> Promised:
+        found = self.ask(queue, number, now)
         assert isinstance(found, Promised)
         return found
 
     def test_moments_come_one_after_the_other(self) -> None:
-        line = line_of()
-        moments = [self.promised(line, number, 0.0).seconds for number in (1, 2, 3)]
+        queue = queue_of()
+        moments = [self.promised(queue, number, 0.0).seconds for number in (1, 2, 3)]
         for moment, expected in zip(moments, (0.1, 0.2, 0.3), strict=True):
             self.assertAlmostEqual(moment, expected)
 
-    def test_moments_beyond_the_line_are_spread_too(self) -> None:
-        line = line_of()
+    def test_moments_beyond_the_queue_are_spread_too(self) -> None:
+        queue = queue_of()
         number = 1
-        while self.promised(line, number, 0.0).is_kept:
+        while self.promised(queue, number, 0.0).is_kept:
             number += 1
-        told = [self.promised(line, number + each, 0.0) for each in range(1, 4)]
+        told = [self.promised(queue, number + each, 0.0) for each in range(1, 4)]
         self.assertFalse(any(each.is_kept for each in told))
         for earlier, later in zip(told, told[1:], strict=False):
             self.assertAlmostEqual(later.seconds - earlier.seconds, 1 / RATE)
         self.assertGreater(told[0].seconds, KEPT_SECONDS)
-        self.assertEqual(len(line), KEPT_SECONDS * RATE)
+        self.assertEqual(len(queue), KEPT_SECONDS * RATE)
 
     def test_who_asks_first_while_a_token_is_kept_for_another_does_not_get_it(self) -> None:
-        line = line_of()
-        self.promised(line, 1, 0.0)
-        self.assertIsInstance(self.ask(line, 2, 0.1), Promised)
-        self.assertIsInstance(self.ask(line, 1, 0.1), Given)
+        queue = queue_of()
+        self.promised(queue, 1, 0.0)
+        self.assertIsInstance(self.ask(queue, 2, 0.1), Promised)
+        self.assertIsInstance(self.ask(queue, 1, 0.1), Given)
 
     def test_a_lost_answer_makes_no_second_place(self) -> None:
-        line = line_of()
-        self.promised(line, 1, 0.0)
-        self.assertAlmostEqual(self.promised(line, 1, 0.05).seconds, 0.05)
-        self.assertEqual(len(line), 1)
+        queue = queue_of()
+        self.promised(queue, 1, 0.0)
+        self.assertAlmostEqual(self.promised(queue, 1, 0.05).seconds, 0.05)
+        self.assertEqual(len(queue), 1)
 
     def test_what_is_not_claimed_goes_to_the_next(self) -> None:
-        line = line_of()
-        self.promised(line, 1, 0.0)
-        late = 0.1 + CLAIM_SECONDS + 0.01
-        self.assertIsInstance(self.ask(line, 2, late), Given)
-        self.assertEqual(len(line), 0)
+        queue = queue_of()
+        self.promised(queue, 1, 0.0)
+        late = 0.1 + REDEEM_SECONDS + 0.01
+        self.assertIsInstance(self.ask(queue, 2, late), Given)
+        self.assertEqual(len(queue), 0)
 
     def test_those_before_who_do_not_come_delay_nobody(self) -> None:
-        line = line_of(size=1.0)
+        queue = queue_of(size=1.0)
         for number in (1, 2, 3, 4):
-            self.promised(line, number, 0.0)
-        self.assertIsInstance(self.ask(line, 4, 0.4), Given)
+            self.promised(queue, number, 0.0)
+        self.assertIsInstance(self.ask(queue, 4, 0.4), Given)
 
     def test_with_a_smaller_share_the_moment_moves(self) -> None:
-        line = line_of()
-        self.promised(line, 1, 0.0)
-        found = line.ask(key(1), 0.1, 0.05, 0.5)
+        queue = queue_of()
+        self.promised(queue, 1, 0.0)
+        found = queue.ask(key(1), 0.1, 0.05, 0.5)
         assert isinstance(found, Promised)
         self.assertAlmostEqual(found.seconds, 0.1)
 
@@ -102,26 +102,26 @@
         self, rate: float, size: float, asked: Asked
     ) -> None:
         """Whoever else asks meanwhile, with (0 to 2) or without (3) a place."""
-        line = line_of(size, 0.0, rate)
+        queue = queue_of(size, 0.0, rate)
         now = 0.0
         due: list[tuple[float, int]] = []
         served: list[int] = []
         for number, (pause, kind) in enumerate(asked, start=1):
-            now = self.come_back(line, due, served, now, now + pause)
-            found = line.ask(None if kind == 3 else key(number), now, now, 1.0)
+            now = self.come_back(queue, due, served, now, now + pause)
+            found = queue.ask(None if kind == 3 else key(number), now, now, 1.0)
             if isinstance(found, Promised) and found.is_kept:
                 due.append((now + found.seconds + 1e-6, number))
             elif isinstance(found, Given) and kind != 3:
                 self.assertEqual(due, [], "passed one who stands before it")
         count = len(due)
-        self.come_back(line, due, served, now, now + 2 * KEPT_SECONDS)
+        self.come_back(queue, due, served, now, now + 2 * KEPT_SECONDS)
         self.assertEqual(due, [])
         self.assertGreaterEqual(len(served), count)
         self.assertEqual(served, sorted(served))
 
     def come_back(
         self,
-        line: TokenQueue,
+        queue: TokenQueue,
         due: list[tuple[float, int]],
         served: list[int],
         now: float,
@@ -130,7 +130,7 @@
         while due and due[0][0] <= end:
             at, number = due.pop(0)
             now = max(at, now)
-            self.assertIsInstance(line.ask(key(number), now, now, 1.0), Given)
+            self.assertIsInstance(queue.ask(key(number), now, now, 1.0), Given)
             served.append(number)
         return max(end, now)
 
@@ -141,13 +141,13 @@
     )
     def test_no_token_is_lost_or_given_twice(self, rate: float, size: float, asked: Asked) -> None:
         """Keys come back at any moment, also after they were given or left."""
-        line = line_of(size, 0.0, rate)
+        queue = queue_of(size, 0.0, rate)
         now = 0.0
         given_at: list[float] = []
         last_given: dict[int, float] = {}
         for pause, number in asked:
             now += pause
-            found = line.ask(key(number) if number else None, now, now, 1.0)
+            found = queue.ask(key(number) if number else None, now, now, 1.0)
             is_again = number > 0 and last_given.get(number, -9.0) >= now - TOKEN_SECONDS
             if is_again:
                 self.assertEqual(found, Given(now - last_given[number]))
@@ -157,12 +157,12 @@
             for first, began in enumerate(given_at):
                 most = (now - began) * rate + size + 1e-6
                 self.assertLessEqual(len(given_at) - first, most)
-            self.assertLessEqual(len(line), rate * KEPT_SECONDS + size + 1)
-        now += KEPT_SECONDS + CLAIM_SECONDS + size / rate
-        line.ask(key(1000), now, now, 1.0)
-        self.assertEqual(len(line), 0)
+            self.assertLessEqual(len(queue), rate * KEPT_SECONDS + size + 1)
+        now += KEPT_SECONDS + REDEEM_SECONDS + size / rate
+        queue.ask(key(1000), now, now, 1.0)
+        self.assertEqual(len(queue), 0)
         left = 0
-        while isinstance(line.ask(None, now, now, 1.0), Given):
+        while isinstance(queue.ask(None, now, now, 1.0), Given):
             left += 1
         self.assertEqual(left, int(size + 1e-9) - 1)
 
--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.waiter import Waiter
 from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
-from dewledge.core.pooler.rate_limits.token_patience import KeptToken
+from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.sharing.holders import Holding
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.core.shared.caller_credentials import credential_digest
