--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,9 +1,15 @@
-"""Has the process's admission and its part in granting run on the loop and the datagrams."""
+"""Runs a process's admission and its part in granting on the event loop and the datagrams.
 
-from dewledge.core.pooler.rate_limits.gate import SEARCH_SPACING_SECONDS, QuotaGate
+Owns the gate and the grantor of the process and their timer. Relies on the member table for whom
+to ask and at which address, and on the configuration in force for the limits. A question to this
+process itself goes to its own grantor without a datagram.
+"""
+
+from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_SPACING_SECONDS
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.observing.event_log import EventLog
