--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -1,20 +1,19 @@
 """Keeps this process's rights to use primaries: its word on claims, told, asked for and vouched."""
 
-from collections.abc import Callable, Mapping, Sequence
-from concurrent.futures import Executor
+from collections.abc import Sequence
 
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import CoordinationStore, StoreRow, StoreWrite
-from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite
 from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
-from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
+from dewledge.core.pooler.failover.primary_lease import Fencing
 from dewledge.core.pooler.failover.quorum_confirmation import (
     ConfirmationAnswer,
     ConfirmationQuestion,
     QuorumConfirmation,
 )
 from dewledge.errors import StoreError
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.links.peer_messages import ClaimAnswer, ClaimNotice
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.coordination_rows import (
@@ -25,49 +24,31 @@
     read_known,
 )
 from dewledge.shell.pooler.tables.member_table import MemberTable
-from dewledge.shell.shared.event_loop import EventLoop
 
 TICK_SECONDS = 0.1
 TELL_STORE_AFTER_SECONDS = 0.25
 """A holder that asks directly has done so by then; else the store carries the answer."""
 
-ClaimCallback = Callable[[str, Claim], None]
-KnownCallback = Callable[[str, ClaimKnown], None]
-"""Take a group, and a claim or what another process knows of it."""
-
 
 class ClaimKeeper:
     """All methods belong to the loop's thread; the store's calls run on the executor."""
 
-    def __init__(
-        self,
-        loop: EventLoop,
-        own_name: str,
-        rights: PrimaryLeases,
-        groups: Mapping[str, Group],
-        members: MemberTable,
-        peers: PeerSocket,
-        store: CoordinationStore,
-        executor: Executor,
-        claim_seen: ClaimCallback,
-        claim_known: KnownCallback,
-    ) -> None:
-        self._loop = loop
-        self._own_name = own_name
-        self._rights = rights
-        self._groups = groups
+    def __init__(self, context: FailoverContext, members: MemberTable, peers: PeerSocket) -> None:
+        self._context = context
+        self._own_name = context.own_name
+        self._rights = context.leases
+        self._groups = context.groups
         self._members = members
         self._peers = peers
-        self._store = store
-        self._executor = executor
-        self._claim_seen = claim_seen
-        self._claim_known = claim_known
-        self._vouching = QuorumConfirmation(own_name)
+        self._events = context.claim_events
+        self._vouching = QuorumConfirmation(context.own_name)
         self._told: dict[str, int] = {}
         """The tokens of which the holder has been told directly, by group."""
         self._known_versions: dict[str, int] = {}
         self._lapsed: set[str] = set()
         self._stopped = False
+        self._events.learned.add(self._claim_learned)
+        self._events.to_send.add(self._send_to)
         peers.on(ClaimNotice, self._take_notice)
         peers.on(ClaimAnswer, self._take_answer)
         peers.on(ConfirmationQuestion, self._take_question)
@@ -92,11 +73,6 @@
             for group in self._groups.values():
                 group.right_confirmed()
 
-    def tell(self, group: str, processes: Sequence[str]) -> None:
-        """Tells the newest claim on a group to some processes."""
-        addresses = self._members.addresses
-        self._send_claim(group, [addresses[name] for name in processes if name in addresses])
-
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
         """Takes what processes told through the store."""
         for row in rows:
@@ -106,33 +82,19 @@
                 self._known_versions[row.key] = 0 if row.gone else row.version
             known = None if row.gone else read_known(row)
             if known is not None:
-                self._claim_known(known.group, ClaimKnown(known.process, known.token))
-
-    def claim_taken(self, group: str, claim: Claim) -> None:
-        """A claim is news: its holder is told that it is known, at last through the store."""
-        logger.bind(
-            group=group,
-            holder=claim.holder,
-            replaced=claim.replaced,
-            leader="any" if claim.leader is None else claim.leader,
-            ordered=claim.ordered,
-            token=claim.token,
-        ).info("claim_known")
-        if claim.leader is not None and claim.holder != self._own_name:
-            delay = TELL_STORE_AFTER_SECONDS
-            self._loop.call_later(delay, lambda: self._tell_store(group, claim.token))
+                self._events.known.tell(known.group, ClaimKnown(known.process, known.token))
 
     def _tick(self) -> None:
         if self._stopped:
             return
-        now = self._loop.now()
+        now = self._context.loop.now()
         inquiry = self._vouching.ask(self._rights.by_group, now)
         if inquiry is not None:
             addresses = self._members.addresses
             known = [addresses[name] for name in inquiry.voters if name in addresses]
             self._peers.send(inquiry.question, known)
         self._log_lapses(now)
-        self._loop.call_later(TICK_SECONDS, self._tick)
+        self._context.loop.call_later(TICK_SECONDS, self._tick)
 
     def _log_lapses(self, now: float) -> None:
         for name in self._groups:
@@ -146,6 +108,25 @@
             )
             self._lapsed ^= {name}
 
+    def _claim_learned(self, group: str, claim: Claim) -> None:
+        """A claim is news: its holder is told that it is known, at last through the store."""
+        logger.bind(
+            group=group,
+            holder=claim.holder,
+            replaced=claim.replaced,
+            leader="any" if claim.leader is None else claim.leader,
+            ordered=claim.ordered,
+            token=claim.token,
+        ).info("claim_known")
+        if claim.leader is not None and claim.holder != self._own_name:
+            delay = TELL_STORE_AFTER_SECONDS
+            self._context.loop.call_later(delay, lambda: self._tell_store(group, claim.token))
+
+    def _send_to(self, group: str, processes: Sequence[str]) -> None:
+        """Sends the newest claim on a group to some processes."""
+        addresses = self._members.addresses
+        self._send_claim(group, [addresses[name] for name in processes if name in addresses])
+
     def _send_claim(self, group: str, addresses: Sequence[str]) -> None:
         claim = self._rights.of(group).claim
         if claim is not None and addresses:
@@ -157,13 +138,13 @@
             logger.bind(group=notice.group, token=notice.claim.token, sender=notice.sender).info(
                 "claim_told"
             )
-            self._claim_seen(notice.group, notice.claim)
+            self._events.noticed.tell(notice.group, notice.claim)
         if right.claim is not None and notice.sender == right.claim.holder:
             self._told[notice.group] = right.token
         self._peers.send(ClaimAnswer(self._own_name, notice.group, right.token), [sender])
 
     def _take_answer(self, answer: ClaimAnswer, _sender: str) -> None:
-        self._claim_known(answer.group, ClaimKnown(answer.sender, answer.token))
+        self._events.known.tell(answer.group, ClaimKnown(answer.sender, answer.token))
 
     def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
         answer = self._vouching.answer(question, self._rights.by_group, self._members.members)
@@ -191,11 +172,11 @@
         key = f"{KNOWN_PREFIX}{group}/{self._own_name}"
         value = encode_value(KnownValue(self._own_name, group, token))
         write = StoreWrite(TABLE, key, value, self._known_versions.get(key, 0))
-        self._executor.submit(self._write_known, write)
+        self._context.executor.submit(self._write_known, write)
 
     def _write_known(self, write: StoreWrite) -> None:
         """Runs on the executor. If it fails the holder waits for the right to lapse."""
         try:
-            self._store.write(write)
+            self._context.store.write(write)
         except StoreError as error:
             logger.bind(key=write.key, error=error.message).info("claim_answer_not_written")
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -1,12 +1,10 @@
 """The calls that a succession makes to the coordination store and to the platform's duties."""
 
 from collections.abc import Callable, Sequence
-from concurrent.futures import Executor
 
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import (
-    CoordinationStore,
     DutyCalls,
     StoreRow,
     StoreWrite,
@@ -19,13 +17,13 @@
     WriteClaim,
 )
 from dewledge.errors import StoreError
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.tables.coordination_rows import (
     CLAIM_PREFIX,
     TABLE,
     ClaimValue,
     encode_value,
 )
-from dewledge.shell.shared.event_loop import EventLoop
 
 
 class FailoverCalls:
@@ -33,39 +31,34 @@
 
     def __init__(
         self,
-        loop: EventLoop,
-        own_name: str,
-        store: CoordinationStore,
-        duties: DutyCalls | None,
-        executor: Executor,
+        context: FailoverContext,
+        promotions: DutyCalls | None,
         take_rows: Callable[[Sequence[StoreRow]], None],
         handle: Callable[[str, SuccessionEvent], None],
-        written: Callable[[], None],
     ) -> None:
-        """`handle`: called with a group and what happened to it. `written`: a claim stands."""
-        self._loop = loop
-        self._own_name = own_name
-        self._store = store
-        self._duties = duties
-        self._executor = executor
+        """`promotions`: None where the platform has no such call.
+
+        `handle`: called with a group's name and what happened to the group.
+        """
+        self._context = context
+        self._promotions = promotions
         self._take_rows = take_rows
         self._handle = handle
-        self._written = written
 
     def write_claim(self, group: str, effect: WriteClaim) -> None:
         """Writes a claim on a group."""
-        self._executor.submit(self._write_claim, group, effect)
+        self._context.executor.submit(self._write_claim, group, effect)
 
     def promote(self, group: str, effect: Promote) -> None:
         """Orders that a database leads its group."""
-        self._executor.submit(self._promote, group, effect)
+        self._context.executor.submit(self._promote, group, effect)
 
     def _write_claim(self, group: str, effect: WriteClaim) -> None:
         """Whatever the answer, the row itself tells who holds the claim."""
         key = CLAIM_PREFIX + group
         value = encode_value(
             ClaimValue(
-                self._own_name,
+                self._context.own_name,
                 effect.replaced,
                 effect.leader,
                 effect.voters,
@@ -74,7 +67,7 @@
             )
         )
         try:
-            version = self._store.write(StoreWrite(TABLE, key, value, effect.expected))
+            version = self._context.store.write(StoreWrite(TABLE, key, value, effect.expected))
         except StoreError as error:
             logger.bind(group=group, expected=effect.expected, error=error.message).info(
                 "claim_not_written"
@@ -85,13 +78,13 @@
 
         def tell() -> None:
             self._take_rows([row])
-            self._written()
+            self._context.claim_events.written.tell()
 
-        self._loop.post(tell)
+        self._context.loop.post(tell)
 
     def _read_claim_back(self, group: str, key: str) -> None:
         try:
-            row = self._store.read_row(TABLE, key)
+            row = self._context.store.read_row(TABLE, key)
         except StoreError:
             row = None
         rows = [] if row is None else [row]
@@ -100,17 +93,19 @@
             self._take_rows(rows)
             self._handle(group, ClaimRefused())
 
-        self._loop.post(tell)
+        self._context.loop.post(tell)
 
     def _promote(self, group: str, effect: Promote) -> None:
         """A call without an answer is made again under the same token."""
-        if self._duties is None:
+        if self._promotions is None:
             return
-        if self._loop.now() >= effect.not_after:
+        if self._context.loop.now() >= effect.not_after:
             logger.bind(group=group, database=effect.database).warning("promotion_too_late")
             return
         try:
-            accepted = self._duties.promote(group, effect.database, self._own_name, effect.token)
+            accepted = self._promotions.promote(
+                group, effect.database, self._context.own_name, effect.token
+            )
         except StoreError as error:
             logger.bind(group=group, database=effect.database, error=error.message).info(
                 "promotion_unanswered"
@@ -120,4 +115,4 @@
             group=group, database=effect.database, token=effect.token, accepted=accepted
         ).info("promotion_answered")
         answer = PromotionAnswered(effect.database, accepted, not accepted)
-        self._loop.post(lambda: self._handle(group, answer))
+        self._context.loop.post(lambda: self._handle(group, answer))
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -1,12 +1,11 @@
 """Drives the successions of all groups: tests, datagrams, the claim row, promotions."""
 
 from collections.abc import Callable, Sequence
-from concurrent.futures import Executor
 
 import msgspec
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import CoordinationStore, DutyCalls, StoreRow
+from dewledge.core.pooler.coordination_store import DutyCalls, StoreRow
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.candidates import panel
@@ -24,9 +23,7 @@
     ReachTested,
     ReadStatus,
     RegisteredProcesses,
-    StatusRead,
     StepDown,
-    SteppedDown,
     SuccessionEffect,
     SuccessionEvent,
     TellClaim,
@@ -36,21 +33,17 @@
     WitnessReported,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
-from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.waiter import Denial, Waiter
-from dewledge.core.pooler.statements.statements import Reply, StatementKind
+from dewledge.core.pooler.statements.statements import Reply
+from dewledge.shell.pooler.failover.database_questions import DatabaseQuestions
 from dewledge.shell.pooler.failover.failover_calls import FailoverCalls
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
 from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice
 from dewledge.shell.pooler.tables.coordination_rows import CLAIM_PREFIX, read_claim
-from dewledge.shell.shared.event_loop import EventLoop
 
 TICK_SECONDS = 0.05
 STEADY_TICKS = 20
 """A group whose primary is well is looked at once in so many ticks, or when its view changes."""
-STATUS_PRIORITY = -1
-STATUS_LIMIT_SECONDS = 1.0
 
 
 class FailoverDriver:
@@ -58,51 +51,32 @@
 
     def __init__(
         self,
-        loop: EventLoop,
-        own_name: str,
-        groups: dict[str, Group],
-        store: CoordinationStore,
-        duties: DutyCalls | None,
+        context: FailoverContext,
+        promotions: DutyCalls | None,
         parse_status: Callable[[Reply], DatabaseStatus | None],
-        executor: Executor,
-        members: Callable[[], dict[str, str]],
+        addresses: Callable[[], dict[str, str]],
         record: Callable[[msgspec.Struct], None],
-        rights: PrimaryLeases,
     ) -> None:
-        """`members`: the peer address of each process by its name."""
-        self._loop = loop
-        self._own_name = own_name
-        self._groups = groups
-        self._parse_status = parse_status
-        self._members = members
+        """`addresses`: returns the peer address of each process by its name."""
+        self._context = context
+        self._own_name = context.own_name
+        self._groups = context.groups
+        self._addresses = addresses
         self._record = record
-        self._rights = rights
         self._successions: dict[str, GroupFailover] = {}
-        self._witnesses: IndirectProbes | None = None
+        self._probes: IndirectProbes | None = None
         self._stopped = False
         self._ticks = 0
         self._panels: dict[str, Sequence[str]] = {}
         self._registered = RegisteredProcesses()
-        self.tell_claim: Callable[[str, Sequence[str]], None] = lambda group, processes: None
-        """Called with a group whose newest claim these processes are to be told."""
-        self.claim_written: Callable[[], None] = lambda: None
-        """Called once a claim of this process stands in the store."""
-        self.claim_taken: Callable[[str, Claim], None] = lambda group, claim: None
-        """Called with a group and a claim on it that is news."""
-        self._calls = FailoverCalls(
-            loop,
-            own_name,
-            store,
-            duties,
-            executor,
-            self.take_rows,
-            self._handle,
-            lambda: self.claim_written(),
-        )
+        self._calls = FailoverCalls(context, promotions, self.take_rows, self._handle)
+        self._questions = DatabaseQuestions(context.loop, parse_status, self._handle)
+        context.claim_events.noticed.add(self.take_claim)
+        context.claim_events.known.add(self.take_known)
 
-    def start(self, witnesses: IndirectProbes) -> None:
+    def start(self, probes: IndirectProbes) -> None:
         """Starts to watch the groups' primaries."""
-        self._witnesses = witnesses
+        self._probes = probes
         self._tick()
 
     def stop(self) -> None:
@@ -123,12 +97,12 @@
 
     def take_claim(self, group: str, claim: Claim) -> None:
         """Takes a claim; one on a group that is not known yet is kept for later."""
-        if claim.token > self._rights.of(group).token:
-            self.claim_taken(group, claim)
+        if claim.token > self._context.leases.of(group).token:
+            self._context.claim_events.learned.tell(group, claim)
         if group in self._groups and not self._stopped:
             self._handle(group, ClaimSeen(claim))
         else:
-            self._rights.of(group).take_claim(claim)
+            self._context.leases.of(group).take_claim(claim)
 
     def take_known(self, group: str, known: ClaimKnown) -> None:
         """Another process told which claim it knows."""
@@ -171,7 +145,7 @@
             due = (self._ticks + number) % STEADY_TICKS == 0
             if due or self._is_unsettled(name):
                 self._handle(name, Ticked())
-        self._loop.call_later(TICK_SECONDS, self._tick)
+        self._context.loop.call_later(TICK_SECONDS, self._tick)
 
     def _is_unsettled(self, name: str) -> bool:
         succession = self._successions.get(name)
@@ -185,13 +159,15 @@
             return
         succession = self._successions.get(group_name)
         if succession is None:
-            right = self._rights.of(group_name)
+            right = self._context.leases.of(group_name)
             succession = GroupFailover(group_name, self._own_name, self._record, right)
             self._successions[group_name] = succession
         judges = self._panel(group_name)
-        effects = succession.handle(event, group.view, judges, self._loop.now(), self._registered)
+        effects = succession.handle(
+            event, group.view, judges, self._context.loop.now(), self._registered
+        )
         relay = (
-            None if succession.reached_by is None else self._members().get(succession.reached_by)
+            None if succession.reached_by is None else self._addresses().get(succession.reached_by)
         )
         group.set_doubt(succession.doubted, relay)
         for effect in effects:
@@ -205,13 +181,13 @@
         elif isinstance(effect, AnnounceLeader):
             self._announce(effect.database)
         elif isinstance(effect, ReadStatus):
-            self._read_status(group, effect.database)
+            self._questions.read_status(group, effect.database)
         elif isinstance(effect, TellClaim):
-            self.tell_claim(group.view.name, effect.processes)
+            self._context.claim_events.to_send.tell(group.view.name, effect.processes)
         elif isinstance(effect, TryLeader):
             self.take_leader(LeaderNotice(self._own_name, effect.database))
         elif isinstance(effect, StepDown):
-            self._step_down(group, effect)
+            self._questions.step_down(group, effect)
         elif isinstance(effect, WriteClaim):
             self._calls.write_claim(group.view.name, effect)
         elif isinstance(effect, Promote):
@@ -219,18 +195,18 @@
 
     def _test(self, group: Group, database_id: str) -> None:
         record = group.view.databases.get(database_id)
-        if record is None or self._witnesses is None:
+        if record is None or self._probes is None:
             return
 
         def done(reachable: bool) -> None:
             self._handle(group.view.name, ReachTested(database_id, reachable))
 
-        self._witnesses.test(record, done)
+        self._probes.test(record, done)
 
     def _panel(self, group_name: str) -> Sequence[str]:
         known = self._panels.get(group_name)
         if known is None:
-            known = panel(group_name, self._members().keys() | {self._own_name})
+            known = panel(group_name, self._addresses().keys() | {self._own_name})
             self._panels[group_name] = known
         return known
 
@@ -240,71 +216,18 @@
 
     def _ask(self, group: Group, database_id: str) -> None:
         names = [name for name in self._panel(group.view.name) if name != self._own_name]
-        if self._witnesses is not None:
-            self._witnesses.ask([self._members()[name] for name in names], database_id)
+        if self._probes is not None:
+            self._probes.ask([self._addresses()[name] for name in names], database_id)
 
     def _announce(self, database_id: str) -> None:
-        if self._witnesses is not None:
-            self._witnesses.tell_leader(self._other_addresses(), database_id)
+        if self._probes is not None:
+            self._probes.tell_leader(self._other_addresses(), database_id)
         self.take_leader(LeaderNotice(self._own_name, database_id))
 
     def _other_addresses(self) -> list[str]:
-        members = self._members().items()
+        members = self._addresses().items()
         return [address for name, address in members if name != self._own_name]
 
-    def _read_status(self, group: Group, database_id: str) -> None:
-        self._ask_database(
-            group,
-            database_id,
-            StatementKind.STATUS,
-            "",
-            lambda status: self._handle(group.view.name, StatusRead(database_id, status)),
-        )
-
-    def _step_down(self, group: Group, effect: StepDown) -> None:
-        def tell(status: DatabaseStatus | None) -> None:
-            logger.bind(
-                group=group.view.name,
-                database=effect.database,
-                term=effect.term,
-                is_primary=None if status is None else status.is_primary,
-            ).info("step_down_answered")
-            self._handle(group.view.name, SteppedDown(effect.database, status))
-
-        kind = StatementKind.STEP_DOWN
-        self._ask_database(group, effect.database, kind, str(effect.term), tell)
-
-    def _ask_database(
-        self,
-        group: Group,
-        database_id: str,
-        kind: StatementKind,
-        argument: str,
-        tell: Callable[[DatabaseStatus | None], None],
-    ) -> None:
-        """Asks over a pooled connection; given up silently once it takes too long."""
-        pool = group.pool(database_id)
-
-        def given(connection: DatabaseConnection) -> None:
-            timer = self._loop.call_later(STATUS_LIMIT_SECONDS, lambda: lost(connection))
-
-            def answered(reply: Reply | None) -> None:
-                timer.cancel()
-                pool.release(connection)
-                tell(None if reply is None else self._parse_status(reply))
-
-            connection.send_own(kind, answered, argument=argument)
-
-        def lost(connection: DatabaseConnection) -> None:
-            connection.close()
-            pool.release(connection)
-            tell(None)
-
-        def denied(_denial: Denial) -> None:
-            self._loop.call_later(TICK_SECONDS, lambda: tell(None))
-
-        pool.acquire(Waiter(STATUS_PRIORITY, given, denied), {})
-
     def _find(self, database_id: str) -> DatabaseRecord | None:
         for group in self._groups.values():
             record = group.view.databases.get(database_id)
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -2,6 +2,7 @@
 
 import socket
 from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.reach_limit import ReachLimit
@@ -15,30 +16,41 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 
+class ProbeListener(Protocol):
+    """Who is told what other processes say of databases."""
+
+    def doubt(self, group: str, database_id: str) -> None:
+        """Another process doubts a database."""
+
+    def take_answer(self, answer: IndirectProbeAnswer) -> None:
+        """Another process tells whether it reaches a database."""
+
+    def take_leader(self, notice: LeaderNotice) -> None:
+        """Another process tells that a database leads."""
+
+
 class IndirectProbes:
     """The questions on databases of one process, and its answers."""
 
     def __init__(
         self,
         loop: EventLoop,
-        peers: PeerSocket,
         own_name: str,
+        peers: PeerSocket,
         find: Callable[[str], DatabaseRecord | None],
-        asked: Callable[[DatabaseRecord], None],
-        answered: Callable[[IndirectProbeAnswer], None],
-        leader_told: Callable[[LeaderNotice], None],
         reach_limit: ReachLimit,
+        listener: ProbeListener,
     ) -> None:
-        """`asked`: another process doubts this database."""
+        """`find`: returns a database by its id, None if no group has it."""
         self._loop = loop
-        self._peers = peers
         self._own_name = own_name
+        self._peers = peers
         self._find = find
-        self._asked = asked
         self._reach_limit = reach_limit
+        self._listener = listener
         peers.on(IndirectProbeQuestion, self._take_question)
-        peers.on(IndirectProbeAnswer, lambda answer, _sender: answered(answer))
-        peers.on(LeaderNotice, lambda notice, _sender: leader_told(notice))
+        peers.on(IndirectProbeAnswer, lambda answer, _sender: listener.take_answer(answer))
+        peers.on(LeaderNotice, lambda notice, _sender: listener.take_leader(notice))
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
         """Asks the processes at `addresses`."""
@@ -64,7 +76,7 @@
         record = self._find(question.database)
         if record is None:
             return
-        self._asked(record)
+        self._listener.doubt(record.group, record.id)
 
         def say(reachable: bool) -> None:
             answer = IndirectProbeAnswer(self._own_name, question.database, reachable)
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -14,7 +14,9 @@
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.directory import Directory
+from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
 from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
 from dewledge.shell.pooler.links.channel_client import ChannelClient
@@ -106,17 +108,22 @@
             self._loop, settings.metrics_address, HttpLimits(), self._answer_metrics
         )
         self._executor = ThreadPoolExecutor(max_workers=EXECUTOR_THREADS)
-        self._succession = FailoverDriver(
+        self._claim_events = ClaimEvents()
+        failover = FailoverContext(
             self._loop,
             settings.name,
             self._services.groups,
+            self._rights,
             platform.store,
+            self._executor,
+            self._claim_events,
+        )
+        self._succession = FailoverDriver(
+            failover,
             platform.duties,
             platform.parse_status,
-            self._executor,
             lambda: self._members.addresses,
             self._log.record,
-            self._rights,
         )
         self._peers = PeerSocket(self._loop, settings.peer_address)
         self._quota = QuotaDriver(
@@ -129,29 +136,14 @@
             self._log,
         )
         self._directory.configuration_changed = self._quota.configuration_changed
-        self._claims = ClaimKeeper(
-            self._loop,
-            settings.name,
-            self._rights,
-            self._services.groups,
-            self._members,
-            self._peers,
-            platform.store,
-            self._executor,
-            self._succession.take_claim,
-            self._succession.take_known,
-        )
-        self._succession.tell_claim = self._claims.tell
-        self._succession.claim_taken = self._claims.claim_taken
+        self._claims = ClaimKeeper(failover, self._members, self._peers)
         self._witnesses = IndirectProbes(
             self._loop,
-            self._peers,
             settings.name,
+            self._peers,
             self._directory.find,
-            lambda record: self._succession.doubt(record.group, record.id),
-            self._succession.take_answer,
-            self._succession.take_leader,
             self._directory.reach_limit,
+            self._succession,
         )
         self._tables = TableReading(
             self._loop, settings, platform, self._links, self._members, self._executor, TABLE
@@ -264,7 +256,7 @@
             self._tables.add(TABLE, self._coordination_snapshot, self._coordination_rows)
             return
         # The holder of a claim waits for all that have rows beside it, so it has to know these.
-        self._succession.claim_written = lambda: self._tables.read_soon(TABLE)
+        self._claim_events.written.add(lambda: self._tables.read_soon(TABLE))
         self._tables.add(
             TABLE,
             self._coordination_snapshot,
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -17,7 +17,9 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreError
+from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
 from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice, PeerMessage
 from dewledge.shell.pooler.tables.coordination_rows import (
@@ -152,32 +154,24 @@
         members: Any = self.members
         peers: Any = self.peers
         store_client: Any = self.client
-        self.driver = FailoverDriver(
+        self.claim_events = ClaimEvents()
+        context = FailoverContext(
             loop,
             name,
             self.services.groups,
+            self.rights,
             store_client,
+            executor,
+            self.claim_events,
+        )
+        self.driver = FailoverDriver(
+            context,
             promotions.client(name),
             parse_status,
-            executor,
             lambda: self.members.addresses,
             self.events.append,
-            self.rights,
-        )
-        self.keeper = ClaimKeeper(
-            loop,
-            name,
-            self.rights,
-            self.services.groups,
-            members,
-            peers,
-            store_client,
-            executor,
-            self.driver.take_claim,
-            self.driver.take_known,
         )
-        self.driver.tell_claim = self.keeper.tell
-        self.driver.claim_taken = self.keeper.claim_taken
+        self.keeper = ClaimKeeper(context, members, peers)
         self.services.suspect = self.driver.doubt
         self._known_version = 0
         store.changed.append(self._poll_now)
--- a/tests/unfenced/test_unfenced_days.py
+++ b/tests/unfenced/test_unfenced_days.py
@@ -36,7 +36,7 @@
         day = UnfencedDay(1, faults=())
         told: list[str] = []
         for process in day.processes.values():
-            process.driver.claim_written = lambda: told.append("told")
+            process.claim_events.written.add(lambda: told.append("told"))
         day.play(0.0)
         claims = [key for key in day.store.rows if key.startswith("claim/")]
         self.assertEqual(len(claims), 1)
