--- /dev/null
+++ b/src/dewledge/core/pooler/failover/reach_check.py
@@ -0,0 +1,97 @@
+"""Judges whether a doubted primary is lost: nobody answers at its address.
+
+Inputs: the own test of the address and the answers of the processes asked (indirect probes), all of
+the check under way; the processes that judge this group; seconds since the check began. Decision:
+the primary is reachable, is reached by another process, is lost, or is not decided yet. Reason: a
+cut between this process and the primary is no loss, so a primary that any process reaches is kept,
+and is used through that process. What is done about a lost primary is replacement.py's.
+"""
+
+from collections.abc import Sequence
+
+from dewledge.core.pooler.failover.evidence import CHECK_LIMIT_SECONDS, ReachEvidence
+from dewledge.core.pooler.failover.messages import (
+    AskIndirectProbes,
+    ReachTested,
+    SuccessionEffect,
+    TestReach,
+    WitnessReported,
+)
+from dewledge.core.pooler.failover.phases import PhaseEnd
+from dewledge.core.pooler.failover.primary_lease import LONG_AGO
+from dewledge.core.pooler.failover.situation import Step
+
+CHECK_AGAIN_SECONDS = 0.4
+ASK_AFTER_SECONDS = 0.1
+"""A database that takes connections has done so by then; else the others are asked too."""
+MOST_CHECK_LIMITS = 6
+"""A check that so many times the usual limit has not decided is begun anew: answers were lost."""
+
+
+class ReachCheck:
+    """The checks of one group's primary by one process, one after the other."""
+
+    def __init__(self) -> None:
+        self.doubted: str | None = None
+        """The primary that this process does not reach, until a check or a new one ends that."""
+        self.reached_by: str | None = None
+        """The process through which the doubted primary is reached."""
+        self._database = ""
+        self._evidence = ReachEvidence("")
+        self._began_at = LONG_AGO
+        self._asks_others = False
+
+    def is_due(self, now: float) -> bool:
+        """Tells whether the last check began long enough ago for another one."""
+        return now >= self._began_at + CHECK_AGAIN_SECONDS
+
+    def begin(self, database: str, now: float) -> Sequence[SuccessionEffect]:
+        """Begins a check."""
+        self._database = database
+        self._evidence = ReachEvidence(database)
+        self._began_at = now
+        self._asks_others = False
+        return [TestReach(database)]
+
+    def take(self, event: ReachTested | WitnessReported) -> None:
+        """Takes a test or an answer."""
+        self._evidence.take(event)
+
+    def forget(self) -> None:
+        """The group has a primary without doubt."""
+        self.doubted = None
+        self.reached_by = None
+
+    def judge(self, members: Sequence[str], waited: float, may_act_alone: bool) -> Step:
+        """Returns what the check has come to. `waited`: seconds since it began."""
+        evidence = self._evidence
+        if evidence.is_reached:
+            self.forget()
+            return Step((), PhaseEnd.REACHABLE)
+        if evidence.is_missed:
+            self.doubted = self._database
+        if evidence.reaching:
+            return self._keep_reached(evidence.reaching)
+        is_confirmed = evidence.is_confirmed(members, waited, may_act_alone)
+        if evidence.is_missed and is_confirmed:
+            self.reached_by = None
+            return Step((), PhaseEnd.LOST)
+        effects = self._ask_others(waited)
+        if waited >= CHECK_LIMIT_SECONDS * MOST_CHECK_LIMITS:
+            return Step(effects, PhaseEnd.NOT_CONFIRMED)
+        return Step(effects)
+
+    def _keep_reached(self, reaching: Sequence[str]) -> Step:
+        """Another process reaches the primary: it stays, and is reached through that one."""
+        if not self._evidence.is_missed:
+            return Step()
+        reached_by = self.reached_by if self.reached_by in reaching else reaching[0]
+        self.reached_by = reached_by
+        return Step((), PhaseEnd.REACHED_BY_OTHER, reached_by or "")
+
+    def _ask_others(self, waited: float) -> Sequence[SuccessionEffect]:
+        is_time = self._evidence.is_missed or waited >= ASK_AFTER_SECONDS
+        if self._asks_others or not is_time:
+            return []
+        self._asks_others = True
+        return [AskIndirectProbes(self._database)]
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -31,6 +31,7 @@
     SuccessionEffect,
     WriteClaim,
 )
+from dewledge.core.pooler.failover.phases import PhaseEnd
 from dewledge.core.pooler.failover.primary_lease import (
     LONG_AGO,
     RIGHT_SECONDS,
@@ -117,12 +118,12 @@
         if event.database != self.candidate or not event.fenced:
             return Step()
         if self.own_token < self._right.token:
-            return Step((), Phase.FOLLOWING, "token_too_old")
+            return Step((), PhaseEnd.TOKEN_TOO_OLD)
         if self._survey.refused:
             # Two databases refused: more likely another holds a later token, unknown here.
-            return Step((), Phase.FOLLOWING, "token_refused")
+            return Step((), PhaseEnd.TOKEN_REFUSED)
         self._survey.refuse(event.database)
-        return Step((), Phase.CHOOSING, "candidate_refused")
+        return Step((), PhaseEnd.CANDIDATE_REFUSED)
 
     def step(self, phase: Phase, situation: Situation) -> Step:
         """Returns what is to be done in one of the three phases."""
@@ -149,7 +150,7 @@
         chosen = self._ordered_before or choose(names, survey.statuses, {})
         if chosen is None or (chosen not in survey.statuses and not self._waited_for_status(now)):
             if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
-                return self._give_up(effects, situation, "no_candidate")
+                return self._give_up(effects, situation, PhaseEnd.NO_CANDIDATE)
             return Step(effects)
         is_behind = self.is_planned and survey.is_behind(chosen, self._loss.replaced)
         if is_behind and now < self._phase_since + CATCH_UP_LIMIT_SECONDS:
@@ -159,8 +160,8 @@
         self.candidate = chosen
         if self._is_unfenced:
             self._least_term = survey.least_term_after(chosen)
-            return Step(effects, Phase.RELEASING, "chosen")
-        return Step([*effects, *self._order(now)], Phase.PROMOTING, "chosen")
+            return Step(effects, PhaseEnd.CHOSEN_OLD_IN_USE)
+        return Step([*effects, *self._order(now)], PhaseEnd.CHOSEN)
 
     def _eligible(self, situation: Situation) -> Sequence[str]:
         """The databases that may lead; one that nobody may use is as good as any other."""
@@ -203,9 +204,9 @@
         effects += release.tell(situation.registered, now)
         is_over = self._is_order_noted and release.is_over(situation.registered, now)
         if is_over and self._has_received_all(effects, now):
-            return Step([*effects, *self._order(now)], Phase.PROMOTING, "released")
+            return Step([*effects, *self._order(now)], PhaseEnd.RELEASED)
         if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
-            return self._give_up(effects, situation, "not_released")
+            return self._give_up(effects, situation, PhaseEnd.NOT_RELEASED)
         return Step(effects)
 
     @property
@@ -254,7 +255,7 @@
     def _promote_again(self, situation: Situation) -> Step:
         now = situation.now
         if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
-            return Step((), Phase.STEADY, "promotion_without_effect")
+            return Step((), PhaseEnd.PROMOTION_WITHOUT_EFFECT)
         effects: list[SuccessionEffect] = []
         if self._survey.is_time_to_ask_again(now):
             effects.append(ReadStatus(self.candidate))
@@ -262,10 +263,12 @@
             effects += self._order(now)
         return Step(effects)
 
-    def _give_up(self, effects: list[SuccessionEffect], situation: Situation, reason: str) -> Step:
+    def _give_up(
+        self, effects: list[SuccessionEffect], situation: Situation, end: PhaseEnd
+    ) -> Step:
         """Ends the replacement; where nothing was ordered the old primary leads on."""
         kept = self._loss.replaced
         may_lead_on = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
         if self._is_unfenced and may_lead_on and self.own_token:
             effects.append(withdrawn_claim(self._right, situation.members, kept))
-        return Step(effects, Phase.STEADY, reason)
+        return Step(effects, end)
--- a/src/dewledge/core/pooler/failover/situation.py
+++ b/src/dewledge/core/pooler/failover/situation.py
@@ -5,7 +5,8 @@
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import GroupView
-from dewledge.core.pooler.failover.messages import Phase, RegisteredProcesses, SuccessionEffect
+from dewledge.core.pooler.failover.messages import RegisteredProcesses, SuccessionEffect
+from dewledge.core.pooler.failover.phases import PhaseEnd
 
 
 class Situation(msgspec.Struct, frozen=True):
@@ -21,8 +22,8 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Effects to carry out, and the phase that follows, None for the same one."""
+    """Effects to carry out, and what ends the phase, None if it goes on."""
 
     effects: Sequence[SuccessionEffect] = ()
-    phase: Phase | None = None
-    reason: str = ""
+    end: PhaseEnd | None = None
+    detail: str = ""
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -5,7 +5,7 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooler.failover.candidates import panel
-from dewledge.core.pooler.failover.group_failover import GroupFailover
+from dewledge.core.pooler.failover.group_failover import NONE_REGISTERED, GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
@@ -20,6 +20,7 @@
     PromotionAnswered,
     ReachTested,
     ReadStatus,
+    RegisteredProcesses,
     StatusRead,
     SuccessionEffect,
     SuccessionEvent,
@@ -30,6 +31,7 @@
 )
 from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
 from dewledge.core.shared.positions import LogPosition
+from tests.core.pooler.failover.test_phases import outside_table, undeclared
 
 MEMBERS = ("a", "b", "c")
 
@@ -57,7 +59,17 @@
     def handle(
         self, event: SuccessionEvent, members: Sequence[str] = MEMBERS
     ) -> Sequence[SuccessionEffect]:
-        effects = self.succession.handle(event, self.view, members, self.now)
+        return self.take(event, members, NONE_REGISTERED)
+
+    def take(
+        self, event: SuccessionEvent, members: Sequence[str], registered: RegisteredProcesses
+    ) -> Sequence[SuccessionEffect]:
+        before, known = self.succession.phase, len(self.events)
+        effects = self.succession.handle(event, self.view, members, self.now, registered)
+        changes = self.events[known:]
+        self.assertEqual(outside_table(before, changes), [])
+        phases = [before, *(change.phase for change in changes)]
+        self.assertEqual(undeclared(phases, effects), [])
         self.effects += effects
         return effects
 
--- a/tests/core/pooler/failover/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -45,9 +45,7 @@
         if self.is_store_up:
             self.right.confirm(self.now)
         registered = RegisteredProcesses(frozenset(MEMBERS), self.token)
-        effects = self.succession.handle(event, self.view, members, self.now, registered)
-        self.effects += effects
-        return effects
+        return self.take(event, members, registered)
 
     def see(self, write: WriteClaim, holder: str = "a") -> None:
         """The store has taken a claim."""
--- a/tests/unfenced/test_unfenced_days.py
+++ b/tests/unfenced/test_unfenced_days.py
@@ -6,6 +6,8 @@
 import os
 import unittest
 
+from dewledge.core.pooler.failover.messages import Phase
+from tests.core.pooler.failover.test_phases import outside_table
 from tests.unfenced.day import UnfencedDay
 
 DAYS = int(os.environ.get("DEWLEDGE_DAYS", "6"))
@@ -22,6 +24,8 @@
         for seed in range(FIRST_SEED, FIRST_SEED + DAYS):
             day = UnfencedDay(seed).play(SECONDS)
             self.assertEqual(day.violations(), [], f"seed {seed}: {day.played}")
+            for process in day.processes.values():
+                self.assertEqual(outside_table(Phase.STEADY, process.phases), [], f"seed {seed}")
             promotions += len(day.databases.effects)
         self.assertGreater(promotions, DAYS)
 
