--- a/src/dewledge/core/pooler/failover/claim_recall.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -2,17 +2,17 @@
 
 Pure state of one claim. A process has the right to use the old primary from the store's word or
 from the vouching of more than half of the claim's voters. Both are over once the process itself
-knows the new claim. Of a process that does not answer they are over RIGHT_SECONDS after the claim
+knows the new claim. Of a process that does not answer they are over LEASE_SECONDS after the claim
 was written, and after more than half of the voters knew it and so vouched for the old one no more.
 """
 
 from collections.abc import Collection, Sequence
 
 from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses
-from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS
+from dewledge.core.pooler.failover.primary_lease import LEASE_SECONDS
 
 
-class ClaimRecall:
+class ClaimAcknowledgements:
     """Collects which processes know a claim."""
 
     def __init__(self, claim: Claim, written_at: float) -> None:
@@ -31,7 +31,7 @@
 
     def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
         """Tells whether no process can still use the old primary."""
-        if registered.version >= self.claim.token and not self.missing(registered.names):
+        if registered.version >= self.claim.fencing_token and not self.missing(registered.names):
             return True
         since = [self._written_at]
         for voters in self.claim.quorums:
@@ -40,7 +40,7 @@
             if len(told) < majority:
                 return False
             since.append(told[majority - 1])
-        return now >= max(since) + RIGHT_SECONDS
+        return now >= max(since) + LEASE_SECONDS
 
 
 def is_majority(agreed: Collection[str], voters: Sequence[str]) -> bool:
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -27,7 +27,7 @@
         self._lease = lease
         self._seen_at = LONG_AGO
         self._write_at = 0.0
-        self._spent_token = 0
+        self._spent_fencing_token = 0
         """A token that the platform refused; the duty is taken again only under a later one."""
 
     @property
@@ -38,9 +38,9 @@
         """The newest claim known is another one now."""
         self._seen_at = now
 
-    def spend(self, token: int) -> None:
+    def spend(self, fencing_token: int) -> None:
         """The platform refused a fencing token."""
-        self._spent_token = token
+        self._spent_fencing_token = fencing_token
 
     def holder_at_work(self, replaced: str, now: float) -> str | None:
         """Returns the process that may be replacing the same primary just now, None for none."""
@@ -76,9 +76,9 @@
         self._write_at = now + CLAIM_AGAIN_SECONDS
 
     @property
-    def held_token(self) -> int:
+    def held_fencing_token(self) -> int:
         """The token of an earlier own claim under which this process may act, 0 for none."""
         claim = self._lease.claim
         if self._is_unfenced or claim is None or claim.holder != self._own_name:
             return 0
-        return claim.token if claim.token > self._spent_token else 0
+        return claim.fencing_token if claim.fencing_token > self._spent_fencing_token else 0
--- a/src/dewledge/core/pooler/failover/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -9,57 +9,57 @@
 """The leader of a claim under which no database may be used as primary."""
 
 
-def standing_claim(right: PrimaryLease, voters: Sequence[str], is_settled: bool) -> WriteClaim:
+def standing_claim(lease: PrimaryLease, voters: Sequence[str], is_settled: bool) -> WriteClaim:
     """Returns the claim that changes nothing but the voters.
 
     is_settled: nobody vouches for claims before the newest one any more.
     """
-    leader = None if right.claim is None else right.claim.leader
-    return _next_claim(right, voters, "", leader, is_settled=is_settled)
+    leader = None if lease.claim is None else lease.claim.leader
+    return _next_claim(lease, voters, "", leader, is_settled=is_settled)
 
 
-def duty_claim(
-    right: PrimaryLease, voters: Sequence[str], replaced: str, serves_on: bool
+def replacement_claim(
+    lease: PrimaryLease, voters: Sequence[str], replaced: str, serves_on: bool
 ) -> WriteClaim:
     """Returns the claim to the duty. serves_on: the old primary may be used until the order."""
     if not serves_on:
-        return _next_claim(right, voters, replaced, NOBODY)
-    leader = None if right.claim is None else right.claim.leader
-    return _next_claim(right, voters, replaced, replaced if leader is None else leader)
+        return _next_claim(lease, voters, replaced, NOBODY)
+    leader = None if lease.claim is None else lease.claim.leader
+    return _next_claim(lease, voters, replaced, replaced if leader is None else leader)
 
 
 def order_claim(
-    right: PrimaryLease, voters: Sequence[str], replaced: str, ordered: str
+    lease: PrimaryLease, voters: Sequence[str], replaced: str, ordered: str
 ) -> WriteClaim:
     """Returns the claim under which the promotion of `ordered` is ordered."""
-    return _next_claim(right, voters, replaced, ordered, ordered)
+    return _next_claim(lease, voters, replaced, ordered, ordered)
 
 
-def withdrawn_claim(right: PrimaryLease, voters: Sequence[str], kept: str) -> WriteClaim:
+def withdrawn_claim(lease: PrimaryLease, voters: Sequence[str], kept: str) -> WriteClaim:
     """Returns the claim after a replacement in which nothing was ordered: `kept` leads on."""
-    return _next_claim(right, voters, "", kept, kept)
+    return _next_claim(lease, voters, "", kept, kept)
 
 
-def last_order(right: PrimaryLease, replaced: str) -> str:
+def last_order(lease: PrimaryLease, replaced: str) -> str:
     """Returns the database that was ordered to lead last, empty for none or the replaced one."""
-    claim = right.claim
+    claim = lease.claim
     return "" if claim is None or claim.ordered == replaced else claim.ordered
 
 
 def _next_claim(
-    right: PrimaryLease,
+    lease: PrimaryLease,
     voters: Sequence[str],
     replaced: str,
     leader: str | None,
     ordered: str | None = None,
     is_settled: bool = False,
 ) -> WriteClaim:
-    claim = right.claim
-    expected = 0 if claim is None else claim.token
-    if right.fencing is Fencing.PLATFORM:
+    claim = lease.claim
+    expected = 0 if claim is None else claim.fencing_token
+    if lease.fencing is Fencing.PLATFORM:
         return WriteClaim(replaced, expected)
     if ordered is None:
-        ordered = last_order(right, replaced)
+        ordered = last_order(lease, replaced)
     quorums = _quorums(claim, is_settled)
     return WriteClaim(replaced, expected, leader, tuple(voters), quorums, ordered)
 
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.messages import ReachTested, WitnessReported
+from dewledge.core.pooler.failover.messages import IndirectProbeReported, ReachTested
 
 CHECK_LIMIT_SECONDS = 0.45
 """IndirectProbes answer within this; then the majority of all processes must have said no."""
@@ -16,16 +16,16 @@
     def __init__(self, database: str) -> None:
         self._database = database
         self._own: ReachTested | None = None
-        self._witnesses: dict[str, bool] = {}
+        self._probes: dict[str, bool] = {}
 
-    def take(self, event: ReachTested | WitnessReported) -> None:
+    def take(self, event: ReachTested | IndirectProbeReported) -> None:
         """Takes a test or a report; one on another database is passed over."""
         if event.database != self._database:
             return
         if isinstance(event, ReachTested):
             self._own = event
         else:
-            self._witnesses[event.witness] = event.reachable
+            self._probes[event.witness] = event.reachable
 
     @property
     def is_reached(self) -> bool:
@@ -40,7 +40,7 @@
     @property
     def reaching(self) -> Sequence[str]:
         """The processes that reach it, by name."""
-        return sorted(name for name, reaches in self._witnesses.items() if reaches)
+        return sorted(name for name, reaches in self._probes.items() if reaches)
 
     def is_confirmed(
         self, members: Sequence[str], waited: float, may_act_alone: bool = True
@@ -49,7 +49,7 @@
 
         may_act_alone: whether it is enough, after a while, that nobody has told anything else.
         """
-        against = 1 + sum(not reaches for reaches in self._witnesses.values())
+        against = 1 + sum(not reaches for reaches in self._probes.values())
         if against >= len(members):
             return True
         if waited >= CHECK_LIMIT_SECONDS and against * 2 > len(members):
--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -22,6 +22,9 @@
     ClaimKnown,
     ClaimRefused,
     ClaimSeen,
+    FailoverEffect,
+    FailoverEvent,
+    IndirectProbeReported,
     LossCause,
     Phase,
     PhaseChanged,
@@ -31,10 +34,7 @@
     RegisteredProcesses,
     StatusRead,
     SteppedDown,
-    SuccessionEffect,
-    SuccessionEvent,
     TryLeader,
-    WitnessReported,
 )
 from dewledge.core.pooler.failover.phases import (
     ACTING,
@@ -94,16 +94,16 @@
 
     def handle(
         self,
-        event: SuccessionEvent,
+        event: FailoverEvent,
         view: GroupView,
         members: Sequence[str],
         now: float,
         registered: RegisteredProcesses = NONE_REGISTERED,
-    ) -> Sequence[SuccessionEffect]:
+    ) -> Sequence[FailoverEffect]:
         """Takes an event; for the others see Situation."""
         situation = Situation(view, members, registered, now)
         self._take(event, now)
-        effects: list[SuccessionEffect] = []
+        effects: list[FailoverEffect] = []
         if isinstance(event, StatusRead) and self.phase is Phase.PROMOTING:
             effects += self._replacement.announce(event)
         if isinstance(event, PrimaryDoubted):
@@ -113,8 +113,8 @@
 
     # Taking events.
 
-    def _take(self, event: SuccessionEvent, now: float) -> None:
-        if isinstance(event, ReachTested | WitnessReported):
+    def _take(self, event: FailoverEvent, now: float) -> None:
+        if isinstance(event, ReachTested | IndirectProbeReported):
             self._reach.take(event)
         elif isinstance(event, StatusRead | SteppedDown):
             self._replacement.take(event, now)
@@ -141,19 +141,19 @@
             self._loss = Loss(self._loss.cause, claim.replaced)
             self._end_phase(PhaseEnd.CLAIMED_BY_OTHER, now, claim.holder)
         elif self.phase in HOLDING and self._is_unfenced:
-            self._replacement.own_token = 0
+            self._replacement.fencing_token = 0
             self._end_phase(PhaseEnd.OVERTAKEN_BY_OTHER, now, claim.holder)
 
     def _take_promotion(self, event: PromotionAnswered, now: float) -> None:
         step = self._replacement.take_promotion(event)
         if step.end is PhaseEnd.TOKEN_REFUSED:
-            self._turn.spend(self._replacement.own_token)
-            self._replacement.own_token = 0
+            self._turn.spend(self._replacement.fencing_token)
+            self._replacement.fencing_token = 0
         self._follow_step(step, now)
 
     # Advancing.
 
-    def _advance(self, situation: Situation) -> Sequence[SuccessionEffect]:
+    def _advance(self, situation: Situation) -> Sequence[FailoverEffect]:
         if self._is_over(situation.view):
             self._reach.forget()
             self._end_phase(PhaseEnd.NEW_PRIMARY, situation.now)
@@ -179,7 +179,7 @@
         is_another = primary.id != self._loss.replaced or self._replacement.is_planned
         return is_another or self._loss.cause is LossCause.UNFINISHED
 
-    def _watch(self, situation: Situation) -> Sequence[SuccessionEffect]:
+    def _watch(self, situation: Situation) -> Sequence[FailoverEffect]:
         view, now = situation.view, situation.now
         loss = self._losses.find(view, now)
         if loss is not None:
@@ -203,7 +203,7 @@
 
     # Checking.
 
-    def _doubt(self, database: str, view: GroupView, now: float) -> Sequence[SuccessionEffect]:
+    def _doubt(self, database: str, view: GroupView, now: float) -> Sequence[FailoverEffect]:
         primary = view.primary
         if self.phase is not Phase.STEADY or primary is None or primary.id != database:
             return []
@@ -211,13 +211,13 @@
             return []
         return self._begin_check(database, now)
 
-    def _begin_check(self, database: str, now: float) -> Sequence[SuccessionEffect]:
+    def _begin_check(self, database: str, now: float) -> Sequence[FailoverEffect]:
         effects = self._reach.begin(database, now)
         self._begin(Loss(LossCause.UNREACHABLE, database), now)
         self._end_phase(PhaseEnd.NO_ANSWER, now)
         return effects
 
-    def _check(self, situation: Situation) -> Sequence[SuccessionEffect]:
+    def _check(self, situation: Situation) -> Sequence[FailoverEffect]:
         waited = situation.now - self._phase_since
         step = self._reach.judge(situation.members, waited, not self._is_unfenced)
         if step.end is PhaseEnd.LOST:
@@ -237,27 +237,27 @@
         self._turn.begin(situation.members, now)
         self._end_phase(PhaseEnd.LOST, now, self._loss.cause)
 
-    def _claim(self, situation: Situation) -> Sequence[SuccessionEffect]:
+    def _claim(self, situation: Situation) -> Sequence[FailoverEffect]:
         now = situation.now
-        if self._replacement.own_token:
+        if self._replacement.fencing_token:
             self._end_phase(PhaseEnd.CLAIMED, now)
             return self._replace(situation)
         if not self._turn.is_due(now):
             return []
         self._turn.note_write(now)
         write = self._replacement.claim(situation)
-        held = self._turn.held_token
+        held = self._turn.held_fencing_token
         if not held:
             return [write]
         # The last holder need not wait for the row, which tells the others to follow.
-        self._replacement.own_token = held
+        self._replacement.fencing_token = held
         self._end_phase(PhaseEnd.HELD_BEFORE, now)
         return [write, *self._replace(situation)]
 
     # Replacing, or following the process that does.
 
-    def _replace(self, situation: Situation) -> Sequence[SuccessionEffect]:
-        effects: list[SuccessionEffect] = []
+    def _replace(self, situation: Situation) -> Sequence[FailoverEffect]:
+        effects: list[FailoverEffect] = []
         while self.phase in REPLACING:
             before = self.phase
             step = self._replacement.step(before, situation)
@@ -271,7 +271,7 @@
         if step.end is not None:
             self._end_phase(step.end, now, step.detail)
 
-    def _follow(self, now: float) -> Sequence[SuccessionEffect]:
+    def _follow(self, now: float) -> Sequence[FailoverEffect]:
         if now >= self._phase_since + FOLLOW_LIMIT_SECONDS:
             self._end_phase(PhaseEnd.HOLDER_WITHOUT_EFFECT, now)
         return []
@@ -287,7 +287,7 @@
                 database=self._replacement.candidate or self._loss.replaced,
                 phase=self.phase,
                 reason=transition.reason + detail,
-                token=self._replacement.own_token,
+                token=self._replacement.fencing_token,
                 after_ms=int((now - self._began_at) * 1000),
             )
         )
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -8,19 +8,19 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.claim_recall import ClaimRecall
+from dewledge.core.pooler.failover.claim_acknowledgements import ClaimAcknowledgements
 from dewledge.core.pooler.failover.messages import (
     Claim,
     ClaimKnown,
     DatabaseStatus,
     RegisteredProcesses,
+    SendClaim,
     StepDown,
     SteppedDown,
-    TellClaim,
 )
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO
 
-TELL_AGAIN_SECONDS = 0.1
+SEND_AGAIN_SECONDS = 0.1
 STEP_DOWN_AGAIN_SECONDS = 0.2
 STEP_DOWN_LIMIT_SECONDS = 1.0
 
@@ -33,9 +33,9 @@
         self._own_name = own_name
         self._replaced = replaced
         self._may_step_down = may_step_down
-        self._notice: ClaimRecall | None = None
+        self._notice: ClaimAcknowledgements | None = None
         """Of the first own claim: who knows it has each read prove the lead, or uses none."""
-        self._recall: ClaimRecall | None = None
+        self._recall: ClaimAcknowledgements | None = None
         """Of the first own claim under which the old primary may not be used."""
         self._told_at = LONG_AGO
         self._asked_at = LONG_AGO
@@ -51,13 +51,13 @@
     def take_claim(self, claim: Claim, now: float) -> None:
         """The own claim stands in the store."""
         if self._notice is None:
-            self._notice = self._begin_recall(claim, now)
+            self._notice = self._acknowledgements_of(claim, now)
         if self._recall is None and not claim.allows(self._replaced):
-            is_first = self._notice.claim.token == claim.token
-            self._recall = self._notice if is_first else self._begin_recall(claim, now)
+            is_first = self._notice.claim.fencing_token == claim.fencing_token
+            self._recall = self._notice if is_first else self._acknowledgements_of(claim, now)
 
-    def _begin_recall(self, claim: Claim, now: float) -> ClaimRecall:
-        recall = ClaimRecall(claim, now)
+    def _acknowledgements_of(self, claim: Claim, now: float) -> ClaimAcknowledgements:
+        recall = ClaimAcknowledgements(claim, now)
         recall.take(self._own_name, now)
         return recall
 
@@ -69,17 +69,17 @@
                 self.stepped_down = event.status
             return
         for recall in (self._notice, self._recall):
-            if recall is not None and event.token >= recall.claim.token:
+            if recall is not None and event.fencing_token >= recall.claim.fencing_token:
                 recall.take(event.process, now)
 
-    def tell(self, registered: RegisteredProcesses, now: float) -> Sequence[TellClaim]:
+    def tell(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
         """Returns whom to tell the claim, now and again until all know it."""
         recall = self._recall or self._notice
-        if recall is None or now < self._told_at + TELL_AGAIN_SECONDS:
+        if recall is None or now < self._told_at + SEND_AGAIN_SECONDS:
             return []
         self._told_at = now
         missing = recall.missing(registered.names)
-        return [TellClaim(tuple(missing))] if missing else []
+        return [SendClaim(tuple(missing))] if missing else []
 
     def step_down(
         self, term: int, registered: RegisteredProcesses, now: float
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -25,8 +25,8 @@
 class LossWatch:
     """Remembers since when something has been amiss."""
 
-    def __init__(self, right: PrimaryLease) -> None:
-        self._right = right
+    def __init__(self, lease: PrimaryLease) -> None:
+        self._lease = lease
         self._none_since: float | None = None
         self._banned_since: float | None = None
 
@@ -36,7 +36,7 @@
         if primary is None:
             return self._find_none_known(view, now)
         self._none_since = None
-        if self._right.is_banned(primary.id):
+        if self._lease.is_banned(primary.id):
             return self._find_unfinished(primary.id, now)
         self._banned_since = None
         if not primary.draining:
@@ -51,7 +51,7 @@
 
     def claimed_leader(self, view: GroupView, now: float) -> str | None:
         """Returns the database to take for the primary: by the newest claim it is, for a while."""
-        claim = self._right.claim
+        claim = self._lease.claim
         if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_SECONDS:
             return None
         if claim is None or claim.leader not in view.databases or claim.leader in view.claims:
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -19,7 +19,7 @@
 class Claim(msgspec.Struct, frozen=True):
     """The row by which one process at a time takes the duty to replace a group's primary.
 
-    token: the store's version of the row, which rises with each claim.
+    fencing_token: the store's version of the row, which rises with each claim; `token` in a notice.
     leader: the only database that may be used as primary, empty for none; None for any, as long
     as none was ever promoted.
     voters: the processes of which more than half can vouch that no newer claim exists.
@@ -29,7 +29,7 @@
 
     holder: str
     replaced: str
-    token: int
+    fencing_token: int = msgspec.field(name="token")
     leader: str | None = None
     voters: tuple[str, ...] = ()
     quorums: tuple[tuple[str, ...], ...] = ()
@@ -61,7 +61,7 @@
     refused: bool = False
 
 
-class WitnessReported(msgspec.Struct, frozen=True):
+class IndirectProbeReported(msgspec.Struct, frozen=True):
     """Another process told whether it reaches a database."""
 
     witness: str
@@ -97,7 +97,7 @@
     """A process told that it knows a claim, and so uses none of the databases that it bans."""
 
     process: str
-    token: int
+    fencing_token: int
 
 
 class PromotionAnswered(msgspec.Struct, frozen=True):
@@ -112,10 +112,10 @@
     """Time has passed, or the view of the group has changed."""
 
 
-SuccessionEvent = (
+FailoverEvent = (
     PrimaryDoubted
     | ReachTested
-    | WitnessReported
+    | IndirectProbeReported
     | ClaimSeen
     | ClaimRefused
     | StatusRead
@@ -149,7 +149,7 @@
     ordered: str = ""
 
 
-class TellClaim(msgspec.Struct, frozen=True):
+class SendClaim(msgspec.Struct, frozen=True):
     """Tell the newest claim to these processes, and ask whether they know it now."""
 
     processes: tuple[str, ...]
@@ -184,7 +184,7 @@
     """
 
     database: str
-    token: int
+    fencing_token: int
     not_after: float = math.inf
 
 
@@ -197,11 +197,11 @@
     database: str
 
 
-SuccessionEffect = (
+FailoverEffect = (
     TestReach
     | AskIndirectProbes
     | WriteClaim
-    | TellClaim
+    | SendClaim
     | TryLeader
     | ReadStatus
     | StepDown
--- a/src/dewledge/core/pooler/failover/phases.py
+++ b/src/dewledge/core/pooler/failover/phases.py
@@ -12,12 +12,12 @@
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
+    FailoverEffect,
     Phase,
     Promote,
     ReadStatus,
+    SendClaim,
     StepDown,
-    SuccessionEffect,
-    TellClaim,
     TestReach,
     TryLeader,
     WriteClaim,
@@ -118,12 +118,12 @@
     PhaseEnd.NEW_PRIMARY: Transition(NOT_STEADY, Phase.STEADY, "new_primary"),
 }
 
-EFFECTS: Mapping[Phase, tuple[type[SuccessionEffect], ...]] = {
-    Phase.STEADY: (TryLeader, WriteClaim, TellClaim),
+EFFECTS: Mapping[Phase, tuple[type[FailoverEffect], ...]] = {
+    Phase.STEADY: (TryLeader, WriteClaim, SendClaim),
     Phase.CHECKING: (TestReach, AskIndirectProbes),
     Phase.CLAIMING: (WriteClaim,),
-    Phase.CHOOSING: (ReadStatus, StepDown, TellClaim, WriteClaim),
-    Phase.RELEASING: (StepDown, WriteClaim, TellClaim, ReadStatus),
+    Phase.CHOOSING: (ReadStatus, StepDown, SendClaim, WriteClaim),
+    Phase.RELEASING: (StepDown, WriteClaim, SendClaim, ReadStatus),
     Phase.PROMOTING: (Promote, ReadStatus, AnnounceLeader),
     Phase.FOLLOWING: (),
 }
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -1,7 +1,7 @@
 """Confirmation by a quorum: how a process keeps its leases on primaries while the store is away.
 
 It asks the voters of its groups' newest claims which claims they know. If more than half of a
-group's voters know none that is newer, none can take effect before RIGHT_SECONDS have passed since
+group's voters know none that is newer, none can take effect before LEASE_SECONDS have passed since
 the question was sent: whoever writes a claim has to reach more than half of the same voters first,
 and one that knows the newer claim vouches no more. Only processes with a row in the store are
 vouched for, since the holder of a claim waits for those.
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.failover.claim_recall import is_majority
+from dewledge.core.pooler.failover.claim_acknowledgements import is_majority
 from dewledge.core.pooler.failover.messages import Claim
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
@@ -55,16 +55,16 @@
         self._tokens: dict[str, int] = {}
         self._agreed: dict[str, set[str]] = {}
 
-    def ask(self, rights: Mapping[str, PrimaryLease], now: float) -> Inquiry | None:
+    def ask(self, leases: Mapping[str, PrimaryLease], now: float) -> Inquiry | None:
         """Returns the next question, if the word on some group has become old."""
         if now < self._asked_at + ASK_AGAIN_SECONDS:
             return None
         due = [
-            (right.confirmed_at, name, right.claim)
-            for name, right in rights.items()
-            if right.claim is not None
-            and right.claim.voters
-            and now > right.confirmed_at + ASK_AFTER_SECONDS
+            (lease.confirmed_at, name, lease.claim)
+            for name, lease in leases.items()
+            if lease.claim is not None
+            and lease.claim.voters
+            and now > lease.confirmed_at + ASK_AFTER_SECONDS
         ]
         if not due:
             return None
@@ -75,7 +75,7 @@
     def _begin(self, claims: Mapping[str, Claim], now: float) -> Inquiry:
         self._number += 1
         self._asked_at = now
-        self._tokens = {name: claim.token for name, claim in claims.items()}
+        self._tokens = {name: claim.fencing_token for name, claim in claims.items()}
         self._agreed = {name: {self._own_name} for name in claims}
         voters = {voter for claim in claims.values() for voter in claim.voters}
         question = ConfirmationQuestion(self._own_name, self._number, self._tokens)
@@ -84,33 +84,33 @@
     def answer(
         self,
         question: ConfirmationQuestion,
-        rights: Mapping[str, PrimaryLease],
+        leases: Mapping[str, PrimaryLease],
         registered: Collection[str],
     ) -> ConfirmationAnswer | None:
         """Returns the answer to another process; none to one without a row in the store."""
         if question.asker not in registered:
             return None
-        known = {name: rights[name].token for name in question.tokens if name in rights}
+        known = {name: leases[name].fencing_token for name in question.tokens if name in leases}
         return ConfirmationAnswer(self._own_name, question.number, known)
 
-    def take(self, answer: ConfirmationAnswer, rights: Mapping[str, PrimaryLease]) -> Sequence[str]:
+    def take(self, answer: ConfirmationAnswer, leases: Mapping[str, PrimaryLease]) -> Sequence[str]:
         """Takes an answer; returns the groups whose claims are vouched for with it."""
         if answer.number != self._number:
             return []
         confirmed = []
         for name, token in answer.tokens.items():
-            right = rights.get(name)
-            if right is None or token != self._tokens.get(name):
+            lease = leases.get(name)
+            if lease is None or token != self._tokens.get(name):
                 continue
             agreed = self._agreed[name]
             agreed.add(answer.voter)
-            if self._is_vouched(right, token, agreed):
-                right.confirm(self._asked_at)
+            if self._is_confirmed(lease, token, agreed):
+                lease.confirm(self._asked_at)
                 confirmed.append(name)
         return confirmed
 
-    def _is_vouched(self, right: PrimaryLease, token: int, agreed: Collection[str]) -> bool:
-        claim = right.claim
-        if claim is None or claim.token != token:
+    def _is_confirmed(self, lease: PrimaryLease, token: int, agreed: Collection[str]) -> bool:
+        claim = lease.claim
+        if claim is None or claim.fencing_token != token:
             return False
         return is_majority(agreed, claim.voters)
--- a/src/dewledge/core/pooler/failover/reach_check.py
+++ b/src/dewledge/core/pooler/failover/reach_check.py
@@ -12,10 +12,10 @@
 from dewledge.core.pooler.failover.evidence import CHECK_LIMIT_SECONDS, ReachEvidence
 from dewledge.core.pooler.failover.messages import (
     AskIndirectProbes,
+    FailoverEffect,
+    IndirectProbeReported,
     ReachTested,
-    SuccessionEffect,
     TestReach,
-    WitnessReported,
 )
 from dewledge.core.pooler.failover.phases import PhaseEnd
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO
@@ -45,7 +45,7 @@
         """Tells whether the last check began long enough ago for another one."""
         return now >= self._began_at + CHECK_AGAIN_SECONDS
 
-    def begin(self, database: str, now: float) -> Sequence[SuccessionEffect]:
+    def begin(self, database: str, now: float) -> Sequence[FailoverEffect]:
         """Begins a check."""
         self._database = database
         self._evidence = ReachEvidence(database)
@@ -53,7 +53,7 @@
         self._asks_others = False
         return [TestReach(database)]
 
-    def take(self, event: ReachTested | WitnessReported) -> None:
+    def take(self, event: ReachTested | IndirectProbeReported) -> None:
         """Takes a test or an answer."""
         self._evidence.take(event)
 
@@ -89,7 +89,7 @@
         self.reached_by = reached_by
         return Step((), PhaseEnd.REACHED_BY_OTHER, reached_by or "")
 
-    def _ask_others(self, waited: float) -> Sequence[SuccessionEffect]:
+    def _ask_others(self, waited: float) -> Sequence[FailoverEffect]:
         is_time = self._evidence.is_missed or waited >= ASK_AFTER_SECONDS
         if self._asks_others or not is_time:
             return []
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -9,9 +9,9 @@
 
 from dewledge.core.pooler.failover.candidates import choose, eligible
 from dewledge.core.pooler.failover.claim_writing import (
-    duty_claim,
     last_order,
     order_claim,
+    replacement_claim,
     withdrawn_claim,
 )
 from dewledge.core.pooler.failover.lease_release import STEP_DOWN_AGAIN_SECONDS, LeaseRelease
@@ -20,6 +20,7 @@
     AnnounceLeader,
     Claim,
     ClaimKnown,
+    FailoverEffect,
     LossCause,
     Phase,
     Promote,
@@ -28,13 +29,12 @@
     StatusRead,
     StepDown,
     SteppedDown,
-    SuccessionEffect,
     WriteClaim,
 )
 from dewledge.core.pooler.failover.phases import PhaseEnd
 from dewledge.core.pooler.failover.primary_lease import (
+    LEASE_SECONDS,
     LONG_AGO,
-    RIGHT_SECONDS,
     Fencing,
     PrimaryLease,
 )
@@ -54,11 +54,11 @@
 class PrimaryReplacement:
     """One process's replacement of one primary; asked for a step in each of its three phases."""
 
-    def __init__(self, own_name: str, right: PrimaryLease, loss: Loss) -> None:
+    def __init__(self, own_name: str, lease: PrimaryLease, loss: Loss) -> None:
         self.candidate = ""
-        self.own_token = 0
+        self.fencing_token = 0
         """Of the claim under which this process acts, 0 before it stands."""
-        self._right = right
+        self._lease = lease
         self._loss = loss
         self._survey = StatusSurvey()
         self._release = LeaseRelease(own_name, loss.replaced, self.is_planned)
@@ -80,11 +80,11 @@
 
     @property
     def _is_unfenced(self) -> bool:
-        return self._right.fencing is Fencing.PROCESSES
+        return self._lease.fencing is Fencing.PROCESSES
 
     def take_claim(self, claim: Claim, now: float) -> None:
         """The own claim stands in the store."""
-        self.own_token = claim.token
+        self.fencing_token = claim.fencing_token
         self._write_at = now
         self._release.take_claim(claim, now)
 
@@ -104,9 +104,9 @@
     def claim(self, situation: Situation) -> WriteClaim:
         """Returns the claim to write first."""
         replaced = self._loss.replaced
-        return duty_claim(self._right, situation.members, replaced, self.is_planned)
+        return replacement_claim(self._lease, situation.members, replaced, self.is_planned)
 
-    def announce(self, event: StatusRead) -> Sequence[SuccessionEffect]:
+    def announce(self, event: StatusRead) -> Sequence[FailoverEffect]:
         """The chosen database says that it leads: others learn it also without the store."""
         if event.database != self.candidate or event.status is None:
             return []
@@ -117,7 +117,7 @@
         """Takes the platform's answer to the order."""
         if event.database != self.candidate or not event.fenced:
             return Step()
-        if self.own_token < self._right.token:
+        if self.fencing_token < self._lease.fencing_token:
             return Step((), PhaseEnd.TOKEN_TOO_OLD)
         if self._survey.refused:
             # Two databases refused: more likely another holds a later token, unknown here.
@@ -139,7 +139,7 @@
         survey, now = self._survey, situation.now
         names = self._eligible(situation)
         wanted = [*names, self._loss.replaced] if self.is_planned else names
-        effects: list[SuccessionEffect] = [*survey.ask(wanted)]
+        effects: list[FailoverEffect] = [*survey.ask(wanted)]
         effects += self._release.tell(situation.registered, now)
         missing = [name for name in wanted if name not in survey.statuses]
         if missing and now < self._phase_since + STATUS_LIMIT_SECONDS:
@@ -175,11 +175,11 @@
 
         Another one beside it would be replaced by it without anybody knowing.
         """
-        ordered = last_order(self._right, self._loss.replaced)
+        ordered = last_order(self._lease, self._loss.replaced)
         is_known = ordered in self._survey.statuses and ordered not in self._survey.refused
         return ordered if is_known and self._is_unfenced else None
 
-    def _end_false_leads(self, names: Sequence[str], now: float) -> Sequence[SuccessionEffect]:
+    def _end_false_leads(self, names: Sequence[str], now: float) -> Sequence[FailoverEffect]:
         """Databases that lead by no claim step down: named as leader they would serve at once."""
         ordered = self._ordered_before
         false = [name for name in names if self._survey.leads(name) and name != ordered]
@@ -196,7 +196,7 @@
     def _release_old(self, situation: Situation) -> Step:
         """Nobody may use the old primary any more when the new one is promoted."""
         release, now = self._release, situation.now
-        effects: list[SuccessionEffect] = [
+        effects: list[FailoverEffect] = [
             *release.step_down(self._survey.next_term, situation.registered, now)
         ]
         if not self._is_order_noted:
@@ -212,20 +212,20 @@
     @property
     def _is_order_noted(self) -> bool:
         """Whether the store holds the order under the own claim."""
-        claim = self._right.claim
-        if claim is None or claim.token != self.own_token:
+        claim = self._lease.claim
+        if claim is None or claim.fencing_token != self.fencing_token:
             return False
         return claim.leader == self.candidate and claim.ordered == self.candidate
 
-    def _note(self, situation: Situation) -> Sequence[SuccessionEffect]:
+    def _note(self, situation: Situation) -> Sequence[FailoverEffect]:
         """Has the store hold the order before it is given: the next holder must know of it."""
         if situation.now < self._write_at:
             return []
         self._write_at = situation.now + WRITE_AGAIN_SECONDS
         replaced = self._loss.replaced
-        return [order_claim(self._right, situation.members, replaced, self.candidate)]
+        return [order_claim(self._lease, situation.members, replaced, self.candidate)]
 
-    def _has_received_all(self, effects: list[SuccessionEffect], now: float) -> bool:
+    def _has_received_all(self, effects: list[FailoverEffect], now: float) -> bool:
         """Tells whether the candidate has what the old primary held when it stepped down."""
         held = self._release.stepped_down
         if held is None:
@@ -241,34 +241,34 @@
 
     # Promoting.
 
-    def _order(self, now: float) -> Sequence[SuccessionEffect]:
+    def _order(self, now: float) -> Sequence[FailoverEffect]:
         """Orders the promotion, unless another process may hold a newer claim by now."""
         if not self._is_unfenced:
             self._promoted_at = now
-            return [Promote(self.candidate, self.own_token)]
-        if self._right.token != self.own_token or not self._right.is_confirmed(now):
+            return [Promote(self.candidate, self.fencing_token)]
+        if self._lease.fencing_token != self.fencing_token or not self._lease.is_confirmed(now):
             return []
         self._promoted_at = now
         self._has_promoted = True
-        return [Promote(self.candidate, self.own_token, self._right.confirmed_at + RIGHT_SECONDS)]
+        return [
+            Promote(self.candidate, self.fencing_token, self._lease.confirmed_at + LEASE_SECONDS)
+        ]
 
     def _promote_again(self, situation: Situation) -> Step:
         now = situation.now
         if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
             return Step((), PhaseEnd.PROMOTION_WITHOUT_EFFECT)
-        effects: list[SuccessionEffect] = []
+        effects: list[FailoverEffect] = []
         if self._survey.is_time_to_ask_again(now):
             effects.append(ReadStatus(self.candidate))
         if now >= self._promoted_at + PROMOTE_AGAIN_SECONDS:
             effects += self._order(now)
         return Step(effects)
 
-    def _give_up(
-        self, effects: list[SuccessionEffect], situation: Situation, end: PhaseEnd
-    ) -> Step:
+    def _give_up(self, effects: list[FailoverEffect], situation: Situation, end: PhaseEnd) -> Step:
         """Ends the replacement; where nothing was ordered the old primary leads on."""
         kept = self._loss.replaced
         may_lead_on = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
-        if self._is_unfenced and may_lead_on and self.own_token:
-            effects.append(withdrawn_claim(self._right, situation.members, kept))
+        if self._is_unfenced and may_lead_on and self.fencing_token:
+            effects.append(withdrawn_claim(self._lease, situation.members, kept))
         return Step(effects, end)
--- a/src/dewledge/core/pooler/failover/situation.py
+++ b/src/dewledge/core/pooler/failover/situation.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import GroupView
-from dewledge.core.pooler.failover.messages import RegisteredProcesses, SuccessionEffect
+from dewledge.core.pooler.failover.messages import FailoverEffect, RegisteredProcesses
 from dewledge.core.pooler.failover.phases import PhaseEnd
 
 
@@ -24,6 +24,6 @@
 class Step(msgspec.Struct, frozen=True):
     """Effects to carry out, and what ends the phase, None if it goes on."""
 
-    effects: Sequence[SuccessionEffect] = ()
+    effects: Sequence[FailoverEffect] = ()
     end: PhaseEnd | None = None
     detail: str = ""
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -18,7 +18,7 @@
         self._writes = writes
         self._is_commit = is_commit
         self._target: Target | None = None
-        self._token = 0
+        self._fencing_token = 0
         self.has_begun = False
         """Whether the attempt opens a transaction that only a primary opens."""
 
@@ -58,7 +58,7 @@
 
     def note_sending(self) -> None:
         """The statement leaves now."""
-        self._token = self._group.right.token
+        self._fencing_token = self._group.right.fencing_token
 
     def note_success(self, database_id: str) -> None:
         """The statement succeeded: the database leads if it would have refused it otherwise."""
@@ -68,7 +68,7 @@
         else:
             has_shown_lead = transaction.leads and not self._is_commit
         if has_shown_lead:
-            self._group.right.prove(database_id, self._token)
+            self._group.right.prove(database_id, self._fencing_token)
 
     @property
     def _reads_by_right(self) -> bool:
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -36,12 +36,12 @@
     def __init__(self, context: FailoverContext, members: MemberTable, peers: PeerSocket) -> None:
         self._context = context
         self._own_name = context.own_name
-        self._rights = context.leases
+        self._leases = context.leases
         self._groups = context.groups
         self._members = members
         self._peers = peers
         self._events = context.claim_events
-        self._vouching = QuorumConfirmation(context.own_name)
+        self._confirmation = QuorumConfirmation(context.own_name)
         self._told: dict[str, int] = {}
         """The tokens of which the holder has been told directly, by group."""
         self._known_versions: dict[str, int] = {}
@@ -52,11 +52,11 @@
         peers.on(ClaimNotice, self._take_notice)
         peers.on(ClaimAnswer, self._take_answer)
         peers.on(ConfirmationQuestion, self._take_question)
-        peers.on(ConfirmationAnswer, self._take_vouching)
+        peers.on(ConfirmationAnswer, self._take_confirmation)
 
     def start(self) -> None:
         """Starts to look after the rights, where the platform does not fence."""
-        if self._rights.fencing is Fencing.PROCESSES:
+        if self._leases.fencing is Fencing.PROCESSES:
             self._tick()
 
     def stop(self) -> None:
@@ -69,7 +69,7 @@
         Counts only for a process with a row of its own: holders of claims wait for those.
         """
         if self._members.is_registered:
-            self._rights.confirm_all(at)
+            self._leases.confirm_all(at)
             for group in self._groups.values():
                 group.right_confirmed()
 
@@ -88,7 +88,7 @@
         if self._stopped:
             return
         now = self._context.loop.now()
-        inquiry = self._vouching.ask(self._rights.by_group, now)
+        inquiry = self._confirmation.ask(self._leases.by_group, now)
         if inquiry is not None:
             addresses = self._members.addresses
             known = [addresses[name] for name in inquiry.voters if name in addresses]
@@ -98,12 +98,12 @@
 
     def _log_lapses(self, now: float) -> None:
         for name in self._groups:
-            right = self._rights.of(name)
-            is_lapsed = not right.is_confirmed(now)
+            lease = self._leases.of(name)
+            is_lapsed = not lease.is_confirmed(now)
             if is_lapsed == (name in self._lapsed):
                 continue
-            age_ms = int((now - right.confirmed_at) * 1000) if right.confirmed_at > 0 else -1
-            logger.bind(group=name, token=right.token, age_ms=age_ms).info(
+            age_ms = int((now - lease.confirmed_at) * 1000) if lease.confirmed_at > 0 else -1
+            logger.bind(group=name, token=lease.fencing_token, age_ms=age_ms).info(
                 "lead_right_lapsed" if is_lapsed else "lead_right_regained"
             )
             self._lapsed ^= {name}
@@ -116,11 +116,13 @@
             replaced=claim.replaced,
             leader="any" if claim.leader is None else claim.leader,
             ordered=claim.ordered,
-            token=claim.token,
+            token=claim.fencing_token,
         ).info("claim_known")
         if claim.leader is not None and claim.holder != self._own_name:
             delay = TELL_STORE_AFTER_SECONDS
-            self._context.loop.call_later(delay, lambda: self._tell_store(group, claim.token))
+            self._context.loop.call_later(
+                delay, lambda: self._tell_store(group, claim.fencing_token)
+            )
 
     def _send_to(self, group: str, processes: Sequence[str]) -> None:
         """Sends the newest claim on a group to some processes."""
@@ -128,26 +130,26 @@
         self._send_claim(group, [addresses[name] for name in processes if name in addresses])
 
     def _send_claim(self, group: str, addresses: Sequence[str]) -> None:
-        claim = self._rights.of(group).claim
+        claim = self._leases.of(group).claim
         if claim is not None and addresses:
             self._peers.send(ClaimNotice(self._own_name, group, claim), addresses)
 
     def _take_notice(self, notice: ClaimNotice, sender: str) -> None:
-        right = self._rights.of(notice.group)
-        if notice.claim.token > right.token:
-            logger.bind(group=notice.group, token=notice.claim.token, sender=notice.sender).info(
-                "claim_told"
-            )
+        lease = self._leases.of(notice.group)
+        if notice.claim.fencing_token > lease.fencing_token:
+            logger.bind(
+                group=notice.group, token=notice.claim.fencing_token, sender=notice.sender
+            ).info("claim_told")
             self._events.noticed.tell(notice.group, notice.claim)
-        if right.claim is not None and notice.sender == right.claim.holder:
-            self._told[notice.group] = right.token
-        self._peers.send(ClaimAnswer(self._own_name, notice.group, right.token), [sender])
+        if lease.claim is not None and notice.sender == lease.claim.holder:
+            self._told[notice.group] = lease.fencing_token
+        self._peers.send(ClaimAnswer(self._own_name, notice.group, lease.fencing_token), [sender])
 
     def _take_answer(self, answer: ClaimAnswer, _sender: str) -> None:
         self._events.known.tell(answer.group, ClaimKnown(answer.sender, answer.token))
 
     def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
-        answer = self._vouching.answer(question, self._rights.by_group, self._members.members)
+        answer = self._confirmation.answer(question, self._leases.by_group, self._members.members)
         if answer is None:
             return
         self._peers.send(answer, [sender])
@@ -155,19 +157,19 @@
             if answer.tokens.get(group, 0) > token:
                 self._send_claim(group, [sender])
 
-    def _take_vouching(self, answer: ConfirmationAnswer, sender: str) -> None:
-        for name in self._vouching.take(answer, self._rights.by_group):
+    def _take_confirmation(self, answer: ConfirmationAnswer, sender: str) -> None:
+        for name in self._confirmation.take(answer, self._leases.by_group):
             group = self._groups.get(name)
             if group is not None:
                 group.right_confirmed()
         for name, token in answer.tokens.items():
-            if name in self._rights.by_group and token < self._rights.of(name).token:
+            if name in self._leases.by_group and token < self._leases.of(name).fencing_token:
                 self._send_claim(name, [sender])
 
     def _tell_store(self, group: str, token: int) -> None:
         if self._stopped or self._told.get(group, 0) >= token:
             return
-        if self._rights.of(group).token != token:
+        if self._leases.of(group).fencing_token != token:
             return
         key = f"{KNOWN_PREFIX}{group}/{self._own_name}"
         value = encode_value(KnownValue(self._own_name, group, token))
--- a/src/dewledge/shell/pooler/failover/database_questions.py
+++ b/src/dewledge/shell/pooler/failover/database_questions.py
@@ -11,10 +11,10 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.failover.messages import (
     DatabaseStatus,
+    FailoverEvent,
     StatusRead,
     StepDown,
     SteppedDown,
-    SuccessionEvent,
 )
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -40,7 +40,7 @@
         self,
         loop: EventLoop,
         parse_status: Callable[[Reply], DatabaseStatus | None],
-        handle: Callable[[str, SuccessionEvent], None],
+        handle: Callable[[str, FailoverEvent], None],
     ) -> None:
         """`handle`: called with a group's name and what a database answered, None if nothing."""
         self._loop = loop
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -11,9 +11,9 @@
 )
 from dewledge.core.pooler.failover.messages import (
     ClaimRefused,
+    FailoverEvent,
     Promote,
     PromotionAnswered,
-    SuccessionEvent,
     WriteClaim,
 )
 from dewledge.errors import StoreError
@@ -34,7 +34,7 @@
         context: FailoverContext,
         promotions: DutyCalls | None,
         take_rows: Callable[[Sequence[StoreRow]], None],
-        handle: Callable[[str, SuccessionEvent], None],
+        handle: Callable[[str, FailoverEvent], None],
     ) -> None:
         """`promotions`: None where the platform has no such call.
 
@@ -104,7 +104,7 @@
             return
         try:
             accepted = self._promotions.promote(
-                group, effect.database, self._context.own_name, effect.token
+                group, effect.database, self._context.own_name, effect.fencing_token
             )
         except StoreError as error:
             logger.bind(group=group, database=effect.database, error=error.message).info(
@@ -112,7 +112,7 @@
             )
             return
         logger.bind(
-            group=group, database=effect.database, token=effect.token, accepted=accepted
+            group=group, database=effect.database, token=effect.fencing_token, accepted=accepted
         ).info("promotion_answered")
         answer = PromotionAnswered(effect.database, accepted, not accepted)
         self._context.loop.post(lambda: self._handle(group, answer))
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -17,20 +17,20 @@
     ClaimKnown,
     ClaimSeen,
     DatabaseStatus,
+    FailoverEffect,
+    FailoverEvent,
+    IndirectProbeReported,
     Phase,
     PrimaryDoubted,
     Promote,
     ReachTested,
     ReadStatus,
     RegisteredProcesses,
+    SendClaim,
     StepDown,
-    SuccessionEffect,
-    SuccessionEvent,
-    TellClaim,
     TestReach,
     Ticked,
     TryLeader,
-    WitnessReported,
     WriteClaim,
 )
 from dewledge.core.pooler.statements.statements import Reply
@@ -63,7 +63,7 @@
         self._groups = context.groups
         self._addresses = addresses
         self._record = record
-        self._successions: dict[str, GroupFailover] = {}
+        self._failovers: dict[str, GroupFailover] = {}
         self._probes: IndirectProbes | None = None
         self._stopped = False
         self._ticks = 0
@@ -97,7 +97,7 @@
 
     def take_claim(self, group: str, claim: Claim) -> None:
         """Takes a claim; one on a group that is not known yet is kept for later."""
-        if claim.token > self._context.leases.of(group).token:
+        if claim.fencing_token > self._context.leases.of(group).fencing_token:
             self._context.claim_events.learned.tell(group, claim)
         if group in self._groups and not self._stopped:
             self._handle(group, ClaimSeen(claim))
@@ -116,7 +116,7 @@
         """Takes another process's word on a database."""
         record = self._find(answer.database)
         if record is not None:
-            event = WitnessReported(answer.witness, answer.database, answer.reachable)
+            event = IndirectProbeReported(answer.witness, answer.database, answer.reachable)
             self._handle(record.group, event)
 
     def take_leader(self, notice: LeaderNotice) -> None:
@@ -148,20 +148,20 @@
         self._context.loop.call_later(TICK_SECONDS, self._tick)
 
     def _is_unsettled(self, name: str) -> bool:
-        succession = self._successions.get(name)
+        succession = self._failovers.get(name)
         if succession is None:
             return True
         return succession.phase is not Phase.STEADY or succession.doubted is not None
 
-    def _handle(self, group_name: str, event: SuccessionEvent) -> None:
+    def _handle(self, group_name: str, event: FailoverEvent) -> None:
         group = self._groups.get(group_name)
         if group is None or self._stopped:
             return
-        succession = self._successions.get(group_name)
+        succession = self._failovers.get(group_name)
         if succession is None:
-            right = self._context.leases.of(group_name)
-            succession = GroupFailover(group_name, self._own_name, self._record, right)
-            self._successions[group_name] = succession
+            lease = self._context.leases.of(group_name)
+            succession = GroupFailover(group_name, self._own_name, self._record, lease)
+            self._failovers[group_name] = succession
         judges = self._panel(group_name)
         effects = succession.handle(
             event, group.view, judges, self._context.loop.now(), self._registered
@@ -173,7 +173,7 @@
         for effect in effects:
             self._carry_out(group, effect)
 
-    def _carry_out(self, group: Group, effect: SuccessionEffect) -> None:
+    def _carry_out(self, group: Group, effect: FailoverEffect) -> None:
         if isinstance(effect, TestReach):
             self._test(group, effect.database)
         elif isinstance(effect, AskIndirectProbes):
@@ -182,7 +182,7 @@
             self._announce(effect.database)
         elif isinstance(effect, ReadStatus):
             self._questions.read_status(group, effect.database)
-        elif isinstance(effect, TellClaim):
+        elif isinstance(effect, SendClaim):
             self._context.claim_events.to_send.tell(group.view.name, effect.processes)
         elif isinstance(effect, TryLeader):
             self.take_leader(LeaderNotice(self._own_name, effect.database))
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -13,6 +13,9 @@
     ClaimRefused,
     ClaimSeen,
     DatabaseStatus,
+    FailoverEffect,
+    FailoverEvent,
+    IndirectProbeReported,
     Phase,
     PhaseChanged,
     PrimaryDoubted,
@@ -22,11 +25,8 @@
     ReadStatus,
     RegisteredProcesses,
     StatusRead,
-    SuccessionEffect,
-    SuccessionEvent,
     TestReach,
     Ticked,
-    WitnessReported,
     WriteClaim,
 )
 from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
@@ -36,7 +36,7 @@
 MEMBERS = ("a", "b", "c")
 
 
-class SuccessionCase(unittest.TestCase):
+class FailoverCase(unittest.TestCase):
     own_name = "a"
 
     def setUp(self) -> None:
@@ -46,8 +46,8 @@
         self.revision = 0
         for name, role in (("p", "primary"), ("r1", "replica"), ("r2", "replica")):
             self.announce(name, role)
-        self.succession = GroupFailover("menus", "a", self.events.append)
-        self.effects: list[SuccessionEffect] = []
+        self.failover = GroupFailover("menus", "a", self.events.append)
+        self.effects: list[FailoverEffect] = []
 
     def announce(self, name: str, role: str, draining: bool = False) -> None:
         self.revision += 1
@@ -57,15 +57,15 @@
         self.view = self.view.with_record(record, self.now)
 
     def handle(
-        self, event: SuccessionEvent, members: Sequence[str] = MEMBERS
-    ) -> Sequence[SuccessionEffect]:
+        self, event: FailoverEvent, members: Sequence[str] = MEMBERS
+    ) -> Sequence[FailoverEffect]:
         return self.take(event, members, NONE_REGISTERED)
 
     def take(
-        self, event: SuccessionEvent, members: Sequence[str], registered: RegisteredProcesses
-    ) -> Sequence[SuccessionEffect]:
-        before, known = self.succession.phase, len(self.events)
-        effects = self.succession.handle(event, self.view, members, self.now, registered)
+        self, event: FailoverEvent, members: Sequence[str], registered: RegisteredProcesses
+    ) -> Sequence[FailoverEffect]:
+        before, known = self.failover.phase, len(self.events)
+        effects = self.failover.handle(event, self.view, members, self.now, registered)
         changes = self.events[known:]
         self.assertEqual(outside_table(before, changes), [])
         phases = [before, *(change.phase for change in changes)]
@@ -73,7 +73,7 @@
         self.effects += effects
         return effects
 
-    def wait(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[SuccessionEffect]:
+    def wait(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[FailoverEffect]:
         before = len(self.effects)
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
@@ -86,40 +86,40 @@
 
     def confirm(self) -> None:
         for witness in ("b", "c"):
-            self.handle(WitnessReported(witness, "p", False))
+            self.handle(IndirectProbeReported(witness, "p", False))
 
-    def replacements(self) -> list[SuccessionEffect]:
+    def replacements(self) -> list[FailoverEffect]:
         """The claims to replace the primary; a standing claim replaces none."""
         return [each for each in self.of(WriteClaim) if each != WriteClaim("", 0)]
 
-    def of(self, kind: type[SuccessionEffect]) -> list[SuccessionEffect]:
+    def of(self, kind: type[FailoverEffect]) -> list[FailoverEffect]:
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
 
-class DoubtTest(SuccessionCase):
+class DoubtTest(FailoverCase):
     def test_a_primary_that_can_be_reached_is_kept(self) -> None:
         self.assertEqual(self.handle(PrimaryDoubted("p")), [TestReach("p")])
         self.handle(ReachTested("p", True))
         self.wait(10.0)
         self.assertEqual(self.replacements(), [])
-        self.assertIsNone(self.succession.doubted)
+        self.assertIsNone(self.failover.doubted)
 
     def test_a_primary_that_another_process_reaches_is_kept(self) -> None:
         self.lose_primary()
-        self.handle(WitnessReported("b", "p", False))
-        self.handle(WitnessReported("c", "p", True))
-        self.assertEqual(self.succession.phase, Phase.STEADY)
-        self.assertEqual(self.succession.doubted, "p")
-        self.assertEqual(self.succession.reached_by, "c")
+        self.handle(IndirectProbeReported("b", "p", False))
+        self.handle(IndirectProbeReported("c", "p", True))
+        self.assertEqual(self.failover.phase, Phase.STEADY)
+        self.assertEqual(self.failover.doubted, "p")
+        self.assertEqual(self.failover.reached_by, "c")
         self.assertEqual(self.replacements(), [])
 
     def test_it_is_tested_again_and_again_while_only_this_process_cannot_reach_it(self) -> None:
         self.lose_primary()
-        self.handle(WitnessReported("c", "p", True))
+        self.handle(IndirectProbeReported("c", "p", True))
         tests = [e for e in self.wait(1.0) if isinstance(e, TestReach)]
         self.assertGreaterEqual(len(tests), 1)
         self.handle(ReachTested("p", True))
-        self.assertIsNone(self.succession.doubted)
+        self.assertIsNone(self.failover.doubted)
 
     def test_when_all_agree_the_duty_is_claimed_at_once(self) -> None:
         self.lose_primary()
@@ -129,7 +129,7 @@
 
     def test_a_majority_is_enough_after_a_while(self) -> None:
         self.lose_primary()
-        self.handle(WitnessReported("b", "p", False))
+        self.handle(IndirectProbeReported("b", "p", False))
         self.wait(0.3)
         self.assertEqual(self.replacements(), [])
         self.wait(0.2)
@@ -147,7 +147,7 @@
         self.assertEqual(self.handle(PrimaryDoubted("r1")), [])
 
 
-class ClaimTest(SuccessionCase):
+class ClaimTest(FailoverCase):
     def claim(self, token: int = 7) -> None:
         self.lose_primary()
         self.confirm()
@@ -158,7 +158,7 @@
         self.confirm()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
         self.wait(2.0)
-        self.assertEqual(self.succession.phase, Phase.FOLLOWING)
+        self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.of(Promote), [])
 
     def test_a_holder_without_effect_is_succeeded_with_a_later_row(self) -> None:
@@ -177,14 +177,14 @@
         self.confirm()
         self.handle(ClaimRefused())
         self.wait(1.0)
-        self.assertEqual(self.of(Promote)[0].token, 5)  # type: ignore[union-attr]
+        self.assertEqual(self.of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
 
     def test_the_last_holder_does_not_wait_for_the_row(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm()
         self.assertEqual(self.of(WriteClaim), [WriteClaim("p", 5)])
-        self.assertEqual(self.succession.phase, Phase.CHOOSING)
+        self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
     def test_a_token_that_another_has_overtaken_is_given_up(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
@@ -194,7 +194,7 @@
         self.wait(0.4)
         self.handle(ClaimSeen(Claim("b", "p", 8)))
         self.handle(PromotionAnswered("r1", False, True))
-        self.assertEqual(self.succession.phase, Phase.FOLLOWING)
+        self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
     def test_the_new_primary_is_announced_once_it_says_that_it_leads(self) -> None:
         self.claim()
@@ -205,7 +205,7 @@
         self.assertEqual(self.of(AnnounceLeader), [AnnounceLeader("r1")])
         self.view = self.view.with_leader("r1")
         self.handle(Ticked())
-        self.assertEqual(self.succession.phase, Phase.STEADY)
+        self.assertEqual(self.failover.phase, Phase.STEADY)
 
     def test_another_process_does_nothing_without_a_claim(self) -> None:
         self.handle(ClaimSeen(Claim("b", "x", 5)))
@@ -247,7 +247,7 @@
             self.wait(1.0)
             (*_, promote) = self.of(Promote)
             self.handle(PromotionAnswered(promote.database, False, True))
-        self.assertIs(self.succession.phase, Phase.FOLLOWING)
+        self.assertIs(self.failover.phase, Phase.FOLLOWING)
         calls = len(self.of(Promote))
         self.effects.clear()
         for _ in range(5):
@@ -260,7 +260,7 @@
         self.assertIn(WriteClaim("p", 7), self.of(WriteClaim))
         self.handle(ClaimSeen(Claim("a", "p", 9)))
         self.wait(3.0)
-        self.assertEqual({each.token for each in self.of(Promote)}, {9})
+        self.assertEqual({each.fencing_token for each in self.of(Promote)}, {9})
 
     def test_a_refused_candidate_is_not_asked_for_again(self) -> None:
         self.claim()
@@ -276,11 +276,11 @@
         self.wait(0.4)
         self.announce("r1", "primary")
         self.handle(Ticked())
-        self.assertEqual(self.succession.phase, Phase.STEADY)
-        self.assertIsNone(self.succession.doubted)
+        self.assertEqual(self.failover.phase, Phase.STEADY)
+        self.assertIsNone(self.failover.doubted)
 
 
-class StandingClaimTest(SuccessionCase):
+class StandingClaimTest(FailoverCase):
     def test_one_process_holds_the_duty_of_a_healthy_group(self) -> None:
         writers = []
         for name in MEMBERS:
@@ -311,7 +311,7 @@
     def test_a_standing_claim_is_not_followed(self) -> None:
         self.lose_primary()
         self.handle(ClaimSeen(Claim("b", "", 3)))
-        self.assertEqual(self.succession.phase, Phase.CHECKING)
+        self.assertEqual(self.failover.phase, Phase.CHECKING)
 
 
 class PanelTest(unittest.TestCase):
@@ -335,7 +335,7 @@
             self.assertEqual(succession.handle(Ticked(), view, MEMBERS, step * 0.04), [])
 
 
-class PlannedTest(SuccessionCase):
+class PlannedTest(FailoverCase):
     def test_a_primary_that_says_it_leaves_is_replaced_without_doubt(self) -> None:
         self.announce("p", "primary", draining=True)
         self.wait(0.5)
@@ -402,7 +402,7 @@
         self.assertEqual(self.of(WriteClaim), [WriteClaim("", 0)])
 
 
-class RaceTest(SuccessionCase):
+class RaceTest(FailoverCase):
     def test_of_many_that_claim_at_once_only_the_holder_of_the_row_promotes(self) -> None:
         contenders = {name: GroupFailover("menus", name, self.events.append) for name in MEMBERS}
         promotions = []
@@ -410,21 +410,21 @@
         for step in range(200):
             self.now += 0.05
             for name, contender in contenders.items():
-                events: list[SuccessionEvent] = [Ticked()]
+                events: list[FailoverEvent] = [Ticked()]
                 if step == 0:
                     events = [PrimaryDoubted("p"), ReachTested("p", False)]
-                    events += [WitnessReported(w, "p", False) for w in MEMBERS if w != name]
+                    events += [IndirectProbeReported(w, "p", False) for w in MEMBERS if w != name]
                 if row is not None:
                     events.append(ClaimSeen(row))
                 for event in events:
                     for effect in contender.handle(event, self.view, MEMBERS, self.now):
                         if isinstance(effect, WriteClaim):
-                            if effect.expected == (0 if row is None else row.token):
+                            if effect.expected == (0 if row is None else row.fencing_token):
                                 row = Claim(name, "p", step + 1)
                             else:
                                 contender.handle(ClaimRefused(), self.view, MEMBERS, self.now)
                         if isinstance(effect, Promote):
-                            promotions.append((name, effect.token))
+                            promotions.append((name, effect.fencing_token))
         holders: dict[int, set[str]] = {}
         for name, token in promotions:
             holders.setdefault(token, set()).add(name)
--- a/tests/core/pooler/failover/test_phases.py
+++ b/tests/core/pooler/failover/test_phases.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Iterable, Sequence
 
-from dewledge.core.pooler.failover.messages import LossCause, Phase, PhaseChanged, SuccessionEffect
+from dewledge.core.pooler.failover.messages import FailoverEffect, LossCause, Phase, PhaseChanged
 from dewledge.core.pooler.failover.phases import EFFECTS, TRANSITIONS, PhaseEnd, Transition
 
 
@@ -28,7 +28,7 @@
     return found
 
 
-def undeclared(phases: Iterable[Phase], effects: Sequence[SuccessionEffect]) -> list[str]:
+def undeclared(phases: Iterable[Phase], effects: Sequence[FailoverEffect]) -> list[str]:
     """Returns the effects that none of these phases asks for by the table."""
     allowed = tuple(kind for phase in phases for kind in EFFECTS[phase])
     return [repr(effect) for effect in effects if not isinstance(effect, allowed)]
--- a/tests/core/pooler/failover/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -9,41 +9,41 @@
     ClaimKnown,
     ClaimSeen,
     DatabaseStatus,
+    FailoverEffect,
+    FailoverEvent,
+    IndirectProbeReported,
     Phase,
     Promote,
     ReachTested,
     RegisteredProcesses,
+    SendClaim,
     StatusRead,
     StepDown,
     SteppedDown,
-    SuccessionEffect,
-    SuccessionEvent,
-    TellClaim,
     Ticked,
     TryLeader,
-    WitnessReported,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS, Fencing, PrimaryLease
+from dewledge.core.pooler.failover.primary_lease import LEASE_SECONDS, Fencing, PrimaryLease
 from dewledge.core.shared.positions import LogPosition
-from tests.core.pooler.failover.test_group_failover import MEMBERS, SuccessionCase
+from tests.core.pooler.failover.test_group_failover import MEMBERS, FailoverCase
 
 
-class UnfencedCase(SuccessionCase):
+class UnfencedCase(FailoverCase):
     """A process of three; the store's word on claims is always young unless a test says else."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.right = PrimaryLease(Fencing.PROCESSES)
-        self.succession = GroupFailover("menus", "a", self.events.append, self.right)
+        self.lease = PrimaryLease(Fencing.PROCESSES)
+        self.failover = GroupFailover("menus", "a", self.events.append, self.lease)
         self.is_store_up = True
         self.token = 0
 
     def handle(
-        self, event: SuccessionEvent, members: Sequence[str] = MEMBERS
-    ) -> Sequence[SuccessionEffect]:
+        self, event: FailoverEvent, members: Sequence[str] = MEMBERS
+    ) -> Sequence[FailoverEffect]:
         if self.is_store_up:
-            self.right.confirm(self.now)
+            self.lease.confirm(self.now)
         registered = RegisteredProcesses(frozenset(MEMBERS), self.token)
         return self.take(event, members, registered)
 
@@ -89,18 +89,18 @@
 
     def test_it_is_told_until_all_know_it_and_then_one_is_promoted_at_once(self) -> None:
         self.lose_and_claim()
-        self.assertEqual(self.of(TellClaim)[0], TellClaim(("b", "c")))
+        self.assertEqual(self.of(SendClaim)[0], SendClaim(("b", "c")))
         self.know("b")
         self.wait(0.2)
-        self.assertEqual(self.of(TellClaim)[-1], TellClaim(("c",)))
+        self.assertEqual(self.of(SendClaim)[-1], SendClaim(("c",)))
         self.assertEqual(self.of(Promote), [])
         self.know("c")
-        self.assertEqual([(e.database, e.token) for e in self.of(Promote)], [("r2", 20)])  # type: ignore[union-attr]
+        self.assertEqual([(e.database, e.fencing_token) for e in self.of(Promote)], [("r2", 20)])  # type: ignore[union-attr]
 
     def test_one_that_does_not_answer_is_outwaited(self) -> None:
         self.lose_and_claim()
         self.know("b")
-        self.wait(RIGHT_SECONDS - 0.1)
+        self.wait(LEASE_SECONDS - 0.1)
         self.assertEqual(self.of(Promote), [])
         self.wait(0.2)
         self.assertEqual(len(self.of(Promote)), 1)
@@ -111,19 +111,19 @@
         self.confirm()
         self.wait(1.0)
         self.assertEqual(self.of(Promote), [])
-        self.assertEqual(self.succession.phase, Phase.CLAIMING)
+        self.assertEqual(self.failover.phase, Phase.CLAIMING)
 
     def test_nothing_is_ordered_once_another_may_hold_a_newer_claim(self) -> None:
         self.lose_and_claim()
         self.is_store_up = False
         self.know("b")
-        self.wait(RIGHT_SECONDS + 1.0)
+        self.wait(LEASE_SECONDS + 1.0)
         self.assertEqual(self.of(Promote), [])
 
     def test_an_order_carries_the_time_until_which_it_may_leave(self) -> None:
         self.lose_and_claim()
         self.know("b", "c")
-        self.assertEqual(self.of(Promote)[0].not_after, self.now + RIGHT_SECONDS)  # type: ignore[union-attr]
+        self.assertEqual(self.of(Promote)[0].not_after, self.now + LEASE_SECONDS)  # type: ignore[union-attr]
 
     def test_the_store_holds_the_order_before_it_is_given(self) -> None:
         self.lose_primary()
@@ -173,21 +173,21 @@
         self.see(self.last_write())
         self.wait(3.0)
         self.assertEqual(self.last_write().ordered, "")
-        self.assertEqual(self.succession.phase, Phase.CHOOSING)
+        self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
     def test_a_lead_of_an_older_term_is_not_the_one_ordered(self) -> None:
         self.lose_and_claim()
         self.know("b", "c")
         self.handle(StatusRead("r2", DatabaseStatus(True, 1, LogPosition(1, 6))))
-        self.assertEqual(self.succession.phase, Phase.PROMOTING)
+        self.assertEqual(self.failover.phase, Phase.PROMOTING)
 
     def test_it_is_not_over_before_the_chosen_one_leads(self) -> None:
         self.lose_and_claim()
         self.announce("r2", "primary")
         self.know("b", "c")
-        self.assertEqual(self.succession.phase, Phase.PROMOTING)
+        self.assertEqual(self.failover.phase, Phase.PROMOTING)
         self.handle(StatusRead("r2", DatabaseStatus(True, 2, LogPosition(2, 6))))
-        self.assertEqual(self.succession.phase, Phase.STEADY)
+        self.assertEqual(self.failover.phase, Phase.STEADY)
 
     def test_the_leader_of_the_newest_claim_is_tried_before_a_new_claim(self) -> None:
         self.see(WriteClaim("", 0, "r1", MEMBERS), holder="b")
@@ -200,14 +200,14 @@
         self.announce("p", "primary", draining=True)
         self.wait(2.5)
         self.assertEqual(self.of(WriteClaim), [])
-        self.assertEqual(self.succession.phase, Phase.FOLLOWING)
+        self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
     def test_an_overtaken_holder_follows(self) -> None:
         self.lose_and_claim()
         self.token += 10
         self.handle(ClaimSeen(Claim("b", "p", self.token, "")))
         self.wait(2.0)
-        self.assertEqual(self.succession.phase, Phase.FOLLOWING)
+        self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.of(Promote), [])
 
     def test_a_process_alone_never_claims(self) -> None:
@@ -229,7 +229,7 @@
 
     def test_a_claim_whose_holder_is_lost_is_brought_to_an_end(self) -> None:
         self.see(WriteClaim("p", 0, "", MEMBERS), holder="b")
-        self.assertEqual(self.succession.phase, Phase.FOLLOWING)
+        self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.wait(3.0)
         self.assertEqual(self.of(WriteClaim), [])
         self.wait(5.0)
@@ -237,7 +237,7 @@
 
     def test_the_reached_primary_is_kept(self) -> None:
         self.lose_primary()
-        self.handle(WitnessReported("b", "p", True))
+        self.handle(IndirectProbeReported("b", "p", True))
         self.wait(10.0)
         self.assertEqual([e for e in self.replacements() if e.replaced], [])  # type: ignore[union-attr]
 
@@ -288,7 +288,7 @@
         self.wait(0.8)
         self.assertEqual(self.of(Promote), [])
         self.wait(0.5)
-        self.assertEqual([e.token for e in self.of(Promote)], [20])  # type: ignore[union-attr]
+        self.assertEqual([e.fencing_token for e in self.of(Promote)], [20])  # type: ignore[union-attr]
 
     def test_an_answer_that_it_still_leads_is_no_proof(self) -> None:
         self.plan()
@@ -325,7 +325,7 @@
         self.wait(0.5)
         self.handle(ReachTested("p", True))
         self.handle(Ticked())
-        self.assertIsNone(self.succession.doubted)
+        self.assertIsNone(self.failover.doubted)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.failover.messages import Claim
-from dewledge.core.pooler.failover.primary_lease import RIGHT_SECONDS, Fencing, PrimaryLease
+from dewledge.core.pooler.failover.primary_lease import LEASE_SECONDS, Fencing, PrimaryLease
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.errors import ErrorCode
@@ -13,15 +13,15 @@
 class UseOfPrimaryTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
-        self.right = PrimaryLease(Fencing.PROCESSES)
-        self.harness.group.right = self.right
+        self.lease = PrimaryLease(Fencing.PROCESSES)
+        self.harness.group.right = self.lease
 
     def confirm(self) -> None:
-        self.right.confirm(self.harness.scheduler.now())
+        self.lease.confirm(self.harness.scheduler.now())
         self.harness.group.right_confirmed()
 
     def ban(self, name: str = "p") -> None:
-        self.right.take_claim(Claim("holder", name, self.right.token + 1, "r1"))
+        self.lease.take_claim(Claim("holder", name, self.lease.fencing_token + 1, "r1"))
 
     def session(self, consistency: Consistency = Consistency.READ_OWN_WRITES) -> SessionProbe:
         return self.harness.session(consistency)
@@ -81,10 +81,10 @@
 
     def test_an_answer_after_the_right_has_lapsed_proves_nothing(self) -> None:
         self.confirm()
-        self.harness.model.databases["p"].work = RIGHT_SECONDS + 0.2
+        self.harness.model.databases["p"].work = LEASE_SECONDS + 0.2
         session = self.harness.session(Consistency.READ_OWN_WRITES)
         session.start(StatementKind.WRITE, argument="thing data")
-        self.harness.scheduler.advance(RIGHT_SECONDS + 1.0)
+        self.harness.scheduler.advance(LEASE_SECONDS + 1.0)
         self.assertIsNone(self.harness.group.history.newest)
 
     def test_a_transaction_on_a_banned_primary_is_lost(self) -> None:
@@ -165,7 +165,7 @@
                 session = self.session(Consistency.PRIMARY)
                 session.read()
                 self.own().clear()
-                self.right.take_claim(claim)
+                self.lease.take_claim(claim)
                 session.read()
                 session.read()
                 self.assertEqual(len(self.own()), expected)
@@ -175,9 +175,9 @@
         session = self.session(Consistency.PRIMARY)
         session.start(StatementKind.READ, argument="thing")
         self.harness.scheduler.advance(0.006)
-        self.right.take_claim(Claim("h", "", 5, "p"))
+        self.lease.take_claim(Claim("h", "", 5, "p"))
         self.harness.scheduler.advance(0.3)
-        self.assertFalse(self.right.is_proven("p"))
+        self.assertFalse(self.lease.is_proven("p"))
 
     def test_a_fencing_platform_asks_for_nothing(self) -> None:
         self.harness.group.right = PrimaryLease(Fencing.PLATFORM)
--- a/tests/unfenced/day.py
+++ b/tests/unfenced/day.py
@@ -358,10 +358,10 @@
             primary = process.group.usable_primary
             if primary is None or primary.id != self.databases.leader.id:
                 known = None if primary is None else primary.id
-                right = process.rights.of("menus")
+                lease = process.leases.of("menus")
                 found.append(
                     f"{process.name} uses {known}, {self.databases.leader.id} leads; "
-                    f"word {now - right.confirmed_at:.1f} s old, claim {right.claim}, "
+                    f"word {now - lease.confirmed_at:.1f} s old, claim {lease.claim}, "
                     f"phase {process.phases[-1:]}"
                 )
         return found
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -97,7 +97,7 @@
             taker(message, sender)
 
 
-class ModelWitnesses:
+class ModelProbes:
     """Questions on databases between processes."""
 
     def __init__(self, process: "ModelProcess") -> None:
@@ -105,7 +105,7 @@
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
         for address in addresses:
-            self._process.ask_witness(address, database_id)
+            self._process.ask_probe(address, database_id)
 
     def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
         process = self._process
@@ -139,10 +139,10 @@
         self.events: list[msgspec.Struct] = []
         self._find = find
         self.services = PoolServices(self.loop, self.events.append)
-        self.rights = PrimaryLeases(Fencing.PROCESSES)
+        self.leases = PrimaryLeases(Fencing.PROCESSES)
         place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(
-            GROUP, place, self.opener, self.loop.now, 5.0, right=self.rights.of(GROUP)
+            GROUP, place, self.opener, self.loop.now, 5.0, right=self.leases.of(GROUP)
         )
         self.group.set_connection_limit(4)
         self.services.groups[GROUP] = self.group
@@ -159,7 +159,7 @@
             loop,
             name,
             self.services.groups,
-            self.rights,
+            self.leases,
             store_client,
             executor,
             self.claim_events,
@@ -185,7 +185,7 @@
         return [event for event in self.events if isinstance(event, PhaseChanged)]
 
     def start(self) -> None:
-        witnesses: Any = ModelWitnesses(self)
+        witnesses: Any = ModelProbes(self)
         self.driver.start(witnesses)
         self.keeper.start()
         self._register()
@@ -273,7 +273,7 @@
     def send(self, message: PeerMessage, address: str) -> None:
         self.to(address, lambda other: other.peers.take(message, self.name))
 
-    def ask_witness(self, address: str, database_id: str) -> None:
+    def ask_probe(self, address: str, database_id: str) -> None:
         def asked(other: "ModelProcess") -> None:
             other.driver.doubt(GROUP, database_id)
             other.opener.test(database_id, lambda reached: answer(other, reached))
--- a/tests/unfenced/test_guards.py
+++ b/tests/unfenced/test_guards.py
@@ -5,7 +5,7 @@
 from typing import Any
 from unittest import mock
 
-from dewledge.core.pooler.failover.claim_recall import ClaimRecall
+from dewledge.core.pooler.failover.claim_acknowledgements import ClaimAcknowledgements
 from dewledge.core.pooler.failover.primary_lease import PrimaryLease
 from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from tests.unfenced.day import UnfencedDay
@@ -19,9 +19,9 @@
 
 GUARDS: tuple[tuple[str, Any, str, bool, tuple[int, ...]], ...] = (
     ("any primary may be used", PrimaryLease, "allows", True, (6, 7)),
-    ("the right never lapses", PrimaryLease, "is_confirmed", True, (1,)),
-    ("nobody is waited for", ClaimRecall, "is_over", True, (23, 29)),
-    ("the right is not asked for", PrimaryLeaseUse, "is_lacking", False, (5, 15)),
+    ("the lease never lapses", PrimaryLease, "is_confirmed", True, (1,)),
+    ("nobody is waited for", ClaimAcknowledgements, "is_over", True, (23, 29)),
+    ("the lease is not asked for", PrimaryLeaseUse, "is_lacking", False, (5, 15)),
 )
 """Name, where the guard is, what it is made to say, and seeds of days that it holds."""
 
