--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -95,7 +95,7 @@
         for database_id, pool in self.pools.items():
             holding = self.holding(database_id)
             known = before.get(database_id)
-            pool.limit = pool_limit(holding)
+            pool.change_limit(pool_limit(holding))
             if known is not None and known.is_direct != holding.is_direct:
                 pool.renew(self._make.window(database_id, holding))
 
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from dewledge.core.pooler.load.expected_wait import ExpectedWait
 from dewledge.core.pooler.load.report import LoadReport
+from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
 WORD_HALF_LIFE_SECONDS = 0.5
 """Of word of a queue. A statement waits for a quarter of its target or more, 0.1 to 0.25 s on the
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.load.expected_wait import ExpectedWait
+from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
 REGAIN_SHARE = 0.25
 """Of the time between being late and the latest start: in that last part a late one stands by its
--- /dev/null
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -0,0 +1,80 @@
+"""Who gets a connection of one pool next.
+
+A statement that comes takes an idle connection at once if nobody that waits comes before it and the
+database has room. Otherwise connections go to those that wait, in the order of the queue
+(`load/wait_queue`): the first one with room that has an idle connection of its caller. One whose
+caller has no idle connection holds up nobody behind it; a connection is opened for it ahead.
+
+Inputs: the queue, the connections and the slots of the pool, all of this moment. It relies on
+`caller_openings` for what has to be opened.
+"""
+
+from collections.abc import Callable
+
+from dewledge.core.pooler.pool.caller_openings import CallerOpenings
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.pool_slots import PoolSlots
+from dewledge.core.pooler.pool.pool_waits import PoolWaits
+from dewledge.core.pooler.pool.waiter import Demand, Waiter
+
+
+class ConnectionDispatch:
+    """Lends the connections of one pool to statements."""
+
+    def __init__(
+        self,
+        clock: Callable[[], float],
+        held: HeldConnections,
+        slots: PoolSlots,
+        waits: PoolWaits,
+        openings: CallerOpenings,
+    ) -> None:
+        self._clock = clock
+        self._held = held
+        self._slots = slots
+        self._waits = waits
+        self._openings = openings
+
+    def serve_on_arrival(self, waiter: Waiter, values: dict[str, str]) -> bool:
+        """Serves a statement that comes now, unless others come first or it has to wait."""
+        may_take = self._waits.is_first(waiter) and self._slots.has_room(waiter)
+        connection = self._held.idle.take(waiter.caller, values) if may_take else None
+        if connection is None:
+            return False
+        self._give(connection, waiter)
+        return True
+
+    def serve_waiters(self) -> None:
+        """Gives idle connections to those that wait, then has opened what they lack."""
+        self._waits.queue.refresh(self._clock())
+        while self._held.idle and self._serve_first():
+            pass
+        if not self._waits.queue:
+            self._waits.note_room()
+        self._openings.open_if_useful()
+
+    def _serve_first(self) -> bool:
+        """Serves the first that can be, False if none can."""
+        without: set[str] = set()
+        for waiter in self._waits.queue:
+            if not self._slots.has_room(waiter):
+                return False
+            if waiter.caller in without:
+                continue
+            connection = self._held.idle.take(waiter.caller, {})
+            if connection is not None:
+                self._give(connection, waiter)
+                return True
+            without.add(waiter.caller)
+            if self._openings.open_ahead(waiter.caller):
+                return True
+        return False
+
+    def _give(self, connection: DatabaseConnection, waiter: Waiter) -> None:
+        self._held.lend(connection)
+        connection.charge = self._waits.give(waiter)
+        connection.lent_at = self._clock()
+        connection.is_single = waiter.demand is Demand.SINGLE
+        connection.priority = waiter.priority
+        waiter.given(connection)
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -3,6 +3,8 @@
 from collections import Counter
 from collections.abc import Callable
 
+import msgspec
+
 from dewledge.core.pooler.databases.database_silence import DatabaseSilence
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.opener import Opener
@@ -15,33 +17,38 @@
 power from statements, and one is open before a slot comes free for the next."""
 
 
-class ConnectionOpenings:
-    """Opens connections of one database; each ends in `opened` or `failed`.
+class OpeningOutcomes(msgspec.Struct, frozen=True):
+    """What is called for each opening, and when its connection ends.
 
-    silence: is told what is awaited. opened: called with the connection and the seconds that it
-    took. closed: at the end of one that was opened.
+    opened: with the connection and the seconds that it took. failed: if it could not be opened.
+    closed: at the end of one that was opened.
     """
 
+    opened: Callable[[DatabaseConnection, float], None]
+    failed: Callable[[], None]
+    closed: Callable[[DatabaseConnection], None]
+
+
+class ConnectionOpenings:
+    """Opens connections of one database; each ends in `opened` or `failed` of the outcomes."""
+
     def __init__(
         self,
         database_id: str,
         opener: Opener,
         clock: Callable[[], float],
         silence: DatabaseSilence,
-        opened: Callable[[DatabaseConnection, float], None],
-        failed: Callable[[], None],
-        closed: Callable[[DatabaseConnection], None],
+        outcomes: OpeningOutcomes,
     ) -> None:
+        """`silence`: is told what is awaited."""
         self.by_caller: Counter[str] = Counter()
         self.generation = 0
-        """Of the way to the database; connections of an older way are not used again."""
+        """Of the route to the database; connections of an older route are not used again."""
         self._database_id = database_id
         self._opener = opener
         self._clock = clock
         self._silence = silence
-        self._opened = opened
-        self._failed = failed
-        self._closed = closed
+        self._outcomes = outcomes
         self._not_before = 0.0
 
     @property
@@ -76,7 +83,7 @@
             self.by_caller[caller] -= 1
             self._silence.opening_ends(began_at)
             self._silence.note_sign()
-            self._opened(connection, self._clock() - began_at)
+            self._outcomes.opened(connection, self._clock() - began_at)
 
         def failed(code: ErrorCode) -> None:
             self.by_caller[caller] -= 1
@@ -84,6 +91,6 @@
             is_limit = code is ErrorCode.CONNECTION_LIMIT
             backoff = LIMIT_BACKOFF_SECONDS if is_limit else OPEN_BACKOFF_SECONDS
             self._not_before = self._clock() + backoff
-            self._failed()
+            self._outcomes.failed()
 
-        self._opener.open(self._database_id, caller, opened, failed, self._closed)
+        self._opener.open(self._database_id, caller, opened, failed, self._outcomes.closed)
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -1,32 +1,55 @@
-"""The connections of this proxy to one database: a share of its limit, and a queue before them."""
+"""The pool of one database: what this process's statements ask for, and what they get.
 
-import itertools
-import math
-from collections import Counter
-from collections.abc import Callable, Sequence
+This is the door; each decision is in a part of its own:
+
+- `held_connections`: the connections, their count and limit; `connection_openings` opens them.
+- `pool_slots`: how many statements may be at the database at once.
+- `connection_dispatch`: who gets a connection next.
+- `caller_openings`: for whom one is opened, and who gives way for it.
+- `pool_waits`: how long the wait is, who is refused, and when a refused caller may come back.
+- `databases/database_silence`: whether the database has stopped answering.
+"""
+
+from collections.abc import Callable
+
+import msgspec
 
 from dewledge.core.pooler.databases.database_silence import DatabaseSilence
 from dewledge.core.pooler.load.slot_use import SlotUse
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitCounts
-from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings
-from dewledge.core.pooler.pool.connection_shares import ConnectionShares
+from dewledge.core.pooler.pool.caller_openings import CallerOpenings
+from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
+from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
-from dewledge.core.pooler.pool.pool_waits import Capacity, HeldToShare, PoolWaits
+from dewledge.core.pooler.pool.pool_slots import PoolSlots
+from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.slot_window import SlotWindow
-from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, servable_callers
+from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
 from dewledge.core.pooler.statements.statements import TAKES_SLOT, Reply, StatementKind
 from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
 
+class PoolRules(msgspec.Struct, frozen=True):
+    """By what one pool decides.
+
+    silence: judges whether the database has fallen silent; None if that is not judged. is_fair:
+    callers get fair shares of slots and connections; else by arrival alone.
+    """
+
+    silence: DatabaseSilence | None = None
+    is_fair: bool = True
+
+
 class ConnectionPool:
     """Idle connections are given out last in, first out, the one of the same values first.
 
-    A connection belongs to one caller. Where the limit is reached, `connection_shares` tells which
-    is closed to open one for another caller, and whose openings come first.
+    A connection belongs to one caller. Times: the steady clock, seconds.
     """
 
     def __init__(
@@ -36,61 +59,54 @@
         opener: Opener,
         clock: Callable[[], float],
         window: SlotWindow | None = None,
-        silence: DatabaseSilence | None = None,
-        is_fair: bool = True,
+        rules: PoolRules = PoolRules(),
     ) -> None:
-        """`window`: bounds the statements at the database; None where other processes do so.
-
-        silence: judges whether the database has fallen silent; None if that is not judged. is_fair:
-        callers get fair shares of slots and connections; else by arrival alone.
-        """
+        """`window`: bounds the statements at the database; None where other processes do so."""
         self.database_id = database_id
-        self.limit = limit
-        self.in_use = 0
         self.retired = False
-        self.served_at = -math.inf
+        self.served_at = -float("inf")
         """When the database last ran a statement of this process."""
-        self._clock = clock
-        self._silence = silence or DatabaseSilence(clock, is_judged=False)
-        self._openings = ConnectionOpenings(
-            database_id,
-            opener,
-            clock,
-            self._silence,
-            self._opened,
-            self._failed,
-            self._closed,
-        )
-        self._is_opening_more = False
-        self._idle = IdleConnections(clock)
-        self._is_fair = is_fair
-        self._waits = PoolWaits(clock, self._capacity, is_fair)
-        self._waiters = self._waits.queue
-        self._window = window
         self.slot_use = SlotUse()
         """Slot time by caller."""
-        self._lent: set[DatabaseConnection] = set()
-        self._rates = self._waits.rates
+        self._clock = clock
+        self._silence = rules.silence or DatabaseSilence(clock, is_judged=False)
+        outcomes = OpeningOutcomes(self._opened, self._failed, self._closed)
+        self._openings = ConnectionOpenings(database_id, opener, clock, self._silence, outcomes)
+        self._held = HeldConnections(limit, IdleConnections(clock), self._openings)
+        self._slots = PoolSlots(self._held, window)
+        self._waits = PoolWaits(clock, self._slots.capacity, rules.is_fair)
+        self._more = CallerOpenings(self._held, self._slots, self._waits.queue, rules.is_fair)
+        self._dispatch = ConnectionDispatch(clock, self._held, self._slots, self._waits, self._more)
+
+    @property
+    def limit(self) -> int:
+        """The most connections, or channels, that the pool may hold."""
+        return self._held.limit
+
+    @property
+    def in_use(self) -> int:
+        """The connections that statements use."""
+        return self._held.in_use
 
     @property
     def size(self) -> int:
         """All connections, those being opened included."""
-        return self.in_use + self._openings.total + len(self._idle)
+        return self._held.size
 
     @property
     def waiting(self) -> int:
         """The statements that wait for a connection."""
-        return len(self._waiters)
+        return len(self._waits.queue)
 
     @property
     def urgent_waiting(self) -> int:
         """Those of them that are as urgent as the most urgent one."""
-        return self._waits.urgent
+        return self._waits.queue.most_urgent
 
     @property
     def running(self) -> int:
         """The statements that are at the database, or on their way there."""
-        return sum(each.is_single or each.unanswered > 0 for each in self._lent)
+        return self._held.running
 
     @property
     def openings(self) -> int:
@@ -100,16 +116,12 @@
     @property
     def window_size(self) -> int:
         """How many statements may be at the database at once."""
-        return self.limit if self._window is None else min(self._window.size, self.limit)
+        return self._slots.size
 
     @property
     def service_rate(self) -> ServiceRate:
         """How long a statement usually holds a slot, from first being sent to its answer."""
-        return self._rates.service
-
-    def has_idle(self, caller: str) -> bool:
-        """Tells whether a statement of `caller` needs no connection to be opened."""
-        return self._idle.has(caller)
+        return self._waits.rates.service
 
     @property
     def wait_counts(self) -> WaitCounts:
@@ -118,13 +130,13 @@
 
     @property
     def load(self) -> int:
-        """Statements in use or waiting: what a further one stands behind."""
-        return self.in_use + len(self._waiters)
+        """The statements that use a connection or wait for one."""
+        return self._held.in_use + len(self._waits.queue)
 
     @property
     def is_full(self) -> bool:
         """Whether the database refuses statements for want of slots."""
-        return self._window is not None and self._window.is_full
+        return self._slots.is_full
 
     @property
     def is_unreachable(self) -> bool:
@@ -136,23 +148,13 @@
         """Whether answers are awaited and the database gives none."""
         return self._silent_at() <= self._clock()
 
-    def _silent_at(self) -> float:
-        """Returns when the database will be taken for silent if it answers nothing.
-
-        Of a way through other processes these judge, and the processes themselves are judged.
-        """
-        if self._window is None:
-            return math.inf
-        return self._silence.begins_at(self._lent, self._rates.slot_seconds)
-
-    def _turns_away(self, waiter: Waiter) -> bool:
-        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_at())
+    def has_idle(self, caller: str) -> bool:
+        """Tells whether a statement of `caller` needs no connection to be opened."""
+        return self._held.idle.has(caller)
 
-    @property
-    def _is_cut_off(self) -> bool:
-        """Whether nothing that stands or is being opened will serve who waits."""
-        standing = itertools.chain(self._lent, self._idle)
-        return not self._openings.total and all(each.is_retiring for each in standing)
+    def change_limit(self, limit: int) -> None:
+        """Sets another limit; connections beyond it are closed as they come back."""
+        self._held.change_limit(limit)
 
     def acquire(self, waiter: Waiter, values: dict[str, str]) -> None:
         """Gives a connection now or later, or denies one."""
@@ -163,21 +165,18 @@
             waiter.deny(Denial.UNREACHABLE)
             return
         self._waits.arrive(waiter)
-        may_take = self._waits.is_first(waiter) and self._has_room(waiter)
-        connection = self._idle.take(waiter.caller, values) if may_take else None
-        if connection is not None:
-            self._give(connection, waiter)
+        if self._dispatch.serve_on_arrival(waiter, values):
             return
-        if self._is_cut_off and self.is_unreachable:
+        if self._held.is_cut_off and self.is_unreachable:
             waiter.deny(Denial.UNREACHABLE)
             return
         if isinstance(self._waits.add(waiter), WaitUntil):
-            self._serve_waiters()
+            self._dispatch.serve_waiters()
 
     def judge(self, waiter: Waiter) -> Verdict:
         """Refuses one that waits and can't be served in its time; else tells when to ask again."""
         if self._turns_away(waiter):
-            self._waiters.remove(waiter)
+            self._waits.queue.remove(waiter)
             waiter.deny(Denial.UNREACHABLE)
             return Refuse(RefusalCause.NO_CONNECTION, 0.0)
         verdict = self._waits.judge(waiter)
@@ -191,11 +190,7 @@
 
     def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
         """`told` is called when a caller is held to its share, once a second at most."""
-        self._waits.held_to_share = told
-
-    def _capacity(self) -> Capacity:
-        is_opening = not self._idle and self.size < self.limit
-        return Capacity(self.running, self.window_size, self.in_use, self.limit, is_opening)
+        self._waits.on_held_to_share(told)
 
     def note_answer(
         self,
@@ -206,7 +201,7 @@
     ) -> None:
         """Takes the answer to a statement on a connection given here.
 
-        A transaction that rests now leaves its place to who waits.
+        A transaction that rests now leaves its slot to one that waits.
         held_seconds: for how long the statement held its slot, tries without one included.
         """
         self._silence.note_sign()
@@ -214,174 +209,85 @@
         if is_served:
             self.served_at = self._clock()
             if held_seconds is not None:
-                self._rates.note_slot(held_seconds, self._clock())
+                self._waits.rates.note_slot(held_seconds, self._clock())
                 self._settle(connection, held_seconds)
-        if self._window is None:
+        if not self._slots.is_bounded:
             return
         if is_served:
-            self._window.note_served(self.limit)
+            self._slots.note_served()
         elif reply.failure is not None and reply.failure.code is ErrorCode.OVERLOADED:
-            self._window.note_refused(self._clock())
-        self._serve_waiters()
-
-    def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
-        if connection is not None and connection.charge is not None:
-            self._waits.settle(connection.charge, held_seconds)
-            self.slot_use.note(connection.caller, held_seconds)
+            self._slots.note_refused(self._clock())
+        self._dispatch.serve_waiters()
 
     def release(self, connection: DatabaseConnection) -> None:
         """Takes a connection back; one of unknown state is closed, never given out again."""
-        self.in_use -= 1
-        self._lent.discard(connection)
-        self._rates.note_lent(self._clock() - connection.lent_at)
+        self._held.take_back(connection)
+        self._waits.rates.note_lent(self._clock() - connection.lent_at)
         connection.is_single = False
-        if self.retired or self.size >= self.limit or not self._is_reusable(connection):
-            connection.close()
+        is_kept = not self.retired and self._held.is_below_limit
+        if is_kept and self._held.is_reusable(connection):
+            self._held.idle.add(connection)
         else:
-            self._idle.add(connection)
-        self._serve_waiters()
+            connection.close()
+        self._dispatch.serve_waiters()
 
     def trim(self) -> None:
         """Closes connections that have been idle for a while, the longest idle first."""
-        self._idle.trim()
+        self._held.idle.trim()
 
     def renew(self, window: SlotWindow | None = None) -> None:
-        """The way to the database is another one: connections of the old way are closed."""
+        """The database is reached by another route: connections of the old one are closed."""
         self._openings.generation += 1
-        self._window = window
+        self._slots.renew(window)
         self._openings.forget_failure()
         self.close_idle()
 
     def retire(self) -> None:
         """Gives out no more connections; those in use end when they come back."""
         self.retired = True
-        self._idle.close_all()
-        self._deny_all(Denial.CLOSED)
+        self._held.idle.close_all()
+        self._waits.deny_all(Denial.CLOSED)
 
     def forget_failure(self) -> None:
-        """The way to the database has changed: it is tried again at once."""
+        """The route to the database has changed: it is tried again at once."""
         self._openings.forget_failure()
 
     def close_idle(self) -> None:
         """Closes the connections that are not in use: their state is in doubt."""
-        self._idle.close_all()
-
-    def _is_reusable(self, connection: DatabaseConnection) -> bool:
-        if connection.closed or connection.unanswered or connection.is_retiring:
-            return False
-        return connection.generation == self._openings.generation
-
-    def _serve_waiters(self) -> None:
-        """Gives idle connections to who waits; one whose caller has none holds up no other."""
-        self._waiters.refresh(self._clock())
-        while self._idle and self._serve_first():
-            pass
-        if not self._waiters:
-            self._waits.note_room()
-        self._open_if_useful()
-
-    def _serve_first(self) -> bool:
-        """Serves the first that can be, False if none can."""
-        without: set[str] = set()
-        for waiter in self._waiters:
-            if not self._has_room(waiter):
-                return False
-            if waiter.caller in without:
-                continue
-            connection = self._idle.take(waiter.caller, {})
-            if connection is not None:
-                self._give(connection, waiter)
-                return True
-            without.add(waiter.caller)
-            if self._open_ahead(waiter.caller):
-                return True
-        return False
-
-    def _open_ahead(self, caller: str) -> bool:
-        """Opens a connection for a caller that others pass as it has none; True if it did.
-
-        Else it would have none when its turn comes, and be passed for as long as others wait. At
-        the limit it has one of a caller above its share, if it is below its own.
+        self._held.idle.close_all()
+
+    def _silent_at(self) -> float:
+        """Returns when the database will be taken for silent if it answers nothing.
+
+        Never where other processes hold the connections: they judge the database, and this process
+        judges them by the links (`load/holder_health`).
         """
-        if not self._is_fair or not self._openings.may_open_ahead(caller):
-            return False
-        was_opening, self._is_opening_more = self._is_opening_more, True
-        is_free = self.size < self.limit or self._make_room(caller)
-        has_room = is_free or self._end(self._shares().above(caller))
-        if has_room:
-            self._openings.open(caller)
-        self._is_opening_more = was_opening
-        return has_room
-
-    def _shares(self) -> ConnectionShares:
-        waiting = {waiter.caller for waiter in self._waiters.everyone()}
-        opening = self._openings.by_caller
-        return ConnectionShares(self.limit, self._idle, self._lent, opening, waiting)
-
-    def _has_room(self, waiter: Waiter) -> bool:
-        if self._window is None or waiter.demand is Demand.OWN:
-            return True
-        return self._window.allows(self.running)
-
-    def _give(self, connection: DatabaseConnection, waiter: Waiter) -> None:
-        self.in_use += 1
-        self._lent.add(connection)
-        connection.charge = self._waits.give(waiter)
-        connection.lent_at = self._clock()
-        connection.is_single = waiter.demand is Demand.SINGLE
-        connection.priority = waiter.priority
-        waiter.given(connection)
-
-    def _open_if_useful(self) -> None:
-        if self._is_opening_more:
-            return
-        self._is_opening_more = True
-        asked: Counter[str] = Counter()
-        for caller in self._wanted():
-            asked[caller] += 1
-            if self._openings.by_caller[caller] >= asked[caller] or self.is_unreachable:
-                continue
-            if self.size < self.limit or self._make_room(caller):
-                self._openings.open(caller)
-        self._is_opening_more = False
-
-    def _wanted(self) -> Sequence[str]:
-        """For whom connections are wanted, a caller for each; who comes first is first."""
-        room = math.inf if self._window is None else self._window.room(self.running)
-        servable = servable_callers(self._waiters, room)
-        if self._is_fair and len(set(servable)) > 1:
-            return self._shares().in_order(servable)
-        return list(Counter(servable).elements())
-
-    def _make_room(self, caller: str) -> bool:
-        """Closes an idle connection of another caller that waits for nothing."""
-        return self._end(self._shares().unused(caller, self._is_fair))
-
-    def _end(self, connection: DatabaseConnection | None) -> bool:
-        if connection is None:
-            return False
-        self._idle.discard(connection)
-        connection.close()
-        return True
+        if not self._slots.is_bounded:
+            return float("inf")
+        return self._silence.begins_at(self._held.lent, self._waits.rates.slot_seconds)
+
+    def _turns_away(self, waiter: Waiter) -> bool:
+        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_at())
+
+    def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
+        if connection is not None and connection.charge is not None:
+            self._waits.settle(connection.charge, held_seconds)
+            self.slot_use.note(connection.caller, held_seconds)
 
     def _opened(self, connection: DatabaseConnection, seconds: float) -> None:
-        self._rates.note_opening(seconds)
+        self._waits.rates.note_opening(seconds)
         if self.retired or connection.generation != self._openings.generation:
             connection.close()
-            self._open_if_useful()
+            self._more.open_if_useful()
             return
         self._openings.forget_failure()
-        self._idle.add(connection)
-        self._serve_waiters()
+        self._held.idle.add(connection)
+        self._dispatch.serve_waiters()
 
     def _failed(self) -> None:
-        if self._is_cut_off:
-            self._deny_all(Denial.UNREACHABLE)
+        if self._held.is_cut_off:
+            self._waits.deny_all(Denial.UNREACHABLE)
 
     def _closed(self, connection: DatabaseConnection) -> None:
-        self._idle.discard(connection)
-        self._open_if_useful()
-
-    def _deny_all(self, denial: Denial) -> None:
-        for waiter in self._waiters.drain():
-            waiter.deny(denial)
+        self._held.idle.discard(connection)
+        self._more.open_if_useful()
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -10,9 +10,9 @@
     DatabaseSilenceJudged,
     PoolingEvent,
 )
-from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
+from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.opener import Opener
-from dewledge.core.pooler.pool.pool_waits import HeldToShare
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.sharing.holders import Holding
 
@@ -44,9 +44,8 @@
         """Returns a pool of up to `limit` connections."""
         window = self.window(database_id, holding)
         silence = self._silence(database_id)
-        pool = ConnectionPool(
-            database_id, limit, opener, self._clock, window, silence, self._is_fair
-        )
+        rules = PoolRules(silence, self._is_fair)
+        pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
         pool.on_held_to_share(lambda held: self._log_held(database_id, held))
         return pool
 
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -1,12 +1,12 @@
 """A statement that waits for a connection: what it needs, and where it stands."""
 
 import itertools
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable
 from enum import IntEnum, StrEnum
 
-from dewledge.core.pooler.load.expected_wait import ExpectedWait
 from dewledge.core.pooler.load.verdict import Refuse
 from dewledge.core.pooler.load.wait_deadlines import Standing, WaitDeadlines
+from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 from dewledge.core.pooler.load.wait_queue import Rank
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
@@ -21,7 +21,6 @@
 class Denial(StrEnum):
     """Why a pool gave no connection."""
 
-    FULL = "full"
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
     NO_ROOM = "no_room"
@@ -145,18 +144,3 @@
 def caller_of(waiter: Waiter) -> str:
     """Returns whose it is."""
     return waiter.caller
-
-
-def servable_callers(waiters: Iterable[Waiter], room: float) -> Sequence[str]:
-    """Returns the callers of those that wait for nothing but a connection, in their order.
-
-    room: how many slots are free. Questions of the proxy's own need none and are the most urgent.
-    """
-    servable: list[str] = []
-    for waiter in waiters:
-        if waiter.demand is not Demand.OWN:
-            if room < 1:
-                break
-            room -= 1
-        servable.append(waiter.caller)
-    return servable
--- a/tests/core/pooler/load/test_drain_rate.py
+++ b/tests/core/pooler/load/test_drain_rate.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.drain_rate import FRESH_SECONDS, DrainRate
+from dewledge.core.pooler.load.wait_estimate import FRESH_SECONDS, DrainRate
 
 
 def drained(interval: float, count: int) -> DrainRate:
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -6,7 +6,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.expected_wait import ExpectedWait
 from dewledge.core.pooler.load.return_moments import (
     LEAST_RETURN_SECONDS,
     LONGEST_RETURN_SECONDS,
@@ -20,6 +19,7 @@
     judged_again_at,
     may_wait,
 )
+from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
 HURRIED = WaitDeadlines(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
 SECONDS = st.floats(0, 20, allow_nan=False)
--- a/tests/core/pooler/test_connection_pool.py
+++ b/tests/core/pooler/test_connection_pool.py
@@ -96,7 +96,7 @@
     def test_a_smaller_share_closes_connections_as_they_come_back(self) -> None:
         for name in "ab":
             self.acquire(name)
-        self.pool.limit = 1
+        self.pool.change_limit(1)
         for _, connection in self.given:
             self.pool.release(connection)
         self.assertEqual(self.model.databases["p"].open_connections, 1)
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -15,9 +15,9 @@
 from dewledge.core.pooler.load.verdict import WaitUntil
 from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.connection_openings import MOST_OPENED_AHEAD
-from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.pool_waits import HeldToShare
+from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
@@ -61,7 +61,12 @@
         self.model = ModelGroup(self.scheduler)
         self.window = FixedWindow(slots)
         self.pool = ConnectionPool(
-            "p", connections, self.model, self.scheduler.now, self.window, is_fair=is_fair
+            "p",
+            connections,
+            self.model,
+            self.scheduler.now,
+            self.window,
+            PoolRules(is_fair=is_fair),
         )
         self.held: list[HeldToShare] = []
         self.pool.on_held_to_share(self.held.append)
@@ -247,12 +252,12 @@
         firsts = []
         for is_fair in (True, False):
             database = Database(is_fair, connections=SLOTS, slots=CONNECTIONS)
-            database.pool.limit = 0
+            database.pool.change_limit(0)
             for _ in range(10):
                 database.ask("hot", target=9.0)
             for caller in "ab":
                 database.ask(caller, target=9.0)
-            database.pool.limit = SLOTS
+            database.pool.change_limit(SLOTS)
             database.ask("hot", target=9.0)
             database.scheduler.advance(0.04)
             firsts.append(sorted(each.caller for each in database.asked if each.outcomes))
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.events import DatabaseSilenceJudged
-from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
@@ -98,7 +98,7 @@
         clock = self.scheduler.now
         window = SlotWindow(1) if is_direct else None
         silence = DatabaseSilence(clock, is_judged)
-        return ConnectionPool("p", 1, self.model, clock, window, silence)
+        return ConnectionPool("p", 1, self.model, clock, window, PoolRules(silence))
 
     def ask(self, pool: ConnectionPool, demand: Demand = Demand.SINGLE) -> Waiter:
         waiter = Waiter(1, self._take, self.denied.append, demand)
