--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -1,39 +1,38 @@
-"""One database group at work: its view, its proven positions and the pools before it."""
+"""One database group at work: its view, what is proven of it, its pools, its primary.
+
+This is the door to a group; the parts are in modules of their own: `group_view` (what is known of
+the databases), `group_pools`, `proof_seeking`, `read_order`, `replica_lag`.
+
+Who may use the primary now is decided here and in `failover/primary_lease`: `usable_primary` is the
+primary of the view, if it can be reached, if this process's lease allows it (`may_lead`), and if it
+has not been leaving for longer than the drain bound.
+"""
 
 from collections.abc import Callable, Sequence
 
 from dewledge.core.pooler.databases.freshness import FreshnessHistory
+from dewledge.core.pooler.databases.group_pools import GroupPools
 from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
 from dewledge.core.pooler.databases.locality import Locality
+from dewledge.core.pooler.databases.proof_seeking import SEEK_AGAIN_SECONDS as SEEK_AGAIN_SECONDS
+from dewledge.core.pooler.databases.proof_seeking import ProofSeeking
+from dewledge.core.pooler.databases.read_order import ReadOptions, ReadOrder
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
 from dewledge.core.pooler.events import PoolingEvent
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
-from dewledge.core.pooler.load.choice import Completion
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.opener import Opener
-from dewledge.core.pooler.pool.pool_factory import PoolFactory, pool_limit
+from dewledge.core.pooler.pool.pool_factory import PoolFactory
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.pooler.sessions.routes import Route
-from dewledge.core.pooler.sharing.holders import FALLBACK_CONNECTIONS, Holding
+from dewledge.core.pooler.sharing.holders import Holding
 from dewledge.core.pooler.statements.read_choice import ReadChoice, report_of
 from dewledge.core.pooler.statements.rollback import roll_back_then_release
-from dewledge.core.pooler.statements.targets import (
-    Proof,
-    ReadNeed,
-    Target,
-    expected_targets,
-    read_floor,
-    read_targets,
-)
+from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target, read_floor
 from dewledge.core.shared.positions import LogPosition
 
-SEEK_AGAIN_SECONDS = 0.1
-"""A read that seeks a floor at the primary has others wait for its answer for so long."""
-UNREACHABLE_LOAD = 1000
-"""Added to the load of a database that could not be reached a moment ago."""
-
 
 class Group:
     """The mutable holder of a group's immutable view."""
@@ -61,28 +60,27 @@
         self.view = GroupView(name)
         self.right = right or PrimaryLease(Fencing.PLATFORM)
         self.history = FreshnessHistory()
-        self._lags = ReplicaLags(self.history)
-        self._heard_at: dict[str, float] = {}
-        self.pools: dict[str, ConnectionPool] = {}
-        self._place = place
         self.choice = choice
         """By what databases are chosen for reads; None for own counts and the distance."""
-        self._make = PoolFactory(name, clock, self._record, judges_silence, is_fair)
-        self._opener = opener
-        self._direct_opener = direct_opener or opener
-        self._fallback_pools: dict[str, ConnectionPool] = {}
-        self._find_holding: Callable[[DatabaseRecord], Holding] | None = None
-        self._holdings: dict[str, Holding] = {}
-        self._clock = clock
-        self._drain_bound = drain_bound
-        self._primary_waiters: list[Callable[[], None]] = []
-        self._proof_waiters: list[Callable[[], None]] = []
-        self._seeking_since = LONG_AGO
-        self._doubted: str | None = None
         self.record: Callable[[PoolingEvent], None] = lambda event: None
         """Called with what is to be logged of the group's databases."""
         self.relay: str | None = None
         """The address of a process that reaches a database which this one does not."""
+        self._clock = clock
+        self._drain_bound = drain_bound
+        self._doubted: str | None = None
+        self._heard_at: dict[str, float] = {}
+        self._lags = ReplicaLags(self.history)
+        self._seeking = ProofSeeking(self.history, clock)
+        self._primary_waiters: list[Callable[[], None]] = []
+        make = PoolFactory(name, clock, self._record, judges_silence, is_fair)
+        self._pools = GroupPools(make, self._find_record, opener, direct_opener or opener)
+        self._reads = ReadOrder(place, clock, self._lags, self._pools)
+
+    @property
+    def pools(self) -> dict[str, ConnectionPool]:
+        """The pools for the statements of this process's clients, by database."""
+        return self._pools.own
 
     def set_connection_limit(self, limit: int) -> None:
         """Has this process hold up to `limit` connections to each database of the group itself."""
@@ -90,52 +88,23 @@
 
     def set_holdings(self, find: Callable[[DatabaseRecord], Holding]) -> None:
         """Sets by what rule this process reaches each database."""
-        self._find_holding = find
-        before, self._holdings = self._holdings, {}
-        for database_id, pool in self.pools.items():
-            holding = self.holding(database_id)
-            known = before.get(database_id)
-            pool.change_limit(pool_limit(holding))
-            if known is not None and known.is_direct != holding.is_direct:
-                pool.renew(self._make.window(database_id, holding))
+        self._pools.set_holdings(find)
 
     def holding(self, database_id: str) -> Holding:
         """Returns how this process reaches a database."""
-        known = self._holdings.get(database_id)
-        record = self.view.databases.get(database_id)
-        if known is None:
-            known = Holding(1)
-            if record is not None and self._find_holding is not None:
-                known = self._find_holding(record)
-                self._holdings[database_id] = known
-        return known
+        return self._pools.holding(database_id)
 
     def pool(self, database_id: str) -> ConnectionPool:
         """Returns the pool before a database, for the statements of this process's clients."""
-        pool = self.pools.get(database_id)
-        if pool is None:
-            holding = self.holding(database_id)
-            pool = self._make(database_id, pool_limit(holding), self._opener, holding)
-            self.pools[database_id] = pool
-        return pool
+        return self._pools.pool(database_id)
 
     def lending_pool(self, database_id: str) -> ConnectionPool:
         """Returns the pool for other processes' statements: always of connections held here."""
-        if self.holding(database_id).is_direct:
-            return self.pool(database_id)
-        pool = self._fallback_pools.get(database_id)
-        if pool is None:
-            limit = FALLBACK_CONNECTIONS
-            pool = self._make(database_id, limit, self._direct_opener, Holding(limit))
-            self._fallback_pools[database_id] = pool
-        return pool
-
-    def _record(self, event: PoolingEvent) -> None:
-        self.record(event)
+        return self._pools.lending_pool(database_id)
 
     def all_pools(self) -> Sequence[ConnectionPool]:
         """Returns the pools of all databases."""
-        return [*self.pools.values(), *self._fallback_pools.values()]
+        return self._pools.all()
 
     def trim_connections(self) -> None:
         """Closes connections that nobody has used for a while."""
@@ -145,20 +114,10 @@
     def change_view(self, view: GroupView) -> None:
         """Takes the next view, ends pools of databases that leave, wakes who waits."""
         self.view = view
-        for pools in (self.pools, self._fallback_pools):
-            self._end_pools(pools)
+        self._pools.follow_view(self.may_serve)
         if self.usable_primary is not None:
             self._wake_waiters()
 
-    def _end_pools(self, pools: dict[str, ConnectionPool]) -> None:
-        for database_id, pool in list(pools.items()):
-            if database_id not in self.view.databases:
-                pool.retire()
-                if not pool.in_use:
-                    del pools[database_id]
-            elif not self.may_serve(database_id):
-                pool.close_idle()
-
     @property
     def usable_primary(self) -> DatabaseRecord | None:
         """The primary, unless it has been leaving for too long to be given new work."""
@@ -203,33 +162,26 @@
 
     def record_proof(self, sent_at: float, position: LogPosition) -> None:
         """Notes that every commit acknowledged before `sent_at` is within `position`."""
-        self.history.record(sent_at, position)
-        self._wake_proof_waiters()
+        self._seeking.record(sent_at, position)
 
     def may_seek_proof(self) -> bool:
         """Tells whether a read without a floor should go to the primary to get one.
 
         While another is on its way there, its answer will serve both.
         """
-        return self._clock() >= self._seeking_since + SEEK_AGAIN_SECONDS
+        return self._seeking.may_begin()
 
     def begin_seeking(self) -> None:
         """A read goes to the primary, and its answer will be a floor for others."""
-        self._seeking_since = self._clock()
+        self._seeking.begin()
 
     def end_seeking(self) -> None:
         """That read has ended, with an answer or without."""
-        self._seeking_since = LONG_AGO
-        self._wake_proof_waiters()
+        self._seeking.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when a floor is known, or when one should be sought anew."""
-        self._proof_waiters.append(callback)
-
-    def _wake_proof_waiters(self) -> None:
-        waiters, self._proof_waiters = self._proof_waiters, []
-        for callback in waiters:
-            callback()
+        self._seeking.wait(callback)
 
     def wait_for_primary(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when a primary is known."""
@@ -244,20 +196,16 @@
         primary = self.usable_primary
         if writes:
             return [] if primary is None else [Target(primary, Proof.NONE)]
-        floor = read_floor(route, self.history, need)
-        excluded = self._doubted if self.relay is None else None
         is_proven = primary is not None and self.right.is_proven(primary.id)
-        proof = Proof.RIGHT if is_proven else Proof.LEAD
-        choice = self.choice
-        if choice is not None:
-
-            def cost(record: DatabaseRecord, position: LogPosition) -> Completion:
-                return self._completion(choice, record, position, need.caller)
-
-            return expected_targets(self.view, floor, primary, cost, choice.order, excluded, proof)
-        return read_targets(
-            self.view, floor, primary, self._distance, self._load, self._lacks, excluded, proof
+        options = ReadOptions(
+            self.view,
+            read_floor(route, self.history, need),
+            primary,
+            Proof.RIGHT if is_proven else Proof.LEAD,
+            self._doubted if self.relay is None else None,
+            need.caller,
         )
+        return self._reads.targets(options, self.choice)
 
     def observe_position(self, database_id: str, position: LogPosition) -> None:
         """Notes the position in a database's answer, and that it answered."""
@@ -300,27 +248,6 @@
 
         roll_back_then_release(connection, pool, scheduler)
 
-    def _distance(self, record: DatabaseRecord) -> int:
-        return self._place.distance(record.zone)
-
-    def _lacks(self, record: DatabaseRecord, floor: LogPosition) -> bool:
-        return self._lags.lacks(record.id, floor, self._clock())
-
-    def _completion(
-        self, choice: ReadChoice, record: DatabaseRecord, floor: LogPosition, caller: str
-    ) -> Completion:
-        leads = self._is_primary(record.id)
-        lacking = 0.0 if leads else self._lags.wait_for(record.id, floor, self._clock())
-        is_direct = self.holding(record.id).is_direct
-        pool, steps = self.pools.get(record.id), self._distance(record)
-        return choice.completion(record, pool, is_direct, caller, steps, lacking, leads)
-
-    def _load(self, record: DatabaseRecord) -> int:
-        pool = self.pools.get(record.id)
-        if pool is None:
-            return 0
-        return pool.load + (UNREACHABLE_LOAD if pool.is_unreachable else 0)
-
     def may_serve(self, database_id: str) -> bool:
         """Tells whether a database may be given new work."""
         if not self.view.takes_work(database_id, self._clock(), self._drain_bound):
@@ -335,3 +262,9 @@
         waiters, self._primary_waiters = self._primary_waiters, []
         for callback in waiters:
             callback()
+
+    def _find_record(self, database_id: str) -> DatabaseRecord | None:
+        return self.view.databases.get(database_id)
+
+    def _record(self, event: PoolingEvent) -> None:
+        self.record(event)
--- /dev/null
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -0,0 +1,111 @@
+"""Puts together what is known of a group's databases to order them for one read.
+
+Inputs, of this moment: the pools of this process, the predicted lags of replicas, the distance, and
+what holders reported of the load, where that is used. The order itself is decided in
+`statements/targets` (by own counts) or `load/choice` (by expected completion).
+"""
+
+from collections.abc import Callable, Sequence
+
+import msgspec
+
+from dewledge.core.pooler.databases.group_pools import GroupPools
+from dewledge.core.pooler.databases.group_view import DatabaseRecord, GroupView
+from dewledge.core.pooler.databases.locality import Locality
+from dewledge.core.pooler.databases.replica_lag import ReplicaLags
+from dewledge.core.pooler.load.choice import Completion
+from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.targets import (
+    Proof,
+    Target,
+    expected_targets,
+    read_targets,
+)
+from dewledge.core.shared.positions import LogPosition
+
+UNREACHABLE_LOAD = 1000
+"""Statements; added to the load of a database that could not be reached a moment ago: more than any
+real load, so that it comes last. Chosen, not measured."""
+
+
+class ReadOptions(msgspec.Struct, frozen=True):
+    """Among which databases one read is ordered.
+
+    floor: the position that a replica must show. primary: that may be used now, under
+    `primary_proof`. excluded: a database that cannot be reached. caller: whose read it is.
+    """
+
+    view: GroupView
+    floor: LogPosition | None
+    primary: DatabaseRecord | None
+    primary_proof: Proof
+    excluded: str | None
+    caller: str
+
+
+class ReadOrder:
+    """One group's."""
+
+    def __init__(
+        self, place: Locality, clock: Callable[[], float], lags: ReplicaLags, pools: GroupPools
+    ) -> None:
+        self._place = place
+        self._clock = clock
+        self._lags = lags
+        self._pools = pools
+
+    def targets(self, options: ReadOptions, choice: ReadChoice | None) -> Sequence[Target]:
+        """Returns the databases that may serve a read, best first.
+
+        choice: by expected completion; None orders by own counts and the distance.
+        """
+        if choice is None:
+            return read_targets(
+                options.view,
+                options.floor,
+                options.primary,
+                self._distance,
+                self._load,
+                self._lacks,
+                options.excluded,
+                options.primary_proof,
+            )
+
+        def cost(record: DatabaseRecord, position: LogPosition) -> Completion:
+            return self._completion(choice, record, position, options)
+
+        return expected_targets(
+            options.view,
+            options.floor,
+            options.primary,
+            cost,
+            choice.order,
+            options.excluded,
+            options.primary_proof,
+        )
+
+    def _distance(self, record: DatabaseRecord) -> int:
+        return self._place.distance(record.zone)
+
+    def _lacks(self, record: DatabaseRecord, floor: LogPosition) -> bool:
+        return self._lags.lacks(record.id, floor, self._clock())
+
+    def _completion(
+        self,
+        choice: ReadChoice,
+        record: DatabaseRecord,
+        floor: LogPosition,
+        options: ReadOptions,
+    ) -> Completion:
+        primary = options.view.primary
+        leads = primary is not None and primary.id == record.id
+        lacking = 0.0 if leads else self._lags.wait_for(record.id, floor, self._clock())
+        is_direct = self._pools.holding(record.id).is_direct
+        pool, steps = self._pools.own.get(record.id), self._distance(record)
+        return choice.completion(record, pool, is_direct, options.caller, steps, lacking, leads)
+
+    def _load(self, record: DatabaseRecord) -> int:
+        pool = self._pools.own.get(record.id)
+        if pool is None:
+            return 0
+        return pool.load + (UNREACHABLE_LOAD if pool.is_unreachable else 0)
