--- a/src/dewledge/core/pooler/load/wait_line.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -1,17 +1,17 @@
-"""The waiters of one line, by rank."""
+"""The waiters of one flow, by rank. A flow is what fair queueing serves as one: here a caller."""
 
 import bisect
 from typing import Generic, TypeVar
 
 Rank = tuple[float, ...]
 Key = tuple[float, Rank]
-"""Where one stands among several lines: the start tag of its share, then its rank."""
+"""Where one stands among several flows: the start tag of its share, then its rank."""
 
 Waiter = TypeVar("Waiter")
 
 
-class WaitLine(Generic[Waiter]):
-    """A list sorted by rank. The n-th one starts n steps after the tag of its line."""
+class FlowQueue(Generic[Waiter]):
+    """A list sorted by rank. The n-th one starts n steps after the tag of its flow."""
 
     def __init__(self) -> None:
         self.ranks: list[Rank] = []
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -14,7 +14,7 @@
 
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
-REGAIN_SHARE = 0.25
+BACK_IN_ORDER_SHARE = 0.25
 """Of the time between being late and the latest start: in that last part a late one stands by its
 arrival again. Too small, and many regain their places with too little time for all of them."""
 LEAST_JUDGING_SECONDS = 0.02
@@ -27,7 +27,7 @@
 """What is so near its latest start is judged as at it: a timer is no more exact."""
 
 
-class Standing(IntEnum):
+class QueuePriority(IntEnum):
     """Who comes first within one urgency: the lower."""
 
     IN_TIME = 0
@@ -54,13 +54,13 @@
         return self.arrived < self.came
 
     @property
-    def regains_at(self) -> float:
+    def back_in_order_at(self) -> float:
         """From then on it stands where it would have stood, though it is late."""
         if self.has_come_back:
             return self.in_time_until
         late_since = max(self.in_time_until, self.came)
         span = max(self.latest_start - late_since, 0.0)
-        return self.latest_start - REGAIN_SHARE * span
+        return self.latest_start - BACK_IN_ORDER_SHARE * span
 
     def started_after(self, service_seconds: float) -> "WaitDeadlines":
         """Returns the same for a statement that takes so long once it has started."""
@@ -73,12 +73,12 @@
 
     def is_urgent_by_time(self, now: float) -> bool:
         """Tells whether it is late and near its latest start."""
-        return self.in_time_until < now and self.regains_at <= now
+        return self.in_time_until < now and self.back_in_order_at <= now
 
-    def standing(self, now: float) -> Standing:
+    def queue_priority(self, now: float) -> QueuePriority:
         """Returns where it stands now."""
-        is_late = self.in_time_until < now < self.regains_at
-        return Standing.LATE if is_late else Standing.IN_TIME
+        is_late = self.in_time_until < now < self.back_in_order_at
+        return QueuePriority.LATE if is_late else QueuePriority.IN_TIME
 
     def next_change(self, now: float) -> float:
         """Returns when it will stand elsewhere; infinite if it stays where it is."""
@@ -88,23 +88,23 @@
             return self.in_time_until if now <= self.in_time_until else math.inf
         if now <= self.in_time_until:
             return self.in_time_until
-        return self.regains_at if now < self.regains_at else math.inf
+        return self.back_in_order_at if now < self.back_in_order_at else math.inf
 
 
-def may_wait(patience: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
+def may_wait(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
     """Tells whether a statement can be served in its time; it may wait where nothing is known."""
-    if now + TIMER_SECONDS >= patience.latest_start:
+    if now + TIMER_SECONDS >= deadlines.latest_start:
         return False
-    return expected is None or now + expected.seconds <= patience.latest_start
+    return expected is None or now + expected.seconds <= deadlines.latest_start
 
 
-def judged_again_at(patience: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
+def judged_again_at(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
     """Returns when one that waits is judged anew: after half of what it has to spare.
 
     So one that is pushed back is refused with half of that left, after few judgements.
     """
-    if math.isinf(patience.latest_start):
+    if math.isinf(deadlines.latest_start):
         return math.inf
     known = 0.0 if expected is None else expected.seconds
-    spare = patience.latest_start - now - known
-    return min(now + max(spare / 2, LEAST_JUDGING_SECONDS), patience.latest_start)
+    spare = deadlines.latest_start - now - known
+    return min(now + max(spare / 2, LEAST_JUDGING_SECONDS), deadlines.latest_start)
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -45,12 +45,12 @@
         """A statement was served from the queue for a charge."""
         if now < self._told_at + TELL_SPACING_SECONDS:
             return
-        longest = self._queue.longest_line(charge)
+        longest = self._queue.longest_flow(charge)
         if longest is None:
             return
         first, waiting = longest
-        if waiting < LEAST_HELD or first.patience.arrived >= served.patience.arrived:
+        if waiting < LEAST_HELD or first.deadlines.arrived >= served.deadlines.arrived:
             return
         self._told_at = now
-        waited = now - first.patience.came
+        waited = now - first.deadlines.came
         self._told(HeldToShare(first.caller, waiting, waited, served.caller))
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -11,9 +11,9 @@
 from dewledge.core.pooler.load.return_moments import ReturnMoments
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitRecord
-from dewledge.core.pooler.load.wait_deadlines import Standing, judged_again_at, may_wait
+from dewledge.core.pooler.load.wait_deadlines import QueuePriority, judged_again_at, may_wait
 from dewledge.core.pooler.load.wait_estimate import Capacity, ExpectedWait, SlotRates, WaitEstimate
-from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, one_line
+from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, one_flow
 from dewledge.core.pooler.pool.held_to_share import HeldToShare, HeldToShareWatch
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
@@ -38,8 +38,8 @@
         self._capacity = capacity
         self._returns = ReturnMoments()
         self._estimate = WaitEstimate(capacity)
-        self._line_of = caller_of if is_fair else one_line
-        self.queue: WaitQueue[Waiter] = WaitQueue(self._line_of, self._usual_cost)
+        self._flow_of = caller_of if is_fair else one_flow
+        self.queue: WaitQueue[Waiter] = WaitQueue(self._flow_of, self._usual_cost)
         self._held = HeldToShareWatch(self.queue)
         self.record = WaitRecord()
 
@@ -89,15 +89,15 @@
         The charge is the usual time of a statement, until `settle` knows the real one.
         """
         now = self._clock()
-        if waiter.place is None:
+        if waiter.queued_rank is None:
             level = waiter.rank(now)[:LEVEL_PARTS]
-            charge = Charge(level, self._line_of(waiter), self._usual_cost())
+            charge = Charge(level, self._flow_of(waiter), self._usual_cost())
         else:
             charge = self.queue.serve(waiter)
             self._held.note_served(waiter, charge, self._clock())
         self._estimate.drain.note_left(now, len(self.queue))
         if waiter.expected is not None:
-            self.record.note_served(waiter.expected.seconds, now - waiter.patience.came)
+            self.record.note_served(waiter.expected.seconds, now - waiter.deadlines.came)
         return charge
 
     def settle(self, charge: Charge, held_seconds: float) -> None:
@@ -120,10 +120,10 @@
 
     def _judge(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
         now = self._clock()
-        if may_wait(waiter.patience, now, expected):
-            return WaitUntil(judged_again_at(waiter.patience, now, expected))
+        if may_wait(waiter.deadlines, now, expected):
+            return WaitUntil(judged_again_at(waiter.deadlines, now, expected))
         self.queue.remove(waiter)
-        self.record.note_refused(waiter.patience.latest_start)
+        self.record.note_refused(waiter.deadlines.latest_start)
         refusal = Refuse(RefusalCause.NO_ROOM_IN_TIME, self.promise_return(expected))
         waiter.deny(Denial.NO_ROOM, refusal, expected)
         return refusal
@@ -141,10 +141,10 @@
             return None
         now = self._clock()
         expected = self._estimate.behind(ahead, now)
-        if expected is None or waiter.patience.standing(now) is Standing.IN_TIME:
+        if expected is None or waiter.deadlines.queue_priority(now) is QueuePriority.IN_TIME:
             return expected
-        passed = max(waiter.patience.regains_at - now, 0.0)
-        ahead_then = self.queue.before(waiter, waiter.pressed_rank)
+        passed = max(waiter.deadlines.back_in_order_at - now, 0.0)
+        ahead_then = self.queue.before(waiter, waiter.rank_near_latest_start)
         then = self._estimate.behind(ahead_then, now)
         if then is None:
             return expected
--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -12,7 +12,7 @@
 ) -> WaitRefused:
     """Returns the event of a waiter that was denied for want of room at `now` (steady clock)."""
     refusal, wait = waiter.refusal, waiter.refused_wait
-    left = waiter.patience.latest_start - now
+    left = waiter.deadlines.latest_start - now
     return WaitRefused(
         group=group,
         database=database,
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -5,7 +5,7 @@
 from enum import IntEnum, StrEnum
 
 from dewledge.core.pooler.load.verdict import Refuse
-from dewledge.core.pooler.load.wait_deadlines import Standing, WaitDeadlines
+from dewledge.core.pooler.load.wait_deadlines import QueuePriority, WaitDeadlines
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 from dewledge.core.pooler.load.wait_queue import Rank
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -45,15 +45,15 @@
     __slots__ = (
         "_is_withdrawn",
         "_number",
-        "_patience",
+        "_deadlines",
         "caller",
         "demand",
         "denied",
         "expected",
         "given",
         "left",
-        "patience",
-        "place",
+        "deadlines",
+        "queued_rank",
         "priority",
         "refusal",
         "refused_wait",
@@ -66,18 +66,18 @@
         denied: Callable[[Denial], None],
         demand: Demand = Demand.OWN,
         caller: str = NO_CALLER,
-        patience: WaitDeadlines | None = None,
+        deadlines: WaitDeadlines | None = None,
     ) -> None:
         """`caller`: only a connection of this caller will do.
 
-        patience: when the statement has to be answered; None for one that may always wait.
+        deadlines: when the statement has to be answered; None for one that may always wait.
         """
         self.caller = caller
         self.priority = priority
         self.demand = demand
         self.given = given
         self.denied = denied
-        self.place: Rank | None = None
+        self.queued_rank: Rank | None = None
         self.left: Callable[[Waiter], None] = lambda waiter: None
         """Called when it waits no longer."""
         self.expected: ExpectedWait | None = None
@@ -86,8 +86,8 @@
         """Set before it is denied for want of room."""
         self.refused_wait: ExpectedWait | None = None
         self._number = next(_numbers)
-        self._patience = patience
-        self.patience = patience or WaitDeadlines(0.0, 0.0)
+        self._deadlines = deadlines
+        self.deadlines = deadlines or WaitDeadlines(0.0, 0.0)
         """When it has to start; from its arrival on."""
         self._is_withdrawn = False
 
@@ -104,11 +104,11 @@
 
     def arrive(self, now: float, service_seconds: float) -> None:
         """It comes to a queue now; statements there take so long once they have started."""
-        if self._patience is None:
-            self.patience = WaitDeadlines(now, now)
+        if self._deadlines is None:
+            self.deadlines = WaitDeadlines(now, now)
         else:
-            left = max(self._patience.latest_start - now, 0.0)
-            self.patience = self._patience.started_after(
+            left = max(self._deadlines.latest_start - now, 0.0)
+            self.deadlines = self._deadlines.started_after(
                 min(service_seconds, left * MOST_WORK_SHARE)
             )
 
@@ -125,20 +125,20 @@
 
         One that is late and near its latest start stands by its arrival among the single ones.
         """
-        if self.patience.is_urgent_by_time(now):
-            return self.pressed_rank
-        standing = self.patience.standing(now)
-        return (self.priority, standing, self.demand, self.patience.arrived, self._number)
+        if self.deadlines.is_urgent_by_time(now):
+            return self.rank_near_latest_start
+        queue_priority = self.deadlines.queue_priority(now)
+        return (self.priority, queue_priority, self.demand, self.deadlines.arrived, self._number)
 
     @property
-    def pressed_rank(self) -> Rank:
+    def rank_near_latest_start(self) -> Rank:
         """Its rank once it is near its latest start."""
         demand = min(self.demand, Demand.SINGLE)
-        return (self.priority, Standing.IN_TIME, demand, self.patience.arrived, self._number)
+        return (self.priority, QueuePriority.IN_TIME, demand, self.deadlines.arrived, self._number)
 
     def next_change(self, now: float) -> float:
         """Returns when its rank will be another."""
-        return self.patience.next_change(now)
+        return self.deadlines.next_change(now)
 
 
 def caller_of(waiter: Waiter) -> str:
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.load.ticket import Ticket, arrival_of
 from dewledge.core.pooler.load.wait_counts import WaitRecord
 from dewledge.core.pooler.load.wait_deadlines import (
-    Standing,
+    QueuePriority,
     WaitDeadlines,
     judged_again_at,
     may_wait,
@@ -42,18 +42,18 @@
 
     def test_the_late_stands_last_until_near_its_latest_start(self) -> None:
         for now, standing in ((10.9, 0), (11.1, 1), (12.4, 1), (12.5, 0), (12.9, 0)):
-            self.assertEqual(HURRIED.standing(now), Standing(standing), now)
+            self.assertEqual(HURRIED.queue_priority(now), QueuePriority(standing), now)
 
     def test_one_that_has_come_back_is_not_passed_over_again(self) -> None:
         returned = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
         for now in (10.0, 11.4, 11.6):
-            self.assertEqual(returned.standing(now), Standing.IN_TIME, now)
+            self.assertEqual(returned.queue_priority(now), QueuePriority.IN_TIME, now)
             self.assertTrue(returned.is_urgent_by_time(now))
 
     def test_without_a_target_or_a_time_nothing_is_late(self) -> None:
         endless = WaitDeadlines(1.0, 1.0)
         self.assertTrue(may_wait(endless, 1e9, ExpectedWait(1e9)))
-        self.assertEqual(endless.standing(1e9), Standing.IN_TIME)
+        self.assertEqual(endless.queue_priority(1e9), QueuePriority.IN_TIME)
         self.assertEqual(endless.next_change(5.0), math.inf)
         self.assertEqual(judged_again_at(endless, 5.0, None), math.inf)
 
@@ -61,25 +61,25 @@
     def test_its_standing_changes_when_it_says_so_and_at_most_twice(
         self, came: float, in_time: float, latest: float, now: float
     ) -> None:
-        patience = WaitDeadlines(came, came, in_time, latest)
+        deadlines = WaitDeadlines(came, came, in_time, latest)
         changes = 0
-        while (change := patience.next_change(now)) < math.inf:
+        while (change := deadlines.next_change(now)) < math.inf:
             between = (now + change) / 2
-            self.assertEqual(patience.standing(between), patience.standing(now))
+            self.assertEqual(deadlines.queue_priority(between), deadlines.queue_priority(now))
             now = math.nextafter(change, math.inf)
             changes += 1
         self.assertLessEqual(changes, 2)
-        self.assertEqual(patience.standing(max(now, latest)), Standing.IN_TIME)
+        self.assertEqual(deadlines.queue_priority(max(now, latest)), QueuePriority.IN_TIME)
 
     @given(SECONDS, st.one_of(st.none(), SECONDS))
     def test_it_is_judged_a_few_times_and_never_after_its_time(
         self, latest: float, expected: float | None
     ) -> None:
-        patience = WaitDeadlines(0.0, 0.0, latest_start=latest)
+        deadlines = WaitDeadlines(0.0, 0.0, latest_start=latest)
         wait = None if expected is None else ExpectedWait(expected)
         now, judgements = 0.0, 0
-        while may_wait(patience, now, wait):
-            again = judged_again_at(patience, now, wait)
+        while may_wait(deadlines, now, wait):
+            again = judged_again_at(deadlines, now, wait)
             self.assertGreater(again, now)
             self.assertLessEqual(again, latest)
             now = again
--- a/tests/core/pooler/load/test_wait_queue.py
+++ b/tests/core/pooler/load/test_wait_queue.py
@@ -16,7 +16,7 @@
 
     def __init__(self, caller: str, rank: Rank, later: Rank, change: float) -> None:
         self.caller = caller
-        self.place: Rank | None = None
+        self.queued_rank: Rank | None = None
         self._ranks = (rank, later)
         self._change = change
 
@@ -27,7 +27,7 @@
         return FOREVER if now > self._change else self._change
 
 
-def line_of(waits: Waits) -> str:
+def flow_of(waits: Waits) -> str:
     return waits.caller
 
 
@@ -77,7 +77,7 @@
     def test_where_one_stands_is_its_place_in_the_order(
         self, steps: list[tuple[str, str, int, int, int, float]]
     ) -> None:
-        queue: WaitQueue[Waits] = WaitQueue(line_of)
+        queue: WaitQueue[Waits] = WaitQueue(flow_of)
         gone = played(queue, steps)
         order = list(queue)
         self.assertEqual([queue.ahead(each) for each in order], list(range(len(order))))
@@ -92,7 +92,7 @@
     def test_the_first_is_told_before_it_comes(
         self, steps: list[tuple[str, str, int, int, int, float]]
     ) -> None:
-        queue: WaitQueue[Waits] = WaitQueue(line_of)
+        queue: WaitQueue[Waits] = WaitQueue(flow_of)
         played(queue, steps)
         now = float(len(steps))
         queue.refresh(now)
@@ -108,9 +108,9 @@
     def test_levels_come_first_and_own_order_is_kept(
         self, steps: list[tuple[str, str, int, int, int, float]]
     ) -> None:
-        queue: WaitQueue[Waits] = WaitQueue(line_of)
+        queue: WaitQueue[Waits] = WaitQueue(flow_of)
         played(queue, steps)
-        places = [(each.caller, each.place or ()) for each in queue]
+        places = [(each.caller, each.queued_rank or ()) for each in queue]
         self.assertEqual([rank[:2] for _, rank in places], sorted(rank[:2] for _, rank in places))
         for caller in "abcd":
             own = [rank for name, rank in places if name == caller]
@@ -124,7 +124,7 @@
         """Callers that are not told apart, and all where shares are off."""
         queue: WaitQueue[Waits] = WaitQueue()
         played(queue, steps)
-        ranks = [each.place for each in queue]
+        ranks = [each.queued_rank for each in queue]
         self.assertEqual(ranks, sorted(rank for rank in ranks if rank is not None))
 
     @settings(max_examples=200, deadline=None)
@@ -133,7 +133,7 @@
         self, callers: list[str]
     ) -> None:
         """One caller has most of the load: what each had had, all waiting from the beginning."""
-        queue: WaitQueue[Waits] = WaitQueue(line_of)
+        queue: WaitQueue[Waits] = WaitQueue(flow_of)
         for number, caller in enumerate(callers):
             rank = (0, 0, number)
             queue.add(Waits(caller, rank, rank, FOREVER), 0.0)
@@ -156,7 +156,7 @@
             ("two levels with shares each", "h1 h1 m1 h2 h2 m2", "h1 m1 h1 h2 m2 h2"),
         ):
             with self.subTest(name):
-                queue: WaitQueue[Waits] = WaitQueue(line_of)
+                queue: WaitQueue[Waits] = WaitQueue(flow_of)
                 for number, each in enumerate(asked.split()):
                     rank = (int(each[1]), 0, number)
                     queue.add(Waits(each[0], rank, rank, FOREVER), 0.0)
@@ -168,7 +168,7 @@
                 self.assertEqual(" ".join(served), expected)
 
     def test_who_comes_back_keeps_its_place_among_its_own(self) -> None:
-        queue: WaitQueue[Waits] = WaitQueue(line_of)
+        queue: WaitQueue[Waits] = WaitQueue(flow_of)
         for caller, arrived in (("h", 5), ("h", 6), ("m", 7), ("h", 1)):
             rank = (0, 0, arrived)
             queue.add(Waits(caller, rank, rank, FOREVER), 0.0)
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -85,7 +85,7 @@
         now = self.scheduler.now()
         asked = Asked(caller, now, work)
         self.asked.append(asked)
-        patience = WaitDeadlines(now, now, now + target, now + TIMEOUT)
+        deadlines = WaitDeadlines(now, now, now + target, now + TIMEOUT)
 
         def given(connection: DatabaseConnection) -> None:
             self._given(asked, connection)
@@ -93,7 +93,7 @@
         def denied(denial: Denial) -> None:
             asked.outcomes.append(denial)
 
-        waiter = Waiter(priority, given, denied, demand, caller, patience)
+        waiter = Waiter(priority, given, denied, demand, caller, deadlines)
         self.pool.acquire(waiter, {})
         self._judge_later(asked, waiter)
         return asked
--- a/tests/core/pooler/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -58,7 +58,7 @@
         now = self.scheduler.now()
         asked.arrived = now - asked.waited
         asked.latest_start = now + asked.timeout - WORK
-        patience = WaitDeadlines(
+        deadlines = WaitDeadlines(
             asked.arrived, now, asked.arrived + asked.target, now + asked.timeout
         )
 
@@ -68,7 +68,7 @@
         def denied(denial: Denial) -> None:
             self._denied(asked, denial)
 
-        waiter = Waiter(asked.priority, given, denied, Demand.SINGLE, patience=patience)
+        waiter = Waiter(asked.priority, given, denied, Demand.SINGLE, deadlines=deadlines)
         asked.waiter = waiter
         self.asked.append(asked)
         self.waiting.append(asked)
@@ -230,9 +230,9 @@
         denied: list[Denial] = []
         for _ in range(50):
             now = scheduler.now()
-            patience = WaitDeadlines(now, now, now + 0.1, now + 0.2)
+            deadlines = WaitDeadlines(now, now, now + 0.1, now + 0.2)
             pool.acquire(
-                Waiter(1, lambda _: None, denied.append, Demand.SINGLE, patience=patience), {}
+                Waiter(1, lambda _: None, denied.append, Demand.SINGLE, deadlines=deadlines), {}
             )
         self.assertEqual(denied, [])
 
