--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -1,4 +1,4 @@
-"""The event of a statement that a queue refused."""
+"""The log event of a statement that a pool's queue refused, with the wait and the return moment."""
 
 from dewledge.core.pooler.events import WaitRefused
 from dewledge.core.pooler.load.verdict import RefusalCause
@@ -12,7 +12,7 @@
 ) -> WaitRefused:
     """Returns the event of a waiter that was denied for want of room at `now` (steady clock)."""
     refusal, wait = waiter.refusal, waiter.refused_wait
-    left = waiter.patience.latest_start - now
+    left = waiter.deadlines.latest_start - now
     return WaitRefused(
         group=group,
         database=database,
