--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -14,13 +14,13 @@
 from dewledge.core.pooler.sessions.routes import Consistency, Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
+from dewledge.core.pooler.statements.retry_rule import RETRY_PAUSE_SECONDS
 from dewledge.core.pooler.statements.run_record import RunRecord
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
 from dewledge.errors import ErrorCode
 
-RETRY_PAUSE_SECONDS = 0.03
 LEAST_PAUSE_SECONDS = 0.001
 """A timer is no more exact."""
 WAY_SECONDS = 0.1
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -20,14 +20,33 @@
     send_setup,
     statement_for_database,
 )
-from dewledge.core.pooler.statements.database_search import RETRY_PAUSE_SECONDS, DatabaseSearch
+from dewledge.core.pooler.statements.database_search import DatabaseSearch
 from dewledge.core.pooler.statements.held_connection import HeldConnection
 from dewledge.core.pooler.statements.position_learning import PositionLearner
 from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
+from dewledge.core.pooler.statements.retry_outcomes import (
+    ConnectionFate,
+    Fail,
+    InDoubt,
+    Outcome,
+    RerunRead,
+    SendAgain,
+    TransactionLost,
+    TryElsewhere,
+    WaitOn,
+)
+from dewledge.core.pooler.statements.retry_rule import (
+    Incident,
+    Progress,
+    StatementFacts,
+    Trouble,
+    Work,
+    needs_budget,
+    what_follows,
+)
 from dewledge.core.pooler.statements.run_record import RunRecord
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statements import (
-    NOT_RUN_CODES,
     Failure,
     Reply,
     Statement,
@@ -45,7 +64,6 @@
 QUEUED_READ_SHARE = 0.7
 """The same through another process, where it may stand in a queue: what is left is some times the
 work of a read."""
-MAX_READ_RERUNS = 2
 MOVED_WAIT_SHARE = 0.25
 """Of the latency target: for so long a statement whose holder fell silent seeks another one, at
 least; the time that the first one took was not the next one's."""
@@ -73,6 +91,7 @@
         self._transaction = session.transaction
         self._writes = session.writes(statement)
         self._is_commit = statement.kind is StatementKind.COMMIT
+        self._work = self._work_of(statement)
         self._deadline = arrived + route.statement_timeout
         self._record = RunRecord(services, session, route, statement, arrived)
         self._timers = RunTimers(services.scheduler)
@@ -99,6 +118,11 @@
         self._reruns = 0
         self._finished = False
 
+    def _work_of(self, statement: Statement) -> Work:
+        if self._transaction is not None:
+            return Work.COMMIT if self._is_commit else Work.IN_TRANSACTION
+        return Work.WRITE if self._writes else Work.READ
+
     def start(self) -> None:
         """Begins; the answer may come before this returns."""
         self._second_reads.note_request()
@@ -160,14 +184,8 @@
     def _withhold(self, is_begun: bool) -> None:
         """The statement does not leave: the primary is being replaced, or may be."""
         self._note("without_right")
-        if self._lead.is_pinned:
-            self._lose_transaction(ErrorCode.TRANSACTION_LOST, "the primary is being replaced")
-            return
-        if is_begun:
-            self._give_back()
-        else:
-            self._held.release()
-        self._search.go_on()
+        progress = Progress.IN_SETUP if is_begun else Progress.WAITING
+        self._decide(Incident(Trouble.NO_LEASE, progress))
 
     def _set_up(self, epoch: int, verdict: Reply | None | bool) -> None:
         connection = self._held.connection
@@ -192,7 +210,7 @@
             self._set_up_refused(connection, verdict, verdict.failure)
             return
         self._note("closed")
-        self._set_up_lost()
+        self._decide(Incident(Trouble.LOST, Progress.IN_SETUP))
 
     def _set_up_refused(
         self, connection: DatabaseConnection, reply: Reply, failure: Failure
@@ -201,57 +219,47 @@
             self._held.refute_primary(self._statement.id)
         if failure.code is ErrorCode.DATABASE_UNREACHABLE:
             self._held.suspect()
-        clean = reply.state is TransactionState.IDLE and not connection.unanswered
         self._search.note_refused(failure)
-        if not self._lead.is_pinned and clean and failure.code is not ErrorCode.WRONG_DATABASE:
-            self._held.release()
-            self._search.go_on()
-            return
-        self._set_up_lost()
-
-    def _set_up_lost(self) -> None:
-        """The statement has not been sent: another connection may serve it."""
-        self._is_setting_up = False
-        pinned = self._lead.is_pinned
-        self._held.drop()
-        if pinned:
-            self._lose_transaction(ErrorCode.TRANSACTION_LOST, "connection lost")
-        else:
-            self._search.go_on()
+        refused = Incident(
+            Trouble.REFUSED,
+            Progress.IN_SETUP,
+            failure,
+            reply.state,
+            has_unanswered=bool(connection.unanswered),
+        )
+        self._decide(refused)
 
     def _setup_silent(self) -> None:
         if self._finished or self._held.connection is None:
             return
         self._note("silent_setup")
         self._watch.limit_passed()
-        self._set_up_lost()
+        self._is_setting_up = False
+        self._decide(Incident(Trouble.SILENT, Progress.IN_SETUP))
 
     # A holder that falls silent.
 
     def _holder_judged(self, state: HolderState) -> None:
         """The process that carries the connection is judged anew; see HolderHealth.
 
-        A setup, which is nothing of the client's, goes to the next holder as soon as this one is in
-        doubt. A read that was sent is asked once more when it is silent. All else is in doubt and
-        stays: it may run.
+        What the retry rule has wait on may run, and its answer is still awaited.
         """
-        if self._finished or self._held.connection is None or self._lead.is_pinned:
+        if self._finished or self._held.connection is None or state is HolderState.USABLE:
             return
-        if self._is_setting_up and state is not HolderState.USABLE:
-            self._note("holder_silent")
-            self._seek_longer()
-            self._set_up_lost()
-        elif state is HolderState.SILENT and self._may_ask_again():
-            self._note("holder_silent")
-            self._held.drop()
-            self._reruns += 1
-            self._rerun_read()
-
-    def _may_ask_again(self) -> bool:
-        is_single_read = not self._writes and self._transaction is None
-        if self._is_setting_up or not is_single_read or self._reruns:
-            return False
-        return self._second_reads.take()
+        is_silent = state is HolderState.SILENT
+        trouble = Trouble.HOLDER_SILENT if is_silent else Trouble.HOLDER_DOUBTED
+        progress = Progress.IN_SETUP if self._is_setting_up else Progress.SENT
+        judged = Incident(trouble, progress)
+        has_room = needs_budget(judged, self._facts()) and self._second_reads.take()
+        outcome = what_follows(
+            Incident(trouble, progress, is_within_budget=has_room), self._facts()
+        )
+        if isinstance(outcome, WaitOn):
+            return
+        self._note("holder_silent")
+        self._is_setting_up = False
+        self._settle_connection(outcome.connection)
+        self._follow(outcome)
 
     def _seek_longer(self) -> None:
         until = min(self._scheduler.now() + self._moved_wait, self._deadline)
@@ -299,7 +307,7 @@
             self._lost()
         elif reply.failure is None and self._answers_without_right():
             self._note("answer_without_right")
-            self._lost()
+            self._lost(Trouble.NO_LEASE)
         elif reply.failure is not None:
             self._note(reply.failure.code)
             if self._transaction is not None:
@@ -348,48 +356,32 @@
         connection = self._held.connection
         if failure.code is ErrorCode.UNKNOWN_STATEMENT and connection is not None:
             connection.prepared.clear()
-        if failure.code is ErrorCode.WRONG_DATABASE:
-            self._held.drop()
-        else:
-            self._give_back()
+        outcome = what_follows(Incident(Trouble.REFUSED, Progress.SENT, failure), self._facts())
+        self._settle_connection(outcome.connection)
         self._search.note_refused(failure)
-        if failure.code in NOT_RUN_CODES:
-            self._search.go_on()
-        elif not self._writes and self._reruns < MAX_READ_RERUNS:
-            self._reruns += 1
-            self._rerun_read()
-        else:
-            self._fail(failure.code, failure.message)
+        self._follow(outcome)
 
     def _failed_in_transaction(self, reply: Reply, failure: Failure) -> None:
-        connection = self._held.connection
-        busy = failure.code is ErrorCode.OVERLOADED and reply.state is TransactionState.OPEN
-        in_time = self._scheduler.now() + RETRY_PAUSE_SECONDS < self._search.give_up_at
-        if busy and in_time and connection is not None:
-            self._timers.pause(RETRY_PAUSE_SECONDS, lambda: self._send_again(connection))
-            return
+        outcome = what_follows(
+            Incident(Trouble.REFUSED, Progress.SENT, failure, reply.state), self._facts()
+        )
         if failure.code is ErrorCode.NOT_PRIMARY:
             self._held.refute_primary(self._statement.id)
-        if self._is_commit and failure.code not in NOT_RUN_CODES:
-            self._leave_unknown(failure)
-            return
-        self._lose_transaction(failure.code, failure.message)
+        self._settle_connection(outcome.connection)
+        self._follow(outcome)
+
+    def _pause_and_send(self, seconds: float) -> None:
+        connection = self._held.connection
+        if connection is not None:
+            self._timers.pause(seconds, lambda: self._send_again(connection))
 
     def _send_again(self, connection: DatabaseConnection) -> None:
         if not self._finished:
             self._send(connection)
 
-    def _lost(self) -> None:
-        """The connection ended after the statement was sent."""
-        self._held.drop()
-        if self._transaction is not None and self._is_commit:
-            self._leave_unknown(Failure(ErrorCode.CONNECTION_LOST, "outcome unknown"))
-        elif self._transaction is not None:
-            self._lose_transaction(ErrorCode.TRANSACTION_LOST, "connection lost")
-        elif self._writes:
-            self._fail(ErrorCode.CONNECTION_LOST, "outcome unknown")
-        else:
-            self._rerun_read()
+    def _lost(self, trouble: Trouble = Trouble.LOST) -> None:
+        """Of the sent statement no answer comes, or none that counts."""
+        self._decide(Incident(trouble, Progress.SENT))
 
     def _silent(self) -> None:
         """No answer within the time of this attempt."""
@@ -397,22 +389,54 @@
             return
         self._note("silent")
         self._watch.limit_passed()
-        self._held.drop()
-        if self._transaction is not None and self._is_commit:
-            self._leave_unknown(Failure(ErrorCode.STATEMENT_TIMEOUT, "no answer"))
-        elif self._transaction is not None:
-            self._lose_transaction(ErrorCode.TRANSACTION_LOST, "no answer, rolled back")
-        elif self._writes or self._reruns:
-            self._fail(ErrorCode.STATEMENT_TIMEOUT, "no answer")
-        else:
-            self._reruns += 1
+        self._decide(Incident(Trouble.SILENT, Progress.SENT))
+
+    # What follows a failure.
+
+    def _decide(self, incident: Incident) -> None:
+        outcome = what_follows(incident, self._facts())
+        self._settle_connection(outcome.connection)
+        self._follow(outcome)
+
+    def _facts(self) -> StatementFacts:
+        return StatementFacts(
+            self._work,
+            self._lead.is_pinned,
+            self._reruns,
+            self._scheduler.now(),
+            self._search.give_up_at,
+            self._deadline,
+        )
+
+    def _settle_connection(self, fate: ConnectionFate) -> None:
+        if fate is ConnectionFate.RELEASED:
+            self._held.release()
+        elif fate is ConnectionFate.GIVEN_BACK:
+            self._give_back()
+        elif fate is ConnectionFate.ROLLED_BACK:
+            self._held.roll_back()
+        elif fate is ConnectionFate.CLOSED:
+            self._held.drop()
+
+    def _follow(self, outcome: Outcome) -> None:
+        if isinstance(outcome, TryElsewhere):
+            if outcome.seeks_longer:
+                self._seek_longer()
+            self._search.go_on()
+        elif isinstance(outcome, RerunRead):
+            self._reruns += outcome.is_counted
             self._rerun_read()
+        elif isinstance(outcome, SendAgain):
+            self._pause_and_send(outcome.pause_seconds)
+        elif isinstance(outcome, InDoubt):
+            self._leave_unknown(outcome.failure)
+        elif isinstance(outcome, TransactionLost):
+            self._lose_transaction(outcome.failure)
+        elif isinstance(outcome, Fail):
+            self._fail(outcome.failure)
 
     def _rerun_read(self) -> None:
         """Runs a read once more, within the time that is left."""
-        if self._scheduler.now() >= self._deadline - RETRY_PAUSE_SECONDS:
-            self._fail(ErrorCode.STATEMENT_TIMEOUT, "no answer")
-            return
         self._search.give_up_at = self._deadline
         self._search.go_on()
 
@@ -421,15 +445,13 @@
     def _leave_unknown(self, failure: Failure) -> None:
         """The commit was sent and its effect is not known."""
         self._session.transaction = None
-        self._held.drop()
         self._finish(Reply(TransactionState.IDLE, failure=failure))
 
-    def _lose_transaction(self, code: ErrorCode, message: str) -> None:
+    def _lose_transaction(self, failure: Failure) -> None:
         """Nothing of the transaction is kept: its commit was not sent, or did not run."""
-        self._held.roll_back()
         if self._transaction is not None:
             self._transaction.connection = None
-        self._fail(code, message)
+        self._fail(failure)
 
     def _give_back(self) -> None:
         if self._lead.has_begun and not self._lead.is_pinned:
@@ -439,16 +461,17 @@
 
     def _refuse(self, come_back_ms: int) -> None:
         message = f"not run, come back in {come_back_ms} ms"
-        self._fail(ErrorCode.OVERLOADED, message, come_back_ms)
+        refused = Failure(ErrorCode.OVERLOADED, message, come_back_ms)
+        self._decide(Incident(Trouble.NO_ROOM, Progress.WAITING, refused))
 
-    def _fail(self, code: ErrorCode, message: str, come_back_ms: int = 0) -> None:
+    def _fail(self, failure: Failure) -> None:
         state = TransactionState.IDLE
         if self._transaction is not None and self._is_commit:
             self._session.transaction = None
         elif self._transaction is not None:
             self._transaction.failed = True
             state = TransactionState.FAILED
-        self._finish(Reply(state, failure=Failure(code, message, come_back_ms)))
+        self._finish(Reply(state, failure=failure))
 
     def _finish(self, reply: Reply) -> None:
         if self._finished:
