--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -1,4 +1,9 @@
-"""Which replica takes the lead. Pure functions."""
+"""Which processes judge a group's primary, and which replica becomes the next one. Pure functions.
+
+Inputs: names of processes; the group's databases as the store has them; statuses, at most as old as
+the survey under way. Decision: the judges by rank; the candidate. Reason: a replica that received
+less than another would lose acknowledged commits.
+"""
 
 import zlib
 from collections.abc import Iterable, Mapping, Sequence
@@ -8,7 +13,8 @@
 from dewledge.core.shared.positions import LogPosition
 
 PANEL_SIZE = 15
-"""So many processes judge a group's primary, however many there are."""
+"""Processes that judge a group's primary, at most: bounds the indirect probes of a check where
+there are hundreds of processes. Chosen, not measured."""
 
 
 def panel(group: str, members: Iterable[str]) -> Sequence[str]:
@@ -24,7 +30,7 @@
 
 
 def eligible(view: GroupView, replaced: str, refused: frozenset[str]) -> Sequence[str]:
-    """Returns the databases that may take the lead: in service, and not the replaced one."""
+    """Returns the databases that may become primary: in service, and not the replaced one."""
     return sorted(
         record.id
         for record in view.databases.values()
