--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -1,4 +1,8 @@
-"""The calls that a succession makes to the coordination store and to the platform's duties."""
+"""The calls that a failover makes to the coordination store and to the platform's promotion call.
+
+Owns nothing between calls. Each call runs on the executor; what comes of it is passed on to the
+loop's thread.
+"""
 
 from collections.abc import Callable, Sequence
 
@@ -27,7 +31,7 @@
 
 
 class FailoverCalls:
-    """Each call runs on the executor; what comes of it is told on the loop's thread."""
+    """Writes claims and orders promotions."""
 
     def __init__(
         self,
