--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -38,19 +38,17 @@
     )
 
 
-def choose(
-    names: Sequence[str], statuses: Mapping[str, DatabaseStatus], rank: Mapping[str, int]
-) -> str | None:
-    """Returns the database that received most; among equals the first by rank, then by name.
+def choose(names: Sequence[str], statuses: Mapping[str, DatabaseStatus]) -> str | None:
+    """Returns the database that received most; among equals the last by name.
 
     One whose state is not known is chosen only if none is known: what it has received may be less.
     """
     if not names:
         return None
 
-    def preference(name: str) -> tuple[LogPosition, int, str]:
+    def preference(name: str) -> tuple[LogPosition, str]:
         status = statuses.get(name)
         received = LogPosition(-1, -1) if status is None else status.received
-        return (received, -rank.get(name, 0), name)
+        return (received, name)
 
     return max(names, key=preference)
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -63,7 +63,6 @@
 
     database: str
     reachable: bool
-    refused: bool = False
 
 
 class IndirectProbeReported(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -161,7 +161,7 @@
         if self._is_unfenced:
             effects += self._end_false_leads(names, now)
             names = [name for name in names if survey.follows(name)]
-        chosen = self._ordered_before or choose(names, survey.statuses, {})
+        chosen = self._ordered_before or choose(names, survey.statuses)
         if chosen is None or (chosen not in survey.statuses and not self._waited_for_status(now)):
             if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
                 return self._give_up(effects, situation, PhaseEnd.NO_CANDIDATE)
--- a/src/dewledge/core/pooler/failover/standing_claim.py
+++ b/src/dewledge/core/pooler/failover/standing_claim.py
@@ -46,9 +46,9 @@
 
     def take(self, event: ClaimKnown, now: float) -> None:
         """A process acknowledged a claim."""
-        recall = self._acknowledgements
-        if recall is not None and event.fencing_token >= recall.claim.fencing_token:
-            recall.take(event.process, now)
+        known = self._acknowledgements
+        if known is not None and event.fencing_token >= known.claim.fencing_token:
+            known.take(event.process, now)
 
     def keep(self, situation: Situation) -> Sequence[FailoverEffect]:
         """Returns what is to be done while the group is well."""
@@ -82,18 +82,17 @@
     def _settle(self, claim: Claim, situation: Situation) -> Sequence[FailoverEffect]:
         """Writes the claim once more when no earlier voter confirms an older one."""
         registered, now = situation.registered, situation.now
-        if (
-            self._acknowledgements is None
-            or self._acknowledgements.claim.fencing_token != claim.fencing_token
-        ):
-            self._acknowledgements = ClaimAcknowledgements(claim, now)
-            self._acknowledgements.take(self._own_name, now)
-        if self._acknowledgements.is_over(registered, now):
+        known = self._acknowledgements
+        if known is None or known.claim.fencing_token != claim.fencing_token:
+            known = ClaimAcknowledgements(claim, now)
+            known.take(self._own_name, now)
+            self._acknowledgements = known
+        if known.is_over(registered, now):
             return self._write(situation, True)
         if now < self._sent_at + SEND_STANDING_AGAIN_SECONDS:
             return []
         self._sent_at = now
-        missing = self._acknowledgements.missing(registered.names)
+        missing = known.missing(registered.names)
         return [SendClaim(tuple(missing))]
 
     def _write(self, situation: Situation, is_settled: bool) -> Sequence[FailoverEffect]:
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -156,28 +156,26 @@
         self._context.loop.call_later(TICK_SECONDS, self._tick)
 
     def _is_unsettled(self, name: str) -> bool:
-        succession = self._failovers.get(name)
-        if succession is None:
+        failover = self._failovers.get(name)
+        if failover is None:
             return True
-        return succession.phase is not Phase.STEADY or succession.doubted is not None
+        return failover.phase is not Phase.STEADY or failover.doubted is not None
 
     def _handle(self, group_name: str, event: FailoverEvent) -> None:
         group = self._groups.get(group_name)
         if group is None or self._stopped:
             return
-        succession = self._failovers.get(group_name)
-        if succession is None:
+        failover = self._failovers.get(group_name)
+        if failover is None:
             lease = self._context.leases.of(group_name)
-            succession = GroupFailover(group_name, self._own_name, self._record, lease)
-            self._failovers[group_name] = succession
+            failover = GroupFailover(group_name, self._own_name, self._record, lease)
+            self._failovers[group_name] = failover
         judges = self._panel(group_name)
-        effects = succession.handle(
+        effects = failover.handle(
             event, group.view, judges, self._context.loop.now(), self._registered
         )
-        relay = (
-            None if succession.reached_by is None else self._addresses().get(succession.reached_by)
-        )
-        group.set_doubt(succession.doubted, relay)
+        relay = None if failover.reached_by is None else self._addresses().get(failover.reached_by)
+        group.set_doubt(failover.doubted, relay)
         for effect in effects:
             self._carry_out(group, effect)
 
