--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -1,19 +1,25 @@
-"""A statement that waits for a connection: what it needs, and where it stands."""
+"""A statement that waits for a connection: what it needs, its deadlines and its rank in the queue.
+
+Owns the rank rule (`Waiter.rank`): route priority, then whether it is still in time, then the
+proxy's own questions, single statements and transactions in that order, then arrival. The order by
+rank and by fair shares is kept in `load/wait_queue`, the deadlines in `load/wait_deadlines`.
+"""
 
 import itertools
-from collections.abc import Callable, Iterable, Sequence
+from collections.abc import Callable
 from enum import IntEnum, StrEnum
 
-from dewledge.core.pooler.load.expected_wait import ExpectedWait
 from dewledge.core.pooler.load.verdict import Refuse
-from dewledge.core.pooler.load.wait_deadlines import Standing, WaitDeadlines
+from dewledge.core.pooler.load.wait_deadlines import QueuePriority, WaitDeadlines
+from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 from dewledge.core.pooler.load.wait_queue import Rank
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
 MOST_WORK_SHARE = 0.5
-"""Of its time: more is never set aside for its work, so that statements go on to a database whose
-usual time has become longer than they have, and show when it is shorter again."""
+"""Share of its time; more is never set aside for its work, so that statements go on to a database
+whose usual time has become longer than they have, and show when it is shorter again. Chosen, not
+measured."""
 
 _numbers = itertools.count()
 
@@ -21,7 +27,6 @@
 class Denial(StrEnum):
     """Why a pool gave no connection."""
 
-    FULL = "full"
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
     NO_ROOM = "no_room"
@@ -46,15 +51,15 @@
     __slots__ = (
         "_is_withdrawn",
         "_number",
-        "_patience",
+        "_deadlines",
         "caller",
         "demand",
         "denied",
         "expected",
         "given",
         "left",
-        "patience",
-        "place",
+        "deadlines",
+        "queued_rank",
         "priority",
         "refusal",
         "refused_wait",
@@ -67,18 +72,18 @@
         denied: Callable[[Denial], None],
         demand: Demand = Demand.OWN,
         caller: str = NO_CALLER,
-        patience: WaitDeadlines | None = None,
+        deadlines: WaitDeadlines | None = None,
     ) -> None:
         """`caller`: only a connection of this caller will do.
 
-        patience: when the statement has to be answered; None for one that may always wait.
+        deadlines: when the statement has to be answered; None for one that may always wait.
         """
         self.caller = caller
         self.priority = priority
         self.demand = demand
         self.given = given
         self.denied = denied
-        self.place: Rank | None = None
+        self.queued_rank: Rank | None = None
         self.left: Callable[[Waiter], None] = lambda waiter: None
         """Called when it waits no longer."""
         self.expected: ExpectedWait | None = None
@@ -87,8 +92,8 @@
         """Set before it is denied for want of room."""
         self.refused_wait: ExpectedWait | None = None
         self._number = next(_numbers)
-        self._patience = patience
-        self.patience = patience or WaitDeadlines(0.0, 0.0)
+        self._deadlines = deadlines
+        self.deadlines = deadlines or WaitDeadlines(0.0, 0.0)
         """When it has to start; from its arrival on."""
         self._is_withdrawn = False
 
@@ -105,11 +110,11 @@
 
     def arrive(self, now: float, service_seconds: float) -> None:
         """It comes to a queue now; statements there take so long once they have started."""
-        if self._patience is None:
-            self.patience = WaitDeadlines(now, now)
+        if self._deadlines is None:
+            self.deadlines = WaitDeadlines(now, now)
         else:
-            left = max(self._patience.latest_start - now, 0.0)
-            self.patience = self._patience.started_after(
+            left = max(self._deadlines.latest_start - now, 0.0)
+            self.deadlines = self._deadlines.started_after(
                 min(service_seconds, left * MOST_WORK_SHARE)
             )
 
@@ -126,37 +131,22 @@
 
         One that is late and near its latest start stands by its arrival among the single ones.
         """
-        if self.patience.is_urgent_by_time(now):
-            return self.pressed_rank
-        standing = self.patience.standing(now)
-        return (self.priority, standing, self.demand, self.patience.arrived, self._number)
+        if self.deadlines.is_urgent_by_time(now):
+            return self.rank_near_latest_start
+        queue_priority = self.deadlines.queue_priority(now)
+        return (self.priority, queue_priority, self.demand, self.deadlines.arrived, self._number)
 
     @property
-    def pressed_rank(self) -> Rank:
+    def rank_near_latest_start(self) -> Rank:
         """Its rank once it is near its latest start."""
         demand = min(self.demand, Demand.SINGLE)
-        return (self.priority, Standing.IN_TIME, demand, self.patience.arrived, self._number)
+        return (self.priority, QueuePriority.IN_TIME, demand, self.deadlines.arrived, self._number)
 
     def next_change(self, now: float) -> float:
         """Returns when its rank will be another."""
-        return self.patience.next_change(now)
+        return self.deadlines.next_change(now)
 
 
 def caller_of(waiter: Waiter) -> str:
     """Returns whose it is."""
     return waiter.caller
-
-
-def servable_callers(waiters: Iterable[Waiter], room: float) -> Sequence[str]:
-    """Returns the callers of those that wait for nothing but a connection, in their order.
-
-    room: how many slots are free. Questions of the proxy's own need none and are the most urgent.
-    """
-    servable: list[str] = []
-    for waiter in waiters:
-        if waiter.demand is not Demand.OWN:
-            if room < 1:
-                break
-            room -= 1
-        servable.append(waiter.caller)
-    return servable
