--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -56,10 +56,10 @@
 served meanwhile. Chosen, not measured."""
 WRITE_AGAIN_SECONDS = 1.5
 """Seconds until the order is written to the store again: longer than a call to the store may take
-(docs/DECISIONS.md)."""
+(docs/measurements/rounds.md)."""
 PROMOTE_AGAIN_SECONDS = 0.7
-"""Seconds until the platform is asked again, under the same fencing token (docs/DECISIONS.md).
-Chosen, not measured."""
+"""Seconds until the platform is asked again, under the same fencing token
+(docs/measurements/rounds.md). Chosen, not measured."""
 PROMOTION_LIMIT_SECONDS = 6.0
 """Seconds that choosing, releasing and promoting may last, each; then the replacement is given up.
 Chosen, not measured."""
--- a/tests/core/pooler/failover/test_primary_lease.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -71,7 +71,7 @@
         self.assertTrue(leases.of("menus").allows("p", NOW + 0.1))
 
 
-class ClaimRecallTest(unittest.TestCase):
+class ClaimAcknowledgementsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.acknowledgements = ClaimAcknowledgements(claim(7, "", quorums=(VOTERS,)), NOW)
         self.registered = RegisteredProcesses(frozenset(VOTERS), 7)
