--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -82,7 +82,7 @@
         self._has_promoted = False
         self._ended_leads_at = LONG_AGO
         self._least_term = 0
-        """Of the candidate once it leads by this order; in an older one it led before."""
+        """The least term in which the candidate leads by this order."""
         self.is_done = False
         """Whether the new primary has said that it leads."""
         self._stepped_down_at: float | None = None
@@ -134,7 +134,8 @@
         if self.fencing_token < self._lease.fencing_token:
             return Step((), PhaseEnd.TOKEN_TOO_OLD)
         if self._survey.refused:
-            # Two databases refused: more likely another holds a later token, unknown here.
+            # Two databases were refused: more likely another process holds a newer claim, not
+            # known here yet.
             return Step((), PhaseEnd.TOKEN_REFUSED)
         self._survey.refuse(event.database)
         return Step((), PhaseEnd.CANDIDATE_REFUSED)
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -1,5 +1,4 @@
-"""Whether one statement may use its database as primary, and what its success shows of the
-database.
+"""Whether one statement may use its database as primary, and what its success shows of that one.
 
 Inputs: the target chosen, the client's transaction, the group's lease at this moment. Decision:
 whether the statement needs the lead and the database may not be used so; which transaction has to
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -8,11 +8,7 @@
 
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import (
-    DutyCalls,
-    StoreRow,
-    StoreWrite,
-)
+from dewledge.core.pooler.coordination_store import DutyCalls, StoreRow, StoreWrite
 from dewledge.core.pooler.failover.messages import (
     ClaimRefused,
     FailoverEvent,
@@ -100,7 +96,7 @@
         self._context.loop.post(tell)
 
     def _promote(self, group: str, effect: Promote) -> None:
-        """A call without an answer is made again under the same token."""
+        """A call without an answer is made again, under the same fencing token."""
         if self._promotions is None:
             return
         if self._context.loop.now() >= effect.not_after:
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -1,5 +1,4 @@
-"""Drives the failovers of all groups: passes events to the state machines, carries out their
-effects.
+"""Drives the failovers of all groups: passes events to state machines, carries out their effects.
 
 Owns one GroupFailover for each group and the choice of the judges (panel). Relies on FailoverCalls
 for store and platform, DatabaseQuestions for databases, IndirectProbes for tests, and ClaimEvents
