--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -21,12 +21,20 @@
 class PoolServices:
     """The parts that all sessions of a process share."""
 
-    def __init__(self, scheduler: Scheduler, record: Callable[[PoolingEvent], None]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        record: Callable[[PoolingEvent], None],
+        load_policy: LoadPolicy | None = None,
+        admission: Admission | None = None,
+        suspect: Callable[[str, str], None] = lambda group, database: None,
+    ) -> None:
+        """By default each decision under load is made, and all operations are admitted."""
         self.scheduler = scheduler
         self.record = record
         self.routes: RouteTable = EMPTY_ROUTE_TABLE
         self.groups: dict[str, Group] = {}
-        self.load_policy = LoadPolicy()
+        self.load_policy = load_policy or LoadPolicy()
         """Which decisions under load are made."""
         self.denials = Denials(scheduler, record)
         """Logs sessions whose token no caller has."""
@@ -34,11 +42,11 @@
         """Second tries of reads whose holder fell silent."""
         self.returns: dict[str, ReturnMoments] = {}
         """By group: the moments told to callers that no queue told one."""
-        self.admission: Admission = AdmitsAll()
+        self.admission: Admission = admission or AdmitsAll()
         """Decides before any work whether an operation of a caller may begin."""
         self.is_ending = False
         """Set near the end of a planned stop: what begins now could not be answered in time."""
-        self.suspect: Callable[[str, str], None] = lambda group, database: None
+        self.suspect = suspect
         """Called with a group and a database that left a statement without an answer."""
         self._configuration_waiters: list[Callable[[], None]] = []
 
--- /dev/null
+++ b/src/dewledge/shell/pooler/composition.py
@@ -0,0 +1,222 @@
+"""Puts the parts of one process together, from those that rest on nothing to those on top.
+
+Each class holds parts that belong together and builds them in its constructor, from the parts of
+the classes above it; `connect` says in one place who is told what. Nothing here decides, and no
+part is changed after it is built. `pooler_process` starts and stops the parts.
+"""
+
+import secrets
+from concurrent.futures import ThreadPoolExecutor
+
+from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
+from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.rate_limits.gate import QuotaGate
+from dewledge.core.pooler.rate_limits.grantor import Grantor
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sharing.members import Member
+from dewledge.pooler_settings import PoolerSettings
+from dewledge.shell.pooler.directory import Directory
+from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
+from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
+from dewledge.shell.pooler.group_factory import ConnectionShares, GroupFactory
+from dewledge.shell.pooler.known_databases import KnownDatabases, RouteFinder
+from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
+from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
+from dewledge.shell.pooler.links.peer_socket import PeerSocket
+from dewledge.shell.pooler.notices import ProcessNotices
+from dewledge.shell.pooler.observing.event_log import EventLog
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.pooler.planned_stop import Readiness
+from dewledge.shell.pooler.platform_adapter import PlatformAdapter
+from dewledge.shell.pooler.quota_driver import QuotaDriver
+from dewledge.shell.pooler.tables.coordination_rows import TABLE
+from dewledge.shell.pooler.tables.coordination_table import CoordinationTable
+from dewledge.shell.pooler.tables.member_table import MemberTable
+from dewledge.shell.pooler.tables.table_reading import (
+    RIGHT_WAIT_SECONDS,
+    URGENT_WAIT_SECONDS,
+    TableReading,
+)
+from dewledge.shell.shared.event_loop import EventLoop
+
+EXECUTOR_THREADS = 8
+"""Calls to the store and the platform block: one for each of three tables, the rest for rows that
+are written and promotions; chosen, not measured."""
+
+
+class LoopScheduler:
+    """The loop as the core's clock and timers."""
+
+    def __init__(self, loop: EventLoop) -> None:
+        self.now = loop.now
+        self.call_later = loop.call_later
+
+
+class ProcessBase:
+    """What all parts rest on: settings, loop, log, threads, and what sessions share."""
+
+    def __init__(self, settings: PoolerSettings, platform: PlatformAdapter) -> None:
+        self.settings = settings
+        self.platform = platform
+        self.loop = EventLoop()
+        self.metrics = PoolerMetrics()
+        self.log = EventLog(self.metrics)
+        self.notices = ProcessNotices()
+        scheduler = LoopScheduler(self.loop)
+        self.gate = QuotaGate(
+            scheduler,
+            settings.name,
+            settings.quota.policy,
+            self.notices.quota_asked,
+            scheduler.now(),
+        )
+        self.services = PoolServices(
+            scheduler,
+            self.log.record,
+            settings.load.policy,
+            self.gate,
+            self.notices.database_suspected,
+        )
+        self.databases = KnownDatabases(self.services.groups)
+        self.readiness = Readiness(self.services)
+        self.executor = ThreadPoolExecutor(max_workers=EXECUTOR_THREADS)
+
+
+class Neighbours:
+    """The other processes: who they are, the links and datagrams to them, rights between them."""
+
+    def __init__(self, base: ProcessBase) -> None:
+        """Binds the address of datagrams. Raises OSError if it cannot."""
+        settings, loop = base.settings, base.loop
+        self.fencing = Fencing.PLATFORM if settings.promotions_fenced else Fencing.PROCESSES
+        # Where processes fence, a row written before this start would pass for one of this start.
+        start = secrets.token_hex(4) if self.fencing is Fencing.PROCESSES else ""
+        own = Member(settings.peer_address, settings.zone, start)
+        self.rights = PrimaryLeases(self.fencing)
+        self.members = MemberTable(settings.name, own, base.platform.store)
+        is_judged = settings.load.policy.silent_holders
+        self.links = OutgoingLinks(loop, settings.name, base.log.record, is_judged)
+        self.channels = ChannelClient(loop, self.links, base.databases)
+        self.peers = PeerSocket(loop, settings.peer_address)
+
+
+class DatabaseAccess:
+    """The groups of databases, and how connections to them are opened."""
+
+    def __init__(self, base: ProcessBase, neighbours: Neighbours) -> None:
+        settings, services = base.settings, base.services
+        self.reach_limit = ReachLimit()
+        """How long databases take to accept a connection, as openers and probes observe it."""
+        direct = DirectOpener(
+            base.loop,
+            settings.name,
+            base.platform.new_database_codec,
+            base.databases.find,
+            self.reach_limit,
+        )
+        routes = RouteFinder(base.databases, neighbours.members)
+        opener = SharingOpener(direct, neighbours.channels, routes.find)
+        groups = GroupFactory(settings, services, neighbours.rights, opener, direct)
+        self.shares = ConnectionShares(settings, services, neighbours.members, groups)
+        self.directory = Directory(base.platform, services, groups, self.shares, base.notices)
+
+
+class Failover:
+    """What finds a lost primary and replaces it; `core/pooler/failover` decides."""
+
+    def __init__(self, base: ProcessBase, neighbours: Neighbours, reach_limit: ReachLimit) -> None:
+        settings, platform = base.settings, base.platform
+        self.driver = FailoverDriver(
+            base.loop,
+            settings.name,
+            base.services.groups,
+            platform.store,
+            platform.duties,
+            platform.parse_status,
+            base.executor,
+            lambda: neighbours.members.addresses,
+            base.log.record,
+            neighbours.rights,
+        )
+        self.claims = ClaimKeeper(
+            base.loop,
+            settings.name,
+            neighbours.rights,
+            base.services.groups,
+            neighbours.members,
+            neighbours.peers,
+            platform.store,
+            base.executor,
+            self.driver.take_claim,
+            self.driver.take_known,
+        )
+        self.driver.tell_claim = self.claims.tell
+        self.driver.claim_taken = self.claims.claim_taken
+        self.probes = IndirectProbes(
+            base.loop,
+            neighbours.peers,
+            settings.name,
+            base.databases.find,
+            lambda record: self.driver.doubt(record.group, record.id),
+            self.driver.take_answer,
+            self.driver.take_leader,
+            reach_limit,
+        )
+
+
+def build_quota(base: ProcessBase, neighbours: Neighbours) -> QuotaDriver:
+    """Returns what has the rate limits of callers kept among all processes."""
+    name = base.settings.name
+    grantor = Grantor(name, base.settings.quota.policy, base.log.record)
+    members, peers = neighbours.members, neighbours.peers
+    return QuotaDriver(base.loop, name, base.gate, grantor, members, peers)
+
+
+def build_tables(
+    base: ProcessBase, neighbours: Neighbours, directory: Directory, failover: Failover
+) -> TableReading:
+    """Returns what reads the store's tables, with who takes the rows of each."""
+    platform, members = base.platform, neighbours.members
+    tables = TableReading(
+        base.loop, base.settings, platform, neighbours.links, members, base.executor, TABLE
+    )
+    configuration = directory.take_configuration_rows
+    tables.add(platform.configuration_table, configuration, configuration, URGENT_WAIT_SECONDS)
+    tables.add(
+        platform.database_table, directory.take_database_snapshot, directory.take_database_rows
+    )
+    own = CoordinationTable(
+        members,
+        base.notices.members_changed,
+        lambda: members.register_if_missing(base.executor, lambda: base.readiness.is_leaving),
+        failover.driver,
+        failover.claims,
+    )
+    if neighbours.fencing is Fencing.PLATFORM:
+        tables.add(TABLE, own.take_snapshot, own.take_rows)
+        return tables
+    # The holder of a claim waits for all that have rows beside it, so it has to know these.
+    failover.driver.claim_written = lambda: tables.read_soon(TABLE)
+    confirmed = failover.claims.store_confirmed
+    tables.add(TABLE, own.take_snapshot, own.take_rows, RIGHT_WAIT_SECONDS, confirmed)
+    return tables
+
+
+def connect(
+    notices: ProcessNotices,
+    failover: FailoverDriver,
+    quota: QuotaDriver,
+    shares: ConnectionShares,
+    tables: TableReading,
+) -> None:
+    """Says who is told what. Who stands first is told first."""
+    notices.configuration_changed.add_taker(quota.configuration_changed)
+    notices.quota_asked.add_taker(quota.send)
+    notices.group_changed.add_taker(failover.look_at)
+    notices.database_suspected.add_taker(failover.doubt)
+    notices.members_changed.add_taker(failover.members_changed)
+    notices.members_changed.add_taker(quota.members_changed)
+    notices.members_changed.add_taker(shares.share_anew)
+    notices.members_changed.add_taker(tables.members_changed)
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -1,30 +1,19 @@
-"""What the store's rows tell of routes and databases, kept as groups."""
+"""Takes the store's rows of the configuration and of databases, and keeps groups by them.
 
-import random
-from collections.abc import Callable, Sequence
+Owns what these rows say: the configuration in force (`services.routes`) and each group's view of
+its databases. An unreadable row is logged and changes nothing. Relies on the platform's adapter to
+read rows, and on `group_factory` for groups and for the shares of their connections.
+"""
 
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.databases.locality import Locality
-from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
-from dewledge.core.pooler.failover.reach_limit import ReachLimit
-from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sharing.holders import Holding, holding_of, share_of_connections
-from dewledge.core.pooler.statements.read_choice import ReadChoice
-from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ProtocolError
-from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.pooler.links.channel_client import ChannelClient
-from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
+from dewledge.shell.pooler.group_factory import ConnectionShares, GroupFactory
+from dewledge.shell.pooler.notices import ProcessNotices
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
-from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
-from dewledge.shell.shared.event_loop import EventLoop
-
-DRAIN_MARGIN_SECONDS = 2.0
 
 
 class Directory:
@@ -32,32 +21,18 @@
 
     def __init__(
         self,
-        loop: EventLoop,
-        settings: PoolerSettings,
         platform: PlatformAdapter,
         services: PoolServices,
-        members: MemberTable,
-        channels: ChannelClient,
-        rights: PrimaryLeases,
+        groups: GroupFactory,
+        shares: ConnectionShares,
+        notices: ProcessNotices,
     ) -> None:
-        self._loop = loop
-        self._settings = settings
         self._platform = platform
         self._services = services
-        self._place = Locality(settings.zone, settings.zones)
-        self._members = members
-        self._rights = rights
-        self.reach_limit = ReachLimit()
-        self._direct = DirectOpener(
-            loop, settings.name, platform.new_database_codec, self.find, self.reach_limit
-        )
-        self._opener = SharingOpener(self._direct, channels, self._find_way)
-        channels.proof_told = self._take_proof
-        channels.load_told = self._take_load
-        self.configuration_changed: Callable[[], None] = lambda: None
-        """Called when another configuration is in force."""
-        self.group_changed: Callable[[str], None] = lambda group: None
-        """Called with the name of a group whose view has changed."""
+        self._groups = groups
+        self._shares = shares
+        self._notices = notices
+        self._now = services.scheduler.now
 
     def take_configuration_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
         """Takes rows of the operators' table."""
@@ -75,9 +50,9 @@
             return
         self._services.routes = table
         for name in table.groups:
-            self._group(name)
-        self.share_connections()
-        self.configuration_changed()
+            self._groups.group(name)
+        self._shares.share_anew()
+        self._notices.configuration_changed(table)
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
@@ -107,9 +82,9 @@
         except ProtocolError as error:
             logger.bind(error=error.message, database=row.key).error("database_entry_refused")
             return
-        group = self._group(record.group)
-        group.change_view(group.view.with_record(record, self._loop.now()))
-        self.group_changed(record.group)
+        group = self._groups.group(record.group)
+        group.change_view(group.view.with_record(record, self._now()))
+        self._notices.group_changed(record.group)
         logger.bind(
             database=record.id,
             group=record.group,
@@ -122,86 +97,6 @@
 
     def _database_gone(self, group: Group, database_id: str, revision: int) -> None:
         if database_id in group.view.databases:
-            view = group.view.with_departure(database_id, revision, self._loop.now())
+            view = group.view.with_departure(database_id, revision, self._now())
             group.change_view(view)
             logger.bind(database=database_id, revision=revision).info("database_entry_gone")
-
-    def find(self, database_id: str) -> DatabaseRecord | None:
-        """Returns a database by its id, None if no group has it."""
-        for group in self._services.groups.values():
-            record = group.view.databases.get(database_id)
-            if record is not None:
-                return record
-        return None
-
-    def group_of(self, database_id: str) -> Group | None:
-        """Returns the group of a database, None if no group has it."""
-        record = self.find(database_id)
-        return None if record is None else self._group(record.group)
-
-    def _take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
-        group = self.group_of(database_id)
-        if group is not None:
-            group.record_proof(true_at, position)
-
-    def _take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        group = self.group_of(database_id)
-        if group is not None:
-            group.take_load(database_id, holder, report)
-
-    def _find_way(self, database_id: str, caller: str) -> Sequence[str] | None:
-        """Returns the addresses of the processes to go through, None for the direct way."""
-        group = self.group_of(database_id)
-        if group is None:
-            return None
-        relay = group.relay_to(database_id)
-        if relay is not None:
-            return [relay]
-        holding = group.holding(database_id)
-        if holding.is_direct:
-            return None
-        return [
-            self._members.members[name].peer_address
-            for name in holding.holders_for(caller)
-            if name in self._members.members
-        ]
-
-    def _group(self, name: str) -> Group:
-        group = self._services.groups.get(name)
-        if group is None:
-            is_told = self._services.load_policy.told_load
-            choice = ReadChoice(self._loop.now, random.random) if is_told else None
-            bound = max(self._settings.timings.drain_bound - DRAIN_MARGIN_SECONDS, 1.0)
-            group = Group(
-                name,
-                self._place,
-                self._opener,
-                self._loop.now,
-                bound,
-                self._direct,
-                self._rights.of(name),
-                choice,
-                self._services.load_policy.silent_databases,
-                self._services.load_policy.fair_callers,
-            )
-            group.record = self._services.record
-            self._services.groups[name] = group
-        return group
-
-    def share_connections(self) -> None:
-        """Has each group find anew how this process reaches its databases."""
-        for name in self._services.routes.groups:
-            self._group(name).set_holdings(self._find_holding)
-
-    def _find_holding(self, record: DatabaseRecord) -> Holding:
-        policy = self._services.routes.groups.get(record.group)
-        if policy is None:
-            return Holding(1)
-        if not self._members.is_known:
-            return Holding(max(share_of_connections(policy.max_connections, ASSUMED_MEMBERS), 1))
-
-        def distance(zone: str) -> int:
-            return self._place.steps_between(zone, record.zone)
-
-        name = self._settings.name
-        return holding_of(name, record.id, policy.max_connections, self._members.members, distance)
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -3,6 +3,7 @@
 import itertools
 from collections import deque
 from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.load.report import LoadReport
@@ -25,16 +26,23 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 OpenedCallback = Callable[[DatabaseConnection], None]
-ProofCallback = Callable[[str, float, LogPosition], None]
-"""Takes a database, a time (steady clock) and a position: see Group.record_proof."""
-LoadCallback = Callable[[str, str, LoadReport], None]
-"""Takes a database, the address of a holder, and what it told: see Group.take_load."""
+
+
+class HolderNews(Protocol):
+    """Takes what answers of holders tell besides the answers themselves."""
+
+    def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
+        """A database's group was surely at `position` at a time (steady clock)."""
+
+    def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
+        """The load before a database, as the holder at this address tells it."""
 
 
 class ChannelClient:
     """All channels of one process to others."""
 
-    def __init__(self, loop: EventLoop, links: OutgoingLinks) -> None:
+    def __init__(self, loop: EventLoop, links: OutgoingLinks, news: HolderNews) -> None:
+        self._news = news
         self.loop = self._loop = loop
         self._links = links
         self.is_judged = links.is_judged
@@ -43,10 +51,6 @@
         """Numbers from 0 to 1 that spread probes."""
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
         self._numbers = itertools.count(1)
-        self.proof_told: ProofCallback = lambda database_id, sent_at, position: None
-        """Called with what an answer tells of a database's group, besides the answer itself."""
-        self.load_told: LoadCallback = lambda database_id, holder, report: None
-        """Called with what an answer tells of the load before a database."""
         links.add_user(self)
         if links.is_judged:
             links.watch_health(self._holder_judged)
@@ -107,9 +111,9 @@
         """The holder answered after the statement was sent: what it knew then is as old at most."""
         if message.proof is not None and channel.sent_at:
             true_at = channel.sent_at[0] - message.proof.age_seconds
-            self.proof_told(channel.connection.database_id, true_at, message.proof.position)
+            self._news.take_proof(channel.connection.database_id, true_at, message.proof.position)
         if message.load is not None:
-            self.load_told(channel.connection.database_id, channel.holder, message.load)
+            self._news.take_load(channel.connection.database_id, channel.holder, message.load)
 
     def link_lost(self, link: OutgoingLink) -> None:
         """A link ended: so do its channels."""
--- /dev/null
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -0,0 +1,57 @@
+"""What a process answers over HTTP: whether it is ready, and its metrics.
+
+Owns both listening addresses.
+"""
+
+from collections.abc import Callable
+
+from dewledge.pooler_settings import PoolerSettings
+from dewledge.shell.pooler.observing.pooler_metrics import CONTENT_TYPE as METRICS_TYPE
+from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
+from dewledge.shell.shared.event_loop import EventLoop
+from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
+from dewledge.shell.shared.http_server import HttpServer
+
+PLAIN = "text/plain"
+READY = 200
+NOT_READY = 503
+
+
+class StatusPages:
+    """All methods belong to the loop's thread once it runs."""
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        settings: PoolerSettings,
+        metrics: PoolerMetrics,
+        is_ready: Callable[[], bool],
+    ) -> None:
+        """Binds both addresses. Raises OSError if one cannot be bound."""
+        self._metrics = metrics
+        self._is_ready = is_ready
+        limits = HttpLimits()
+        self._ready = HttpServer(loop, settings.ready_address, limits, self._answer_ready)
+        self._numbers = HttpServer(loop, settings.metrics_address, limits, self._answer_metrics)
+
+    @property
+    def ready_address(self) -> str:
+        """Where readiness is asked for."""
+        return self._ready.address
+
+    def start(self) -> None:
+        """Starts to answer."""
+        self._ready.start()
+        self._numbers.start()
+
+    def close(self) -> None:
+        """Answers no more."""
+        self._ready.close()
+        self._numbers.close()
+
+    def _answer_ready(self, exchange: Exchange) -> None:
+        status = READY if self._is_ready() else NOT_READY
+        exchange.respond(HttpResponse(status, b"", PLAIN))
+
+    def _answer_metrics(self, exchange: Exchange) -> None:
+        exchange.respond(HttpResponse(READY, self._metrics.render(), METRICS_TYPE))
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -1,57 +1,44 @@
-"""One pooler process, put together: clients, databases, the store's tables, readiness, the end."""
+"""One pooler process: the order in which its parts start, are looked after, and stop.
+
+Owns nothing but that order and the sweep; `composition` builds the parts, `planned_stop` decides
+what a stop does when.
+"""
 
-import secrets
 import socket
-from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import StoreRow
-from dewledge.core.pooler.failover.messages import RegisteredProcesses
-from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
-from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
-from dewledge.shell.pooler.directory import Directory
-from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
-from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
-from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
-from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.composition import (
+    DatabaseAccess,
+    Failover,
+    Neighbours,
+    ProcessBase,
+    build_quota,
+    build_tables,
+    connect,
+)
 from dewledge.shell.pooler.links.channel_server import ChannelServer
 from dewledge.shell.pooler.links.client_listener import ClientListener
-from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
-from dewledge.shell.pooler.links.peer_socket import PeerSocket
-from dewledge.shell.pooler.observing.event_log import EventLog
-from dewledge.shell.pooler.observing.pooler_metrics import CONTENT_TYPE as METRICS_TYPE
-from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
 from dewledge.shell.pooler.observing.process_gauges import add_process_gauges
 from dewledge.shell.pooler.observing.stall_watch import StallWatch
+from dewledge.shell.pooler.observing.status_pages import StatusPages
 from dewledge.shell.pooler.observing.wait_reporter import WaitReporter
+from dewledge.shell.pooler.planned_stop import PlannedStop
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
-from dewledge.shell.pooler.quota_driver import QuotaDriver
-from dewledge.shell.pooler.settings_file import SettingsFile
-from dewledge.shell.pooler.tables.coordination_rows import TABLE
-from dewledge.shell.pooler.tables.member_table import MemberTable
-from dewledge.shell.pooler.tables.table_reading import (
-    RIGHT_WAIT_SECONDS,
-    URGENT_WAIT_SECONDS,
-    TableReading,
-)
-from dewledge.shell.shared.event_loop import EventLoop
-from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
-from dewledge.shell.shared.http_server import HttpServer
+from dewledge.shell.pooler.settings_file import CurrentSettings
 from dewledge.shell.shared.sockets import listen_tcp
 
 SWEEP_SECONDS = 0.25
-TAKE_SHARE = 0.55
-"""Of a planned stop's time; what is taken later might be cut by the end of the process."""
-EXECUTOR_THREADS = 8
-PLAIN = "text/plain"
+"""Between two looks at sessions, settings and a planned stop; chosen, not measured."""
 
 
 class PoolerProcess:
-    """Everything of one process. All methods but `leave` belong to the loop's thread."""
+    """Everything of one process.
+
+    All methods but `leave` and `reload` belong to the loop's thread.
+    """
 
     def __init__(
         self,
@@ -65,158 +52,93 @@
         settings_file: read again when it changes or the process is told to.
         client_listener: listens at the clients' address already; bound here if there is none.
         """
-        self._settings_file = SettingsFile(settings_file)
-        self._settings = settings
-        self._platform = platform
-        self._loop = EventLoop()
-        self._metrics = PoolerMetrics()
-        self._log = EventLog(self._metrics)
-        self._services = PoolServices(_LoopScheduler(self._loop), self._log.record)
-        self._services.load_policy = settings.load.policy
-        fencing = Fencing.PLATFORM if settings.promotions_fenced else Fencing.PROCESSES
-        # Where processes fence, a row written before this start would pass for this process's word.
-        start = secrets.token_hex(4) if fencing is Fencing.PROCESSES else ""
-        own = Member(settings.peer_address, settings.zone, start)
-        self._rights = PrimaryLeases(fencing)
-        self._members = MemberTable(settings.name, own, platform.store)
-        self._links = OutgoingLinks(
-            self._loop, settings.name, self._log.record, settings.load.policy.silent_holders
-        )
-        self._channels = ChannelClient(self._loop, self._links)
-        self._directory = Directory(
-            self._loop,
-            settings,
-            platform,
-            self._services,
-            self._members,
-            self._channels,
-            self._rights,
-        )
-        self._clients = ClientListener(
-            self._loop,
-            client_listener or listen_tcp(settings.client_address)[0],
-            self._services,
-            platform.new_client_codec,
-            settings.max_client_connections,
-        )
-        self._ready = HttpServer(
-            self._loop, settings.ready_address, HttpLimits(), self._answer_ready
-        )
-        self._metrics_server = HttpServer(
-            self._loop, settings.metrics_address, HttpLimits(), self._answer_metrics
-        )
-        self._executor = ThreadPoolExecutor(max_workers=EXECUTOR_THREADS)
-        self._succession = FailoverDriver(
-            self._loop,
-            settings.name,
-            self._services.groups,
-            platform.store,
-            platform.duties,
-            platform.parse_status,
-            self._executor,
-            lambda: self._members.addresses,
-            self._log.record,
-            self._rights,
-        )
-        self._peers = PeerSocket(self._loop, settings.peer_address)
-        self._quota = QuotaDriver(
-            self._loop,
-            settings.name,
-            settings.quota.policy,
-            self._services,
-            self._members,
-            self._peers,
-            self._log,
-        )
-        self._directory.configuration_changed = self._quota.configuration_changed
-        self._claims = ClaimKeeper(
-            self._loop,
-            settings.name,
-            self._rights,
-            self._services.groups,
-            self._members,
-            self._peers,
-            platform.store,
-            self._executor,
-            self._succession.take_claim,
-            self._succession.take_known,
-        )
-        self._succession.tell_claim = self._claims.tell
-        self._succession.claim_taken = self._claims.claim_taken
-        self._witnesses = IndirectProbes(
-            self._loop,
-            self._peers,
-            settings.name,
-            self._directory.find,
-            lambda record: self._succession.doubt(record.group, record.id),
-            self._succession.take_answer,
-            self._succession.take_leader,
-            self._directory.reach_limit,
-        )
-        self._tables = TableReading(
-            self._loop, settings, platform, self._links, self._members, self._executor, TABLE
-        )
-        self._tables.add(
-            platform.configuration_table,
-            self._directory.take_configuration_rows,
-            self._directory.take_configuration_rows,
-            URGENT_WAIT_SECONDS,
-        )
-        self._tables.add(
-            platform.database_table,
-            self._directory.take_database_snapshot,
-            self._directory.take_database_rows,
+        self._settings = CurrentSettings(settings, settings_file, platform.store)
+        base = ProcessBase(settings, platform)
+        self._loop, self._services, self._log = base.loop, base.services, base.log
+        self._readiness = base.readiness
+        self._clients = self._build_clients(base, client_listener)
+        self._pages = StatusPages(self._loop, settings, base.metrics, lambda: self.is_ready)
+        self._neighbours = Neighbours(base)
+        access = DatabaseAccess(base, self._neighbours)
+        self._failover = Failover(base, self._neighbours, access.reach_limit)
+        self._quota = build_quota(base, self._neighbours)
+        self._tables = build_tables(base, self._neighbours, access.directory, self._failover)
+        connect(base.notices, self._failover.driver, self._quota, access.shares, self._tables)
+        self._lending = self._build_lending(base)
+        self._stop = self._build_stop()
+        self._add_gauges(base)
+        self._stall_watch = StallWatch(SWEEP_SECONDS)
+        groups = self._services.groups
+        self._waits = WaitReporter(self._services.scheduler, groups, self._log.record)
+
+    def _build_clients(self, base: ProcessBase, listener: socket.socket | None) -> ClientListener:
+        return ClientListener(
+            base.loop,
+            listener or listen_tcp(base.settings.client_address)[0],
+            base.services,
+            base.platform.new_client_codec,
+            base.settings.max_client_connections,
+        )
+
+    def _build_lending(self, base: ProcessBase) -> ChannelServer:
+        return ChannelServer(
+            base.loop,
+            base.settings.peer_address,
+            base.services,
+            base.databases.group_of,
+            self._tables.take_question,
         )
-        self._add_coordination_table(fencing)
-        self._lending = ChannelServer(
-            self._loop,
-            settings.peer_address,
+
+    def _build_stop(self) -> PlannedStop:
+        return PlannedStop(
+            self._readiness,
             self._services,
-            self._directory.group_of,
-            self._tables.take_question,
+            self._clients,
+            self._lending,
+            self._settings,
+            self._finish,
         )
+
+    def _add_gauges(self, base: ProcessBase) -> None:
         add_process_gauges(
-            self._metrics,
-            self._services,
+            base.metrics,
+            base.services,
             self._clients,
-            self._members,
-            self._links,
+            self._neighbours.members,
+            self._neighbours.links,
             self._lending,
             lambda: self.is_ready,
         )
-        self._services.suspect = self._succession.doubt
-        self._directory.group_changed = self._succession.look_at
-        self._leaving_since: float | None = None
-        self._stall_watch = StallWatch(SWEEP_SECONDS)
-        self._waits = WaitReporter(
-            self._services.scheduler, self._services.groups, self._log.record
-        )
 
     def run(self) -> None:
         """Serves until the process has left."""
+        settings = self._settings.present
         logger.bind(
-            name=self._settings.name,
-            zone=self._settings.zone,
-            clients=self._settings.client_address,
-            peers=self._settings.peer_address,
-            store=self._settings.store_address,
+            name=settings.name,
+            zone=settings.zone,
+            clients=settings.client_address,
+            peers=settings.peer_address,
+            store=settings.store_address,
         ).info("pooler_started")
         self._tables.start()
-        self._peers.start()
-        self._claims.start()
+        self._neighbours.peers.start()
+        self._failover.claims.start()
         self._quota.start()
         self._lending.start()
-        self._succession.start(self._witnesses)
+        self._failover.driver.start(self._failover.probes)
         self._clients.start()
-        self._ready.start()
-        self._metrics_server.start()
+        self._pages.start()
         self._waits.start()
         self._sweep()
         self._loop.run()
 
     def leave(self) -> None:
         """Begins a planned stop. May be called from a signal handler."""
-        self._loop.post(self._leave)
+        self._loop.post(lambda: self._stop.begin(self._loop.now()))
+
+    def reload(self) -> None:
+        """Reads the settings file again. May be called from a signal handler."""
+        self._loop.post(self._settings.reload)
 
     @property
     def client_address(self) -> str:
@@ -226,72 +148,12 @@
     @property
     def ready_address(self) -> str:
         """Where readiness is asked for."""
-        return self._ready.address
+        return self._pages.ready_address
 
     @property
     def is_ready(self) -> bool:
         """Whether new connections should come here."""
-        return self._leaving_since is None and self._services.is_configured
-
-    def _leave(self) -> None:
-        if self._leaving_since is not None:
-            return
-        self._leaving_since = self._loop.now()
-        self._lending.leave()
-        logger.bind(
-            sessions=len(self._clients.connections), channels=self._lending.channel_count
-        ).info("pooler_leaving")
-
-    def _answer_ready(self, exchange: Exchange) -> None:
-        status = 200 if self.is_ready else 503
-        exchange.respond(HttpResponse(status, b"", PLAIN))
-
-    def _answer_metrics(self, exchange: Exchange) -> None:
-        exchange.respond(HttpResponse(200, self._metrics.render(), METRICS_TYPE))
-
-    def reload(self) -> None:
-        """Reads the settings file again. May be called from a signal handler."""
-        self._loop.post(self._reload)
-
-    def _reload(self) -> None:
-        changed = self._settings_file.read(self._settings)
-        if changed is not None:
-            self._settings = changed
-            self._platform.store.change_address(changed.store_address)
-
-    def _add_coordination_table(self, fencing: Fencing) -> None:
-        if fencing is Fencing.PLATFORM:
-            self._tables.add(TABLE, self._coordination_snapshot, self._coordination_rows)
-            return
-        # The holder of a claim waits for all that have rows beside it, so it has to know these.
-        self._succession.claim_written = lambda: self._tables.read_soon(TABLE)
-        self._tables.add(
-            TABLE,
-            self._coordination_snapshot,
-            self._coordination_rows,
-            RIGHT_WAIT_SECONDS,
-            self._claims.store_confirmed,
-        )
-
-    def _coordination_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        self._take_coordination(rows, version, self._members.take_snapshot(rows))
-
-    def _coordination_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        self._take_coordination(rows, version, self._members.take_rows(rows))
-
-    def _take_coordination(
-        self, rows: tuple[StoreRow, ...], version: int, members_changed: bool
-    ) -> None:
-        if members_changed:
-            self._succession.members_changed()
-            self._quota.members_changed()
-            self._directory.share_connections()
-            self._tables.members_changed()
-        self._members.register_if_missing(self._executor, lambda: self._leaving_since is not None)
-        names = frozenset(self._members.members)
-        self._succession.take_registered(RegisteredProcesses(names, version))
-        self._succession.take_rows(rows)
-        self._claims.take_rows(rows)
+        return self._readiness.is_ready
 
     # Time.
 
@@ -303,10 +165,8 @@
         self._end_resting_transactions(now)
         for group in self._services.groups.values():
             group.trim_connections()
-        if self._settings_file.has_changed():
-            self._reload()
-        if self._leaving_since is not None:
-            self._continue_leaving(now - self._leaving_since)
+        self._settings.reload_if_changed()
+        self._stop.go_on(now)
         self._loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def _end_resting_transactions(self, now: float) -> None:
@@ -318,38 +178,15 @@
             elif since is not None:
                 connection.session.end_if_denied()
 
-    def _continue_leaving(self, elapsed: float) -> None:
-        bound = self._settings.timings.stop_bound
-        if elapsed > bound * TAKE_SHARE and not self._services.is_ending:
-            self._services.is_ending = True
-            self._clients.close()
-        for connection in list(self._clients.connections):
-            if elapsed > bound / 2:
-                connection.session.end_transaction("planned_stop")
-            connection.leave()
-        is_done = not self._clients.connections and self._lending.at_rest
-        if (elapsed > bound / 2 and is_done) or elapsed > bound * 0.9:
-            self._finish()
-
     def _finish(self) -> None:
-        self._succession.stop()
+        self._failover.driver.stop()
         self._waits.tell()
         logger.bind(unfinished=len(self._clients.connections)).info("pooler_stopped")
         self._tables.stop()
         self._clients.close()
-        self._ready.close()
-        self._metrics_server.close()
-        self._claims.stop()
-        self._peers.close()
+        self._pages.close()
+        self._failover.claims.stop()
+        self._neighbours.peers.close()
         self._lending.close()
-        self._links.close()
+        self._neighbours.links.close()
         self._loop.stop()
-
-
-class _LoopScheduler:
-    """The loop as the core's clock and timers."""
-
-    def __init__(self, loop: EventLoop) -> None:
-        self._loop = loop
-        self.now = loop.now
-        self.call_later = loop.call_later
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -2,11 +2,9 @@
 
 from dewledge.core.pooler.rate_limits.gate import SEARCH_SPACING_SECONDS, QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
-from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.routes import RouteTable
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
-from dewledge.shell.pooler.observing.event_log import EventLog
 from dewledge.shell.pooler.tables.member_table import MemberTable
 from dewledge.shell.shared.event_loop import EventLoop
 
@@ -18,22 +16,18 @@
         self,
         loop: EventLoop,
         own_name: str,
-        policy: QuotaPolicy,
-        services: PoolServices,
+        gate: QuotaGate,
+        grantor: Grantor,
         members: MemberTable,
         peers: PeerSocket,
-        log: EventLog,
     ) -> None:
+        """`gate`: admits operations here; its questions come to `send`."""
         self._loop = loop
         self._own_name = own_name
         self._members = members
         self._peers = peers
-        self._gate = QuotaGate(
-            services.scheduler, own_name, policy, self._send, services.scheduler.now()
-        )
-        self._grantor = Grantor(own_name, policy, log.record)
-        services.admission = self._gate
-        self._services = services
+        self._gate = gate
+        self._grantor = grantor
         peers.on(QuotaQuestion, self._take_question)
         peers.on(QuotaAnswer, self._take_answer)
 
@@ -47,9 +41,9 @@
         self._gate.set_members(names)
         self._grantor.set_members(names)
 
-    def configuration_changed(self) -> None:
+    def configuration_changed(self, routes: RouteTable) -> None:
         """Takes the limits of the configuration in force."""
-        limits = self._services.routes.rate_limits
+        limits = routes.rate_limits
         self._gate.set_limits(limits)
         self._grantor.set_limits(limits)
 
@@ -57,7 +51,8 @@
         again = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
         self._loop.call_later(again, self._tick)
 
-    def _send(self, name: str, question: QuotaQuestion) -> None:
+    def send(self, name: str, question: QuotaQuestion) -> None:
+        """Sends a question of the gate to the process of this name, or asks the own grantor."""
         if name == self._own_name:
             answer = self._grantor.take_question(question, self._loop.now())
             self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
--- a/src/dewledge/shell/pooler/settings_file.py
+++ b/src/dewledge/shell/pooler/settings_file.py
@@ -1,6 +1,7 @@
 """The settings file of a running process: noticed when it changes, taken only if it is right."""
 
 from pathlib import Path
+from typing import Protocol
 
 import msgspec
 from loguru import logger
@@ -12,6 +13,13 @@
 """Settings that need a restart; a change of one is told and not taken."""
 
 
+class MovableStore(Protocol):
+    """A store whose address may change while the process runs."""
+
+    def change_address(self, address: str) -> None:
+        """Sends later calls to another "ip:port"."""
+
+
 class SettingsFile:
     """Reads the file again when its time or size has changed."""
 
@@ -53,6 +61,28 @@
         return (status.st_mtime_ns, status.st_size)
 
 
+class CurrentSettings:
+    """The settings in force: those of the start until the file has others."""
+
+    def __init__(self, settings: PoolerSettings, path: Path | None, store: MovableStore) -> None:
+        """`store`: is told when its address changes."""
+        self.present = settings
+        self._file = SettingsFile(path)
+        self._store = store
+
+    def reload(self) -> None:
+        """Reads the file again."""
+        changed = self._file.read(self.present)
+        if changed is not None:
+            self.present = changed
+            self._store.change_address(changed.store_address)
+
+    def reload_if_changed(self) -> None:
+        """Reads the file again if it is another one than last time."""
+        if self._file.has_changed():
+            self.reload()
+
+
 def differs(present: PoolerSettings, read: PoolerSettings, name: str) -> bool:
     """Tells whether one setting differs."""
     return bool(getattr(present, name) != getattr(read, name))
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -34,10 +34,12 @@
         self.processes += [self.start(f"node-{number}") for number in (3, 4)]
         for process in self.processes:
             known = wait_until(lambda p=process: self.knows_all(p), START_SECONDS)  # type: ignore[misc]
-            self.assertTrue(known, f"{process.client_address} knows {process._members.members}")
+            self.assertTrue(
+                known, f"{process.client_address} knows {process._neighbours.members.members}"
+            )
 
     def knows_all(self, process: PoolerProcess) -> bool:
-        return process.is_ready and len(process._members.members) == 4
+        return process.is_ready and len(process._neighbours.members.members) == 4
 
     def held(self) -> dict[str, list[int]]:
         """Returns the numbers of the processes that hold connections, by database."""
@@ -80,7 +82,7 @@
     def stop_at_once(self, process: PoolerProcess) -> None:
         """Ends a process without a word, as a kill would; its connections close with the loop."""
         process._loop.post(process._lending.close)
-        process._loop.post(process._links.close)
+        process._loop.post(process._neighbours.links.close)
         process._loop.post(process._tables.stop)
         process._loop.stop()
 
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -26,6 +26,7 @@
     TransactionState,
 )
 from dewledge.errors import ErrorCode
+from dewledge.shell.pooler.known_databases import KnownDatabases
 from dewledge.shell.pooler.links.channel_client import ChannelClient
 from dewledge.shell.pooler.links.framed_stream import FramedStream
 from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
@@ -103,7 +104,7 @@
         self.events: list[PoolingEvent] = []
         self.links = OutgoingLinks(self.loop, "own", self.events.append, self.is_judged)
         self.addCleanup(self.links.close)
-        self.channels = ChannelClient(self.loop, self.links)
+        self.channels = ChannelClient(self.loop, self.links, KnownDatabases({}))
         self.first = self.holder()
         self.second = self.holder()
 
