--- /dev/null
+++ b/src/dewledge/core/pooler/sharing/channel_proofs.py
@@ -0,0 +1,53 @@
+"""What a channel's answers prove of the database and its group, and what peers are told of it.
+
+Relies on the group's history of log positions, which all sessions of this process share.
+"""
+
+from collections.abc import Callable
+
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.sharing.messages import ProvenAge
+from dewledge.core.pooler.sharing.primary_proof import PrimaryProof
+from dewledge.core.pooler.statements.statements import Reply, Statement
+from dewledge.errors import ErrorCode
+
+
+class ChannelProofs:
+    """Follows the answers on one channel."""
+
+    __slots__ = ("_group", "_lead", "_now")
+
+    def __init__(self, group: Group, now: Callable[[], float]) -> None:
+        self._group = group
+        self._now = now
+        self._lead = PrimaryProof()
+
+    def learn(
+        self,
+        connection: DatabaseConnection,
+        reply: Reply,
+        statement: Statement | None,
+        writes: bool,
+        sent_at: float,
+    ) -> None:
+        """Takes the answer of a statement that was sent at a time (steady clock, seconds).
+
+        statement: None where the answer belongs to none. writes: whether the statement does.
+        """
+        code = None if reply.failure is None else reply.failure.code
+        if code is None and statement is not None and reply.position is not None:
+            proves = self._lead.proves(statement.kind, writes)
+            if proves and self._group.may_lead(connection.database_id):
+                self._group.record_proof(sent_at, reply.position)
+        if code is ErrorCode.NOT_PRIMARY:
+            self._group.refute_primary(connection.database_id)
+        elif code is ErrorCode.UNKNOWN_STATEMENT:
+            connection.prepared.clear()
+
+    def newest(self) -> ProvenAge | None:
+        """Returns the newest proven position and its age, None if nothing is proven."""
+        newest = self._group.history.newest
+        if newest is None:
+            return None
+        return ProvenAge(newest.position, self._now() - newest.sent_at)
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -4,50 +4,41 @@
 are kept here and given to whichever connection runs the next statement; a transaction keeps its
 connection until it ends. What was surely not sent is answered as refused; a connection lost after
 sending ends the channel, so that the peer, which knows what it sent, decides.
+
+Owns the queue of the peer's statements, the statement under way and its connection. Relies on
+`channel_wait` for a connection, `kept_session` for what the peer has set, `slot_retry` for what is
+sent once more, `channel_proofs` for what answers prove.
 """
 
-import math
-import random
 from collections import deque
-from collections.abc import Callable
 from typing import Protocol
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.load.verdict import RefusalCause
-from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.scheduling import ScheduledCall
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
-from dewledge.core.pooler.sharing.channel_wait import MILLISECONDS, ChannelWait
+from dewledge.core.pooler.sharing.channel_proofs import ChannelProofs
+from dewledge.core.pooler.sharing.channel_wait import ChannelWait
+from dewledge.core.pooler.sharing.kept_session import KeptSession
 from dewledge.core.pooler.sharing.messages import ChannelStatement, ProvenAge
-from dewledge.core.pooler.sharing.primary_proof import PrimaryProof
+from dewledge.core.pooler.sharing.single_timer import SingleTimer
+from dewledge.core.pooler.sharing.slot_retry import SlotRetry, is_full
 from dewledge.core.pooler.statements.connection_setup import plan_setup, send_setup
 from dewledge.core.pooler.statements.statements import (
     Failure,
     Reply,
     Statement,
-    StatementKind,
     TransactionState,
 )
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
-SLOT_PAUSE_SECONDS = 0.01
-"""Mean pause before a statement is sent once more that found no slot; drawn anew each time."""
 SETUP_LIMIT_SECONDS = 0.3
+"""For the setup of a connection; less than a peer gives its own (0.4 s). Chosen, not measured."""
 MAX_PIPELINED = 300
-
-_KEPT_HERE = frozenset(
-    {
-        StatementKind.SET_VALUE,
-        StatementKind.PREPARE,
-        StatementKind.DEALLOCATE,
-        StatementKind.DISCARD,
-    }
-)
+"""Statements of a peer that wait on one channel: one statement and its setup are at most 256 values
+(MAX_VALUES), a discard and a prepared name. Chosen above that, not measured."""
 
 
 class ChannelTransport(Protocol):
@@ -78,19 +69,16 @@
         self._database_id = database_id
         self._pool: ConnectionPool = group.lending_pool(database_id)
         self._transport = transport
-        self._state = SessionState(name, "")
-        self._state.caller = caller
+        self._kept = KeptSession(name, caller)
         self._queue: deque[ChannelStatement] = deque()
         self._current: ChannelStatement | None = None
         self._connection: DatabaseConnection | None = None
         self._wait = ChannelWait(services, group, database_id, self._given, self._refuse)
-        self._timer: ScheduledCall | None = None
+        self._timer = SingleTimer(services.scheduler)
+        self._slots = SlotRetry(services)
+        self._proofs = ChannelProofs(group, services.scheduler.now)
         self._is_open = False
         self._sent_at = 0.0
-        self._slot_since = 0.0
-        self._refuse_at = 0.0
-        """Until then a statement may be sent again that found no slot."""
-        self._lead = PrimaryProof()
         self._ended = False
 
     @property
@@ -114,7 +102,7 @@
             return
         self._ended = True
         self._queue.clear()
-        self._clear_timer()
+        self._timer.clear()
         self._wait.end()
         connection, self._connection = self._connection, None
         if connection is None:
@@ -131,34 +119,20 @@
 
     def _serve(self, message: ChannelStatement) -> None:
         statement = message.statement
-        if statement.kind in _KEPT_HERE:
-            self._change_session(statement)
-            self._transport.send_reply(Reply(self._transaction_state), self._proven())
+        if self._kept.keeps(statement):
+            self._kept.change(statement)
+            self._transport.send_reply(Reply(self._transaction_state), self._proofs.newest())
             return
-        unknown = statement.kind is StatementKind.EXECUTE
-        if unknown and statement.name not in self._state.prepared:
+        if self._kept.lacks_name_of(statement):
             self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"))
             return
         self._current = message
-        self._refuse_at = self._services.scheduler.now() + self._wait.longest(message)
+        self._slots.allow(self._wait.longest(message))
         if self._connection is not None:
             self._prepare(self._connection)
         else:
             self._acquire(message)
 
-    def _change_session(self, statement: Statement) -> None:
-        state = self._state
-        if statement.kind is StatementKind.SET_VALUE:
-            state.values[statement.name] = statement.argument
-        elif statement.kind is StatementKind.PREPARE:
-            shape = PreparedShape(statement.writes, statement.argument)
-            state.prepared[statement.name] = shape
-        elif statement.kind is StatementKind.DEALLOCATE:
-            state.prepared.pop(statement.name, None)
-        else:
-            state.values.clear()
-            state.prepared.clear()
-
     # Getting a connection.
 
     def _acquire(self, message: ChannelStatement) -> None:
@@ -166,7 +140,7 @@
             self._refuse(Failure(ErrorCode.OVERLOADED, "not served here any more"))
             return
         self._pool = self._group.lending_pool(self._database_id)
-        self._wait.begin(self._pool, message, self._state)
+        self._wait.begin(self._pool, message, self._kept.state)
 
     def _given(self, connection: DatabaseConnection) -> None:
         self._connection = connection
@@ -177,18 +151,18 @@
     def _prepare(self, connection: DatabaseConnection) -> None:
         message = self._current
         assert message is not None
-        steps = plan_setup(self._state, connection, message.statement, self._is_open)
+        steps = plan_setup(self._kept.state, connection, message.statement, self._is_open)
         if not steps:
             self._send(connection, message.statement, message.floor)
             return
-        self._limit(SETUP_LIMIT_SECONDS, self._setup_silent)
+        self._timer.start(SETUP_LIMIT_SECONDS, self._setup_silent)
         send_setup(connection, steps, None, None, self._set_up)
 
     def _set_up(self, verdict: Reply | None | bool) -> None:
         connection, message = self._connection, self._current
         if self._ended or connection is None or message is None:
             return
-        self._clear_timer()
+        self._timer.clear()
         if verdict is True:
             self._send(connection, message.statement, message.floor)
         else:
@@ -215,7 +189,7 @@
     ) -> None:
         self._sent_at = self._services.scheduler.now()
         if not is_again:
-            self._slot_since = self._sent_at
+            self._slots.first_sent(self._sent_at)
         connection.send(statement, self._answered, floor)
 
     def _answered(self, reply: Reply | None) -> None:
@@ -227,78 +201,32 @@
             self._end_channel()
             return
         if self._current is not None:
-            held = self._services.scheduler.now() - self._slot_since
-            self._pool.note_answer(self._current.statement.kind, reply, held, connection)
-        if self._finds_no_slot(reply):
-            pause = SLOT_PAUSE_SECONDS * random.uniform(0.5, 1.5)
-            self._limit(pause, lambda: self._send_again(connection))
+            kind = self._current.statement.kind
+            self._pool.note_answer(kind, reply, self._slots.held_seconds, connection)
+        if self._slots.is_due(reply, self._transaction_state, self._pool):
+            self._timer.start(self._slots.pause(), lambda: self._send_again(connection))
             return
-        if not self._is_open and _is_full(reply):
-            reply = self._with_return(reply)
+        if not self._is_open and is_full(reply):
+            reply = self._slots.with_return(reply, self._pool)
         self._learn(connection, reply)
+        self._finish(connection, reply)
+
+    def _finish(self, connection: DatabaseConnection, reply: Reply) -> None:
         self._is_open = reply.state is not TransactionState.IDLE
         if not self._is_open:
             self._connection = None
             self._pool.release(connection)
         self._answer(reply)
 
-    def _finds_no_slot(self, reply: Reply) -> bool:
-        """Tells whether the database refused for want of a slot, and may be asked once more.
-
-        The statement keeps its connection: those that come later stand behind it. One in a
-        transaction has cost work already, which a refusal would throw away.
-        """
-        if not _is_full(reply):
-            return False
-        is_unchanged = reply.state is self._transaction_state
-        now = self._services.scheduler.now()
-        return is_unchanged and now < self._refuse_at and not self._is_futile(now)
-
-    def _is_futile(self, now: float) -> bool:
-        """Tells whether the database has run nothing of this process for as long as one may try.
-
-        One in a transaction goes on to its end.
-        """
-        if self._is_open or not self._services.load_policy.useful_waits:
-            return False
-        return now - max(self._slot_since, self._pool.served_at) >= FUTILE_SECONDS
-
-    def _with_return(self, reply: Reply) -> Reply:
-        """Adds the moment of return to the refusal of a statement that got no slot in its time."""
-        if not self._services.load_policy.useful_waits:
-            return reply
-        come_back_ms = math.ceil(self._pool.promise_return() * MILLISECONDS)
-        failure = Failure(ErrorCode.OVERLOADED, RefusalCause.NO_ROOM_IN_TIME, come_back_ms)
-        return Reply(reply.state, failure=failure, position=reply.position)
-
     def _send_again(self, connection: DatabaseConnection) -> None:
         message = self._current
         if not self._ended and message is not None and connection is self._connection:
-            self._timer = None
             self._send(connection, message.statement, message.floor, is_again=True)
 
     def _learn(self, connection: DatabaseConnection, reply: Reply) -> None:
-        code = None if reply.failure is None else reply.failure.code
-        if code is None and self._current is not None and reply.position is not None:
-            statement = self._current.statement
-            writes = statement.kind is StatementKind.WRITE or self._shape_writes(statement)
-            proves = self._lead.proves(statement.kind, writes)
-            if proves and self._group.may_lead(connection.database_id):
-                self._group.record_proof(self._sent_at, reply.position)
-        if code is ErrorCode.NOT_PRIMARY:
-            self._group.refute_primary(connection.database_id)
-        elif code is ErrorCode.UNKNOWN_STATEMENT:
-            connection.prepared.clear()
-
-    def _shape_writes(self, statement: Statement) -> bool:
-        shape = self._state.prepared.get(statement.name)
-        return statement.kind is StatementKind.EXECUTE and shape is not None and shape.writes
-
-    def _proven(self) -> ProvenAge | None:
-        newest = self._group.history.newest
-        if newest is None:
-            return None
-        return ProvenAge(newest.position, self._services.scheduler.now() - newest.sent_at)
+        statement = None if self._current is None else self._current.statement
+        writes = statement is not None and self._kept.writes(statement)
+        self._proofs.learn(connection, reply, statement, writes, self._sent_at)
 
     # Ending.
 
@@ -311,7 +239,7 @@
 
     def _answer(self, reply: Reply) -> None:
         self._current = None
-        self._transport.send_reply(reply, self._proven())
+        self._transport.send_reply(reply, self._proofs.newest())
         self._serve_queue()
 
     def _drop(self, connection: DatabaseConnection) -> None:
@@ -322,16 +250,3 @@
     def _end_channel(self) -> None:
         self.close()
         self._transport.send_ended()
-
-    def _limit(self, seconds: float, callback: Callable[[], None]) -> None:
-        self._clear_timer()
-        self._timer = self._services.scheduler.call_later(seconds, callback)
-
-    def _clear_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
-
-def _is_full(reply: Reply) -> bool:
-    return reply.failure is not None and reply.failure.code is ErrorCode.OVERLOADED
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -1,4 +1,8 @@
-"""The wait of a peer's statement for one of the connections held here."""
+"""The wait of a peer's statement for one of the connections held here.
+
+Owns the statement's stay in the pool's queue and the times that bound it, all from what the peer
+said of the statement. Relies on the pool, which judges who may wait.
+"""
 
 import math
 from collections.abc import Callable
@@ -10,10 +14,10 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.wait_event import wait_refused
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
-from dewledge.core.pooler.scheduling import ScheduledCall
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
 from dewledge.core.pooler.sharing.messages import ChannelStatement
+from dewledge.core.pooler.sharing.single_timer import SingleTimer
 from dewledge.core.pooler.statements.statements import (
     OWN_QUESTIONS,
     TAKES_SLOT,
@@ -23,10 +27,10 @@
 from dewledge.errors import ErrorCode
 
 QUEUE_LIMIT_SECONDS = 0.25
-"""A statement whose peer does not say how long it may wait is refused without a connection or slot
-within this, and where waits aren't judged by use every one: a quarter of the latency that is aimed
-at on the slowest routes seen, one second."""
+"""For a connection or slot, where the peer does not say how long a statement may wait and where
+waits are not judged by use: a quarter of the latency aimed at on the slowest routes seen, 1 s."""
 MILLISECONDS = 1000
+"""In a second."""
 
 
 class ChannelWait:
@@ -47,7 +51,7 @@
         self._refused = refused
         self._waiter: Waiter | None = None
         self._statement = ""
-        self._timer: ScheduledCall | None = None
+        self._timer = SingleTimer(services.scheduler)
 
     @property
     def _is_useful(self) -> bool:
@@ -64,22 +68,22 @@
     def begin(self, pool: ConnectionPool, message: ChannelStatement, state: SessionState) -> None:
         """Has a statement that came now wait; it may be served or refused before this returns."""
         demand = _demand_of(message.statement.kind)
-        patience = self._patience(message)
-        waiter = Waiter(message.priority, self._take, self._denied, demand, state.caller, patience)
+        deadlines = self._deadlines(message)
+        waiter = Waiter(message.priority, self._take, self._denied, demand, state.caller, deadlines)
         self._waiter = waiter
         self._statement = message.id
-        self._limit(self.longest(message), self._waited_too_long)
+        self._timer.start(self.longest(message), self._waited_too_long)
         pool.acquire(waiter, state.values)
         self._judge_later(pool, waiter)
 
     def end(self) -> None:
         """Nobody waits any more."""
-        self._clear_timer()
+        self._timer.clear()
         waiter, self._waiter = self._waiter, None
         if waiter is not None:
             waiter.withdrawn = True
 
-    def _patience(self, message: ChannelStatement) -> WaitDeadlines:
+    def _deadlines(self, message: ChannelStatement) -> WaitDeadlines:
         now = self._services.scheduler.now()
         if not self._is_useful:
             return WaitDeadlines(now, now)
@@ -94,16 +98,16 @@
         verdict = pool.judge(waiter)
         if isinstance(verdict, WaitUntil):
             remaining = max(verdict.at - self._services.scheduler.now(), 0.0)
-            self._limit(remaining, lambda: self._judge_later(pool, waiter))
+            self._timer.start(remaining, lambda: self._judge_later(pool, waiter))
 
     def _take(self, connection: DatabaseConnection) -> None:
         self._waiter = None
-        self._clear_timer()
+        self._timer.clear()
         self._given(connection)
 
     def _denied(self, denial: Denial) -> None:
         waiter, self._waiter = self._waiter, None
-        self._clear_timer()
+        self._timer.clear()
         if denial is Denial.UNREACHABLE:
             self._services.suspect(self._group.view.name, self._database_id)
             self._refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "no connection"))
@@ -123,15 +127,6 @@
             self.end()
             self._refused(Failure(ErrorCode.OVERLOADED, "no connection in time"))
 
-    def _limit(self, seconds: float, callback: Callable[[], None]) -> None:
-        self._clear_timer()
-        self._timer = self._services.scheduler.call_later(seconds, callback)
-
-    def _clear_timer(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-
 
 def _demand_of(kind: StatementKind) -> Demand:
     if kind in OWN_QUESTIONS:
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -12,6 +12,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.sessions.routes import Consistency, Route
 from dewledge.core.pooler.sharing import channel_session
+from dewledge.core.pooler.sharing.channel_proofs import ChannelProofs
 from dewledge.core.pooler.sharing.channel_session import ChannelSession
 from dewledge.core.pooler.sharing.messages import ProvenAge
 from dewledge.core.pooler.statements import connection_setup, statement_run
@@ -141,11 +142,11 @@
         self.assert_breaks("outside its transaction", 4)
 
     def test_with_proofs_taken_for_newer_than_they_are_reads_are_stale(self) -> None:
-        def proven(session: ChannelSession) -> ProvenAge | None:
-            newest = session._group.history.newest
+        def proven(proofs: ChannelProofs) -> ProvenAge | None:
+            newest = proofs._group.history.newest
             return None if newest is None else ProvenAge(newest.position, -2.0)
 
-        self.swap(ChannelSession, "_proven", proven)
+        self.swap(ChannelProofs, "newest", proven)
         self.assert_breaks("misses")
 
 
