--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -93,13 +93,6 @@
             self._stream.take_arrived()
         self.session.leave()
 
-    def abort(self) -> None:
-        """Closes the connection at once."""
-        self._end_hold()
-        self.session.end()
-        self._stream.close()
-        self._gone(self)
-
     def _received(self, data: bytes) -> None:
         if self._is_refused:
             return
@@ -133,11 +126,6 @@
         self._pace = FailedLoginThrottle()
         self.connections: set[ClientConnection] = set()
 
-    @property
-    def refusals_held(self) -> int:
-        """Clients without a key that wait to be told so."""
-        return self._pace.held
-
     def start(self) -> None:
         """Starts to accept connections."""
         self._loop.watch(self._listener, READABLE, self._accept)
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -30,7 +30,6 @@
         self._left_out = 0
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
-        self.total_left_out = 0
 
     def start(self) -> None:
         """Starts the thread that writes."""
@@ -41,7 +40,6 @@
         with self._lock:
             if not self._has_room(is_plain):
                 self._left_out += 1
-                self.total_left_out += 1
                 return
             if self._left_out and not is_plain:
                 self._note_left_out()
--- a/src/dewledge/shell/pooler/tables/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -32,11 +32,6 @@
         self._told: dict[IncomingLink, dict[str, float]] = {}
         """How new each table was when a follower was last told of it (steady clock, seconds)."""
 
-    @property
-    def follower_count(self) -> int:
-        """The processes that wait for news now."""
-        return len(self._waiting)
-
     def take_question(self, link: IncomingLink, question: FollowTables) -> None:
         """Answers now if there is news or younger word on how new a table is, else later."""
         held = HeldQuestion(question, self._loop.now())
