--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -7,7 +7,7 @@
 
 from bisect import bisect_left
 from collections import Counter
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
@@ -21,12 +21,14 @@
 LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0)
 """Upper bounds in seconds: finer around the latency targets of routes, 0.4 to 1 s."""
 MILLISECONDS = 1000.0
+"""In a second."""
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 """Of the text format that `render` writes."""
 
-
 QUARTER = 1.25
+"""Factor between an expected and a real duration: a quarter of the shorter."""
 TWICE = 2.0
+"""Factor between an expected and a real duration."""
 LEAST_COMPARED_MS = 5
 """Shorter times differ by whole factors for no reason but rounding."""
 
@@ -132,52 +134,60 @@
 
     def collect(self) -> Iterable["Metric"]:
         """Yields the metrics; called by the library that writes the format."""
-        from prometheus_client.core import (
-            CounterMetricFamily,
-            GaugeMetricFamily,
-            HistogramMetricFamily,
-        )
+        from prometheus_client.core import GaugeMetricFamily
 
-        statements = CounterMetricFamily(
+        yield _counter(
             "dewledge_statements",
             "Clients' statements answered.",
-            labels=StatementLabels.__struct_fields__,
-        )
-        for statement, count in self._statements.items():
-            statements.add_metric(msgspec.structs.astuple(statement), count)
-        yield statements
-        seconds = HistogramMetricFamily(
-            "dewledge_statement_seconds",
-            "Seconds from a statement to its answer.",
-            labels=DurationLabels.__struct_fields__,
+            StatementLabels.__struct_fields__,
+            ((msgspec.structs.astuple(labels), n) for labels, n in self._statements.items()),
         )
-        for labels, durations in self._seconds.items():
-            values = msgspec.structs.astuple(labels)
-            seconds.add_metric(values, list(durations.cumulative()), durations.total)
-        yield seconds
-        attempts = CounterMetricFamily(
+        yield self._statement_seconds()
+        yield _counter(
             "dewledge_statement_attempts",
             "Attempts of statements at databases, by how they ended.",
-            labels=AttemptLabels.__struct_fields__,
+            AttemptLabels.__struct_fields__,
+            ((msgspec.structs.astuple(labels), n) for labels, n in self._attempts.items()),
         )
-        for attempt, count in self._attempts.items():
-            attempts.add_metric(msgspec.structs.astuple(attempt), count)
-        yield attempts
-        expected = CounterMetricFamily(
+        yield _counter(
             "dewledge_expected_completions",
             "Reads served by the database of their first choice, by how well that was foreseen.",
-            labels=("accuracy",),
+            ("accuracy",),
+            (((accuracy,), count) for accuracy, count in self._accuracies.items()),
         )
-        for accuracy, count in self._accuracies.items():
-            expected.add_metric((accuracy,), count)
-        yield expected
-        events = CounterMetricFamily("dewledge_pooler_events", "Events logged.", labels=("event",))
-        for name, count in self._events.items():
-            events.add_metric((name,), count)
-        yield events
+        events = (((name,), count) for name, count in self._events.items())
+        yield _counter("dewledge_pooler_events", "Events logged.", ("event",), events)
         for gauge in self._gauges:
             yield GaugeMetricFamily(gauge.name, gauge.description, value=gauge.read())
 
+    def _statement_seconds(self) -> "Metric":
+        from prometheus_client.core import HistogramMetricFamily
+
+        seconds = HistogramMetricFamily(
+            "dewledge_statement_seconds",
+            "Seconds from a statement to its answer.",
+            labels=DurationLabels.__struct_fields__,
+        )
+        for labels, durations in self._seconds.items():
+            values = msgspec.structs.astuple(labels)
+            seconds.add_metric(values, list(durations.cumulative()), durations.total)
+        return seconds
+
+
+def _counter(
+    name: str,
+    description: str,
+    labels: Sequence[str],
+    counts: Iterable[tuple[Sequence[str], int]],
+) -> "Metric":
+    """Returns a counter with the values of its labels and their counts."""
+    from prometheus_client.core import CounterMetricFamily
+
+    family = CounterMetricFamily(name, description, labels=labels)
+    for values, count in counts:
+        family.add_metric(values, count)
+    return family
+
 
 def _accuracy(expected_ms: int, real_ms: int) -> Accuracy:
     shorter, longer = sorted(max(each, LEAST_COMPARED_MS) for each in (expected_ms, real_ms))
--- a/src/dewledge/shell/pooler/observing/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -1,6 +1,11 @@
-"""The metrics of a pooler that are read when they are asked for: what stands open at the moment."""
+"""The metrics of a pooler that are read when they are asked for: what is open at the moment.
 
-from collections.abc import Callable, Sequence
+Owns their names and descriptions; the figures are other parts' own.
+"""
+
+from collections.abc import Callable
+
+import msgspec
 
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
@@ -13,53 +18,75 @@
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
 
-def add_process_gauges(
-    metrics: PoolerMetrics,
-    services: PoolServices,
-    clients: ClientListener,
-    members: MemberTable,
-    links: OutgoingLinks,
-    lending: ChannelServer,
-    is_ready: Callable[[], bool],
-) -> None:
+class MeasuredParts(msgspec.Struct, frozen=True):
+    """The parts of a process whose figures are gauges."""
+
+    services: PoolServices
+    clients: ClientListener
+    members: MemberTable
+    links: OutgoingLinks
+    lending: ChannelServer
+    is_ready: Callable[[], bool]
+
+
+Gauge = tuple[str, str, Callable[[MeasuredParts], float]]
+"""A name, a description, and what reads the value."""
+
+
+def _sum_of_pools(parts: MeasuredParts, read: Callable[[ConnectionPool], int]) -> int:
+    groups = parts.services.groups.values()
+    return sum(read(pool) for group in groups for pool in group.all_pools())
+
+
+_GAUGES: tuple[Gauge, ...] = (
+    ("client_sessions", "Clients' sessions open.", lambda parts: len(parts.clients.connections)),
+    (
+        "database_connections",
+        "Connections to databases.",
+        lambda parts: _sum_of_pools(parts, lambda pool: pool.size),
+    ),
+    (
+        "statements_waiting",
+        "Statements that wait for a connection.",
+        lambda parts: _sum_of_pools(parts, lambda pool: pool.waiting),
+    ),
+    (
+        "databases_full",
+        "Databases that refuse statements for want of slots.",
+        lambda parts: _sum_of_pools(parts, lambda pool: pool.is_full),
+    ),
+    ("members", "Processes that registered.", lambda parts: parts.members.count),
+    (
+        "links",
+        "Links to processes that hold connections.",
+        lambda parts: parts.links.open_count,
+    ),
+    (
+        "links_doubted",
+        "Links whose other end is late with a sign of life.",
+        lambda parts: parts.links.count(HolderState.DOUBTED),
+    ),
+    (
+        "links_silent",
+        "Links whose other end gives none, or is lost and not found again.",
+        lambda parts: parts.links.count(HolderState.SILENT),
+    ),
+    (
+        "channels_lent",
+        "Channels of other processes.",
+        lambda parts: parts.lending.channel_count,
+    ),
+    ("configuration_version", "In force.", lambda parts: parts.services.routes.version),
+    ("ready", "1 while new sessions are taken.", lambda parts: float(parts.is_ready())),
+)
+
+
+def add_process_gauges(metrics: PoolerMetrics, parts: MeasuredParts) -> None:
     """Adds the gauges of one process; each is read when the metrics are asked for."""
 
-    def pools() -> Sequence[ConnectionPool]:
-        return [pool for group in services.groups.values() for pool in group.all_pools()]
-
-    gauges: tuple[tuple[str, str, Callable[[], float]], ...] = (
-        ("client_sessions", "Clients' sessions open.", lambda: len(clients.connections)),
-        (
-            "database_connections",
-            "Connections to databases.",
-            lambda: sum(pool.size for pool in pools()),
-        ),
-        (
-            "statements_waiting",
-            "Statements that wait for a connection.",
-            lambda: sum(pool.waiting for pool in pools()),
-        ),
-        (
-            "databases_full",
-            "Databases that refuse statements for want of slots.",
-            lambda: sum(pool.is_full for pool in pools()),
-        ),
-        ("members", "Processes that registered.", lambda: members.count),
-        ("links", "Links to processes that hold connections.", lambda: links.open_count),
-        (
-            "links_doubted",
-            "Links whose other end is late with a sign of life.",
-            lambda: links.count(HolderState.DOUBTED),
-        ),
-        (
-            "links_silent",
-            "Links whose other end gives none, or is lost and not found again.",
-            lambda: links.count(HolderState.SILENT),
-        ),
-        ("channels_lent", "Channels of other processes.", lambda: lending.channel_count),
-        ("configuration_version", "In force.", lambda: services.routes.version),
-        ("ready", "1 while new sessions are taken.", lambda: float(is_ready())),
-    )
-    for name, description, read in gauges:
-        metrics.add_gauge(name, description, read)
-    add_wait_gauges(metrics, services.groups)
+    def reader(read: Callable[[MeasuredParts], float]) -> Callable[[], float]:
+        return lambda: read(parts)
+
+    for name, description, read in _GAUGES:
+        metrics.add_gauge(name, description, reader(read))
+    add_wait_gauges(metrics, parts.services.groups)
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -21,7 +21,7 @@
 )
 from dewledge.shell.pooler.links.channel_server import ChannelServer
 from dewledge.shell.pooler.links.client_listener import ClientListener
-from dewledge.shell.pooler.observing.process_gauges import add_process_gauges
+from dewledge.shell.pooler.observing.process_gauges import MeasuredParts, add_process_gauges
 from dewledge.shell.pooler.observing.stall_watch import StallWatch
 from dewledge.shell.pooler.observing.status_pages import StatusPages
 from dewledge.shell.pooler.observing.wait_reporter import WaitReporter
@@ -100,8 +100,7 @@
         )
 
     def _add_gauges(self, base: ProcessBase) -> None:
-        add_process_gauges(
-            base.metrics,
+        parts = MeasuredParts(
             base.services,
             self._clients,
             self._neighbours.members,
@@ -109,6 +108,7 @@
             self._lending,
             lambda: self.is_ready,
         )
+        add_process_gauges(base.metrics, parts)
 
     def run(self) -> None:
         """Serves until the process has left."""
