--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -37,6 +37,7 @@
 from dewledge.shell.pooler.tables.table_reading import (
     RIGHT_WAIT_SECONDS,
     URGENT_WAIT_SECONDS,
+    StoreCalls,
     TableReading,
 )
 from dewledge.shell.shared.event_loop import EventLoop
@@ -179,9 +180,8 @@
 ) -> TableReading:
     """Returns what reads the store's tables, with who takes the rows of each."""
     platform, members = base.platform, neighbours.members
-    tables = TableReading(
-        base.loop, base.settings, platform, neighbours.links, members, base.executor, TABLE
-    )
+    calls = StoreCalls(platform.store, base.executor)
+    tables = TableReading(base.loop, base.settings, calls, neighbours.links, members, TABLE)
     configuration = directory.take_configuration_rows
     tables.add(platform.configuration_table, configuration, configuration, URGENT_WAIT_SECONDS)
     tables.add(
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -1,4 +1,8 @@
-"""One table of the store in this process: what is known, how sure that is, and who is told."""
+"""One table of the store in this process: what is known, how sure that is, and who is told.
+
+Owns the rows known here and the time at which they were surely the newest. Relies on `table_cache`
+for what a follower lacks.
+"""
 
 from collections.abc import Callable
 
@@ -14,6 +18,7 @@
 """Takes rows and the version of the table."""
 
 NEVER = -1e9
+"""Seconds of the steady clock, before any that it gives."""
 FOLLOWED_SLACK_SECONDS = 0.7
 """Word passes on at once, so it is little older at the last step than at the first."""
 LARGE_BYTES = 128 * 1024
@@ -65,6 +70,11 @@
         """Whether the table was ever read, or told by another process."""
         return self._cache.is_known
 
+    @property
+    def is_confirmed_by_feed(self) -> bool:
+        """Whether a table read as a whole is surely the newest only once a feed has said so."""
+        return self._confirmed is not None
+
     def is_doubtful(self, now: float) -> bool:
         """Tells whether a change may have gone by unnoticed for longer than is usual."""
         return now > self.confirmed_at + self.wait_seconds + FOLLOWED_SLACK_SECONDS
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -1,18 +1,23 @@
-"""How this process learns the store's tables: by reading, or by following who reads."""
+"""How this process learns the store's tables: by reading, or by following who reads.
+
+Owns the tables that are known here, a watcher of the store for each, the publisher that tells
+followers and the follower of others. Relies on `core/pooler/sharing/readers` for who reads.
+"""
 
 import math
 from collections.abc import Callable
 from concurrent.futures import Executor
 
+import msgspec
 from loguru import logger
 
+from dewledge.core.pooler.coordination_store import CoordinationStore
 from dewledge.core.pooler.sharing.messages import FollowTables
 from dewledge.core.pooler.sharing.readers import MOST_READING_ALL, ReadingPlan, reading_plan
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.links.channel_server import IncomingLink
 from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
-from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 from dewledge.shell.pooler.tables.followed_table import FollowedTable, RowsCallback
 from dewledge.shell.pooler.tables.member_table import MemberTable
 from dewledge.shell.pooler.tables.table_follower import TableFollower
@@ -21,6 +26,7 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 LONGEST_WAIT_SECONDS = 2.0
+"""For a reader's call that waits for a change; chosen, not measured."""
 WAIT_SHARE_OF_BOUND = 0.4
 """Of the configuration's bound: a call that the store swallows is noticed a second later."""
 URGENT_WAIT_SECONDS = 1.0
@@ -29,7 +35,14 @@
 """Processes that start together register within this. Who knows few others until then looks for
 more and reads the other tables once only: following is cheaper than reading beside them."""
 RIGHT_WAIT_SECONDS = 0.9
-"""Where the right to use primaries rests on the store's word, it has to be young."""
+"""For a change, where primary leases rest on how new the table surely is; chosen, not measured."""
+
+
+class StoreCalls(msgspec.Struct, frozen=True):
+    """The store, whose calls block, and the threads that make them."""
+
+    store: CoordinationStore
+    executor: Executor
 
 
 class TableReading:
@@ -39,10 +52,9 @@
         self,
         loop: EventLoop,
         settings: PoolerSettings,
-        platform: PlatformAdapter,
+        calls: StoreCalls,
         links: OutgoingLinks,
         members: MemberTable,
-        executor: Executor,
         members_table: str,
     ) -> None:
         """`members_table`: the table that tells who else there is."""
@@ -50,11 +62,9 @@
         self._members_table = members_table
         self._own_name = settings.name
         self._regions = settings.zones
-        bound = settings.timings.configuration_bound
-        self._read_by_all_wait = min(LONGEST_WAIT_SECONDS, bound * WAIT_SHARE_OF_BOUND)
-        self._platform = platform
+        self._read_by_all_wait = _wait_where_all_read(settings)
+        self._calls = calls
         self._members = members
-        self._executor = executor
         self._tables: dict[str, FollowedTable] = {}
         self._watchers: dict[str, TableWatcher] = {}
         self._publisher = TablePublisher(loop, self._tables)
@@ -89,18 +99,21 @@
                 self._publisher.tell_followers()
 
         self._tables[name] = table
-        watcher = TableWatcher(
-            self._platform.store, name, lambda: table.version, taken, self._loop.post
+        self._watchers[name] = TableWatcher(
+            self._calls.store,
+            name,
+            lambda: table.version,
+            taken,
+            self._loop.post,
+            confirms_whole=confirmed is not None,
         )
-        watcher.confirms_whole = confirmed is not None
-        self._watchers[name] = watcher
 
     def start(self) -> None:
         """Starts to read: who does not know the members yet cannot follow one."""
         self._starts_until = self._loop.now() + START_SECONDS
         self._loop.call_later(START_SECONDS, self._end_of_start)
         for watcher in self._watchers.values():
-            self._executor.submit(watcher.run)
+            self._calls.executor.submit(watcher.run)
 
     def stop(self) -> None:
         """Ends reading and following."""
@@ -127,7 +140,8 @@
         for name, watcher in self._watchers.items():
             shared_wait = self._tables[name].wait_seconds
             longest = self._read_by_all_wait if is_read_by_all else shared_wait
-            watcher.wait_seconds = min(longest, shared_wait) if watcher.confirms_whole else longest
+            is_confirmed = self._tables[name].is_confirmed_by_feed
+            watcher.set_wait(min(longest, shared_wait) if is_confirmed else longest)
             waits = is_read_by_all and name != self._members_table and self._is_starting
             watcher.set_reader(is_alone and not waits)
         self._follower.follow([] if is_alone else addresses)
@@ -150,3 +164,9 @@
 
     def _read_store(self, table: str) -> None:
         self._watchers[table].read_once()
+
+
+def _wait_where_all_read(settings: PoolerSettings) -> float:
+    """Returns for how many seconds a reader's call waits where each process reads all tables."""
+    bound = settings.timings.configuration_bound
+    return min(LONGEST_WAIT_SECONDS, bound * WAIT_SHARE_OF_BOUND)
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -19,10 +19,17 @@
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.errors import StoreError
 
+FIRST_WAIT_SECONDS = 2.0
+"""For a change, until `set_wait` says otherwise: a store that swallows a call is noticed within
+this and a call's time limit."""
 RETRY_SECONDS = 0.4
+"""After a first failed call; chosen, not measured."""
 LONGEST_RETRY_SECONDS = 1.5
+"""After many failed calls; chosen, not measured."""
 STALE_PAUSE_SECONDS = 0.2
+"""After an answer from a copy that lags behind; chosen, not measured."""
 FIRST_READ_LIMIT_SECONDS = 0.5
+"""For a read of the whole table by a process that knows nothing yet; chosen, not measured."""
 FIRST_READ_PAUSE_SECONDS = 0.15
 """A process that knows nothing serves nobody, so it asks again soon."""
 SPACING_SECONDS = 0.1
@@ -46,12 +53,14 @@
         known_version: Callable[[], int],
         taken: TakenCallback,
         post: Callable[[Callable[[], None]], None],
+        confirms_whole: bool = False,
     ) -> None:
-        """`known_version`: what the process knows already, be it through others; -1 for nothing."""
-        self.wait_seconds = 2.0
-        """Short: a store that swallows a call is noticed within this and a call's time-out."""
-        self.confirms_whole = False
-        """Whether a table read as a whole is to be confirmed by the feed at once."""
+        """`known_version`: what the process knows already, be it through others; -1 for nothing.
+
+        confirms_whole: whether a table read as a whole is to be confirmed by the feed at once.
+        """
+        self._wait_seconds = FIRST_WAIT_SECONDS
+        self._confirms_whole = confirms_whole
         self._store = store
         self._table = table
         self._known_version = known_version
@@ -78,6 +87,10 @@
         elif not self._is_asked and not self._stopped.is_set():
             self._wanted.clear()
 
+    def set_wait(self, seconds: float) -> None:
+        """Has later calls wait so long for a change."""
+        self._wait_seconds = seconds
+
     def read_once(self) -> None:
         """Has the table's changes read once, soon."""
         self._is_asked = True
@@ -134,9 +147,9 @@
 
     def _read_changes(self) -> None:
         is_quick = self._failures > 0 or not self._is_reader or self._has_brought_rows
-        is_quick = is_quick or (self.confirms_whole and self._has_read_whole)
+        is_quick = is_quick or (self._confirms_whole and self._has_read_whole)
         self._has_read_whole = False
-        wait = 0.0 if is_quick else self.wait_seconds
+        wait = 0.0 if is_quick else self._wait_seconds
         sent_at = time.monotonic()
         answer = self._store.watch_table(self._table, self._newest, wait)
         self._newest = max(self._newest, answer.version)
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -120,7 +120,7 @@
         self.watcher.set_reader(True)
 
     def test_after_a_change_there_is_young_word_at_once(self) -> None:
-        self.watcher.wait_seconds = 3.0
+        self.watcher.set_wait(3.0)
         self.wait_for(lambda: self.table.confirmed_at > time.monotonic() - 0.5)
         time.sleep(1.5)
         self.stand_in.put("op", "config", b"2")
@@ -175,7 +175,7 @@
         self.wait_for(lambda: self.seen["config"] == b"3")
 
     def test_one_that_is_no_reader_any_more_makes_no_call_after_the_one_at_hand(self) -> None:
-        self.watcher.wait_seconds = 1.0
+        self.watcher.set_wait(1.0)
         self.wait_for(lambda: self.stand_in.calls > self.calls_of_start)
         calls = self.stand_in.calls
         self.watcher.set_reader(False)
--- a/tests/platform/test_table_reading.py
+++ b/tests/platform/test_table_reading.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from dewledge.core.pooler.sharing.members import Member
-from dewledge.shell.pooler.tables.table_reading import START_SECONDS, TableReading
+from dewledge.shell.pooler.tables.table_reading import START_SECONDS, StoreCalls, TableReading
 from tests.core.pooler.harness import ModelScheduler
 
 
@@ -45,10 +45,11 @@
         executor: Any = Watchers()
         self.assertFalse(isinstance(executor, Executor))
         links: Any = type("Links", (), {"add_user": lambda *_: None, "to": self._no_link})()
-        platform: Any = type("Platform", (), {"store": None})()
+        store: Any = None
+        calls = StoreCalls(store, executor)
         settings: Any = Settings()
         members: Any = Members(names)
-        reading = TableReading(loop, settings, platform, links, members, executor, "members")
+        reading = TableReading(loop, settings, calls, links, members, "members")
         for table in ("members", "routes"):
             reading.add(table, lambda *_: None, lambda *_: None)
         reading.start()
