--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -1,4 +1,8 @@
-"""Makes a group's pools: their windows, what judges a database's silence, what is logged."""
+"""Makes the pools of one group: their windows, what judges a database's silence, what is logged.
+
+It translates what the parts of a pool tell (full or not, silent or not, held to its share) into the
+events of the log.
+"""
 
 from collections.abc import Callable
 
@@ -10,14 +14,15 @@
     DatabaseSilenceJudged,
     PoolingEvent,
 )
-from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
+from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.opener import Opener
-from dewledge.core.pooler.pool.pool_waits import HeldToShare
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.sharing.holders import Holding
 
 CHANNELS_PER_DATABASE = 64
-"""How many statements may be under way through holders of one database; the queue is there."""
+"""Statements that may be under way through holders of one database; the queue is at the holder.
+More than a process has under way at one database. Chosen, not measured."""
 MILLISECONDS = 1000
 
 
@@ -44,9 +49,8 @@
         """Returns a pool of up to `limit` connections."""
         window = self.window(database_id, holding)
         silence = self._silence(database_id)
-        pool = ConnectionPool(
-            database_id, limit, opener, self._clock, window, silence, self._is_fair
-        )
+        rules = PoolRules(silence, self._is_fair)
+        pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
         pool.on_held_to_share(lambda held: self._log_held(database_id, held))
         return pool
 
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -16,7 +16,9 @@
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.directory import Directory
+from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
 from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
 from dewledge.shell.pooler.group_factory import ConnectionShares, GroupFactory
@@ -129,41 +131,31 @@
 
     def __init__(self, base: ProcessBase, neighbours: Neighbours, reach_limit: ReachLimit) -> None:
         settings, platform = base.settings, base.platform
-        self.driver = FailoverDriver(
+        self.claim_events = ClaimEvents()
+        context = FailoverContext(
             base.loop,
             settings.name,
             base.services.groups,
+            neighbours.rights,
             platform.store,
+            base.executor,
+            self.claim_events,
+        )
+        self.driver = FailoverDriver(
+            context,
             platform.duties,
             platform.parse_status,
-            base.executor,
             lambda: neighbours.members.addresses,
             base.log.record,
-            neighbours.rights,
         )
-        self.claims = ClaimKeeper(
-            base.loop,
-            settings.name,
-            neighbours.rights,
-            base.services.groups,
-            neighbours.members,
-            neighbours.peers,
-            platform.store,
-            base.executor,
-            self.driver.take_claim,
-            self.driver.take_known,
-        )
-        self.driver.tell_claim = self.claims.tell
-        self.driver.claim_taken = self.claims.claim_taken
+        self.claims = ClaimKeeper(context, neighbours.members, neighbours.peers)
         self.probes = IndirectProbes(
             base.loop,
-            neighbours.peers,
             settings.name,
+            neighbours.peers,
             base.databases.find,
-            lambda record: self.driver.doubt(record.group, record.id),
-            self.driver.take_answer,
-            self.driver.take_leader,
             reach_limit,
+            self.driver,
         )
 
 
@@ -198,7 +190,7 @@
         tables.add(TABLE, own.take_snapshot, own.take_rows)
         return tables
     # The holder of a claim waits for all that have rows beside it, so it has to know these.
-    failover.driver.claim_written = lambda: tables.read_soon(TABLE)
+    failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
     confirmed = failover.claims.store_confirmed
     tables.add(TABLE, own.take_snapshot, own.take_rows, RIGHT_WAIT_SECONDS, confirmed)
     return tables
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -43,12 +43,8 @@
 
     def __init__(self, loop: EventLoop, links: OutgoingLinks, news: HolderNews) -> None:
         self._news = news
-        self.loop = self._loop = loop
+        self._loop = loop
         self._links = links
-        self.is_judged = links.is_judged
-        """Whether silence of a holder is known to all statements."""
-        self.jitter = links.jitter
-        """Numbers from 0 to 1 that spread probes."""
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
         self._numbers = itertools.count(1)
         links.add_user(self)
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,8 +1,14 @@
-"""Has the process's admission and its part in granting run on the loop and the datagrams."""
+"""Runs a process's admission and its part in granting on the event loop and the datagrams.
 
-from dewledge.core.pooler.rate_limits.gate import SEARCH_SPACING_SECONDS, QuotaGate
+Owns the timer of the process's gate and takes datagrams to gate and grantor. Relies on the member
+table for whom to ask and at which address, and on the configuration in force for the limits. A
+question to this process itself goes to its own grantor without a datagram.
+"""
+
+from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_SPACING_SECONDS
 from dewledge.core.pooler.sessions.routes import RouteTable
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.member_table import MemberTable
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -17,7 +17,9 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.errors import StoreError
+from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
+from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
 from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice, PeerMessage
 from dewledge.shell.pooler.tables.coordination_rows import (
@@ -95,7 +97,7 @@
             taker(message, sender)
 
 
-class ModelWitnesses:
+class ModelProbes:
     """Questions on databases between processes."""
 
     def __init__(self, process: "ModelProcess") -> None:
@@ -103,7 +105,7 @@
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
         for address in addresses:
-            self._process.ask_witness(address, database_id)
+            self._process.ask_probe(address, database_id)
 
     def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
         process = self._process
@@ -137,10 +139,10 @@
         self.events: list[msgspec.Struct] = []
         self._find = find
         self.services = PoolServices(self.loop, self.events.append)
-        self.rights = PrimaryLeases(Fencing.PROCESSES)
+        self.leases = PrimaryLeases(Fencing.PROCESSES)
         place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(
-            GROUP, place, self.opener, self.loop.now, 5.0, right=self.rights.of(GROUP)
+            GROUP, place, self.opener, self.loop.now, 5.0, right=self.leases.of(GROUP)
         )
         self.group.set_connection_limit(4)
         self.services.groups[GROUP] = self.group
@@ -152,32 +154,24 @@
         members: Any = self.members
         peers: Any = self.peers
         store_client: Any = self.client
-        self.driver = FailoverDriver(
+        self.claim_events = ClaimEvents()
+        context = FailoverContext(
             loop,
             name,
             self.services.groups,
+            self.leases,
             store_client,
+            executor,
+            self.claim_events,
+        )
+        self.driver = FailoverDriver(
+            context,
             promotions.client(name),
             parse_status,
-            executor,
             lambda: self.members.addresses,
             self.events.append,
-            self.rights,
-        )
-        self.keeper = ClaimKeeper(
-            loop,
-            name,
-            self.rights,
-            self.services.groups,
-            members,
-            peers,
-            store_client,
-            executor,
-            self.driver.take_claim,
-            self.driver.take_known,
         )
-        self.driver.tell_claim = self.keeper.tell
-        self.driver.claim_taken = self.keeper.claim_taken
+        self.keeper = ClaimKeeper(context, members, peers)
         self.services.suspect = self.driver.doubt
         self._known_version = 0
         store.changed.append(self._poll_now)
@@ -191,7 +185,7 @@
         return [event for event in self.events if isinstance(event, PhaseChanged)]
 
     def start(self) -> None:
-        witnesses: Any = ModelWitnesses(self)
+        witnesses: Any = ModelProbes(self)
         self.driver.start(witnesses)
         self.keeper.start()
         self._register()
@@ -279,7 +273,7 @@
     def send(self, message: PeerMessage, address: str) -> None:
         self.to(address, lambda other: other.peers.take(message, self.name))
 
-    def ask_witness(self, address: str, database_id: str) -> None:
+    def ask_probe(self, address: str, database_id: str) -> None:
         def asked(other: "ModelProcess") -> None:
             other.driver.doubt(GROUP, database_id)
             other.opener.test(database_id, lambda reached: answer(other, reached))
