--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -17,6 +17,7 @@
     SessionState,
 )
 from dewledge.core.pooler.statements.statement_run import StatementRun
+from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import (
     ClientMessage,
     Failure,
@@ -368,7 +369,8 @@
         if arrived is None:
             arrived = self._services.scheduler.now()
         answerer = self._answerer(statement.id, admitted_at)
-        self._run = StatementRun(self._services, group, route, state, statement, answerer, arrived)
+        scope = StatementScope(self._services, group, route, state, statement, arrived)
+        self._run = StatementRun(scope, answerer)
         self._run.start()
 
     def _answerer(self, statement_id: str, admitted_at: float | None) -> Callable[[Reply], None]:
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -49,6 +49,10 @@
             return False
         return any(group.view.databases for group in self.groups.values())
 
+    def return_moments(self, group: str) -> ReturnMoments:
+        """Returns a group's moments for callers that no queue told one."""
+        return self.returns.setdefault(group, ReturnMoments())
+
     def wait_for_configuration(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when the process can serve."""
         self._configuration_waiters.append(callback)
--- /dev/null
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -0,0 +1,42 @@
+"""What all parts of one statement's way share: a value, fixed from its arrival on."""
+
+from dataclasses import dataclass
+
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.sessions.routes import Route
+from dewledge.core.pooler.sessions.services import PoolServices
+from dewledge.core.pooler.sessions.session_state import SessionState
+from dewledge.core.pooler.statements.retry_rule import Work
+from dewledge.core.pooler.statements.statements import Statement, StatementKind
+
+
+@dataclass(frozen=True, slots=True)
+class StatementScope:
+    """One statement, its session and what serves it.
+
+    arrived: when the client's statement came (steady clock, seconds).
+    """
+
+    services: PoolServices
+    group: Group
+    route: Route
+    session: SessionState
+    statement: Statement
+    arrived: float
+
+    @property
+    def writes(self) -> bool:
+        """Whether the statement writes."""
+        return self.session.writes(self.statement)
+
+    @property
+    def is_commit(self) -> bool:
+        """Whether the statement commits a transaction."""
+        return self.statement.kind is StatementKind.COMMIT
+
+    @property
+    def work(self) -> Work:
+        """What the statement is, by its session's transaction now."""
+        if self.session.transaction is not None:
+            return Work.COMMIT if self.is_commit else Work.IN_TRANSACTION
+        return Work.WRITE if self.writes else Work.READ
