--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -1,47 +1,69 @@
-"""The connections of one pool that are being opened, and what became of the last attempt."""
+"""The connections of one pool that are being opened, and whether the database can be reached.
+
+Owns the openings under way by caller, and the generation of the route to the database.
+Inputs: how each opening ended, and the steady clock in seconds.
+Decision: the database counts as unreachable for a moment after an opening failed
+(`OPEN_BACKOFF_SECONDS`, `LIMIT_BACKOFF_SECONDS`). What follows: nothing is opened meanwhile; a
+statement that comes where no connection stands is denied; reads prefer other databases. Reason: a
+database that refuses connections is not to be asked for one by each statement.
+
+This judgement rests on openings alone and writes no log line. Others: `databases/database_silence`
+(answers that fail to come, openings included), `databases/answer_watch`.
+"""
 
 from collections import Counter
 from collections.abc import Callable
 
+import msgspec
+
 from dewledge.core.pooler.databases.database_silence import DatabaseSilence
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.errors import ErrorCode
 
 OPEN_BACKOFF_SECONDS = 0.25
+"""Seconds after an opening failed in which none is tried. Chosen, not measured."""
 LIMIT_BACKOFF_SECONDS = 0.3
+"""Seconds after the database refused an opening at its limit of connections. Chosen, not
+measured."""
 MOST_OPENED_AHEAD = 2
 """Connections opened at once for callers that wait for a slot: each takes some of the database's
-power from statements, and one is open before a slot comes free for the next."""
+power from statements, and one is open before a slot comes free for the next. Chosen, not
+measured."""
 
 
-class ConnectionOpenings:
-    """Opens connections of one database; each ends in `opened` or `failed`.
+class OpeningOutcomes(msgspec.Struct, frozen=True):
+    """What is called for each opening, and when its connection ends.
 
-    silence: is told what is awaited. opened: called with the connection and the seconds that it
-    took. closed: at the end of one that was opened.
+    opened: with the connection and the seconds that it took. failed: if it could not be opened.
+    closed: at the end of one that was opened.
     """
 
+    opened: Callable[[DatabaseConnection, float], None]
+    failed: Callable[[], None]
+    closed: Callable[[DatabaseConnection], None]
+
+
+class ConnectionOpenings:
+    """Opens connections of one database; each ends in `opened` or `failed` of the outcomes."""
+
     def __init__(
         self,
         database_id: str,
         opener: Opener,
         clock: Callable[[], float],
         silence: DatabaseSilence,
-        opened: Callable[[DatabaseConnection, float], None],
-        failed: Callable[[], None],
-        closed: Callable[[DatabaseConnection], None],
+        outcomes: OpeningOutcomes,
     ) -> None:
+        """`silence`: is told what is awaited."""
         self.by_caller: Counter[str] = Counter()
         self.generation = 0
-        """Of the way to the database; connections of an older way are not used again."""
+        """Of the route to the database; connections of an older route are not used again."""
         self._database_id = database_id
         self._opener = opener
         self._clock = clock
         self._silence = silence
-        self._opened = opened
-        self._failed = failed
-        self._closed = closed
+        self._outcomes = outcomes
         self._not_before = 0.0
 
     @property
@@ -76,7 +98,7 @@
             self.by_caller[caller] -= 1
             self._silence.opening_ends(began_at)
             self._silence.note_sign()
-            self._opened(connection, self._clock() - began_at)
+            self._outcomes.opened(connection, self._clock() - began_at)
 
         def failed(code: ErrorCode) -> None:
             self.by_caller[caller] -= 1
@@ -84,6 +106,6 @@
             is_limit = code is ErrorCode.CONNECTION_LIMIT
             backoff = LIMIT_BACKOFF_SECONDS if is_limit else OPEN_BACKOFF_SECONDS
             self._not_before = self._clock() + backoff
-            self._failed()
+            self._outcomes.failed()
 
-        self._opener.open(self._database_id, caller, opened, failed, self._closed)
+        self._opener.open(self._database_id, caller, opened, failed, self._outcomes.closed)
