--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -14,8 +14,8 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
 from dewledge.core.pooler.statements.statements import Statement
+from dewledge.core.shared.units import MILLISECONDS
 
-MILLISECONDS = 1000
 HELD_MS = 100
 """An operation that waited so long for its token has a line in the log; a round trip is no wait."""
 
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -5,11 +5,18 @@
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER, Route
-from dewledge.core.pooler.statements.statements import Statement, StatementKind
+from dewledge.core.pooler.statements.statements import (
+    Statement,
+    StatementKind,
+    TransactionState,
+)
 from dewledge.core.shared.positions import LogPosition
 
 MAX_VALUES = 256
+"""Values that a session may set; a count. Bounds the memory of one client. Chosen, not measured."""
 MAX_PREPARED = 256
+"""Statements that a session may prepare; a count. Bounds the memory of one client. Chosen, not
+measured."""
 
 
 class PreparedShape(msgspec.Struct, frozen=True):
@@ -82,6 +89,13 @@
             return self.prepared[statement.name].writes
         return statement.kind is StatementKind.WRITE
 
+    @property
+    def transaction_state(self) -> TransactionState:
+        """Where the session stands, as an answer tells its client."""
+        if self.transaction is None:
+            return TransactionState.IDLE
+        return TransactionState.FAILED if self.transaction.failed else TransactionState.OPEN
+
     def raise_floor(self, position: LogPosition | None) -> None:
         """Notes the position of an own commit; later reads must show it."""
         if position is not None and (self.floor is None or position > self.floor):
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -17,10 +17,9 @@
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.core.pooler.statements.targets import Target
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
-MILLISECONDS = 1000
-"""In a second."""
 COME_BACK_OVERLOADED_MS = 100
 """Milliseconds, told where no queue told when it will have room: some times the work of a
 statement. Chosen, not measured."""
@@ -35,9 +34,14 @@
 process. Chosen, not measured."""
 
 
+def not_run_text(come_back_ms: int) -> str:
+    """Returns the text that a refused client gets; it reads the number in it."""
+    return f"not run, come back in {come_back_ms} ms"
+
+
 def refusal(code: ErrorCode, come_back_ms: int) -> Failure:
-    """Returns what a refused client gets; it reads the number in the text."""
-    return Failure(code, f"not run, come back in {come_back_ms} ms", come_back_ms)
+    """Returns what the client of a refused statement gets."""
+    return Failure(code, not_run_text(come_back_ms), come_back_ms)
 
 
 def least_seconds(lacks_primary: bool) -> float:
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -17,7 +17,6 @@
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.sessions.session_state import OpenTransaction
-from dewledge.core.pooler.statements.come_back import MILLISECONDS
 from dewledge.core.pooler.statements.retry_rule import RETRY_PAUSE_SECONDS
 from dewledge.core.pooler.statements.run_record import RunRecord
 from dewledge.core.pooler.statements.run_timers import RunTimers
@@ -26,6 +25,7 @@
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
 from dewledge.core.pooler.statements.wait_strategy import WaitStrategy
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
 LEAST_PAUSE_SECONDS = 0.001
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -14,9 +14,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
 from dewledge.core.pooler.statements.statements import Failure
-
-MILLISECONDS = 1000
-"""In a second."""
+from dewledge.core.shared.units import MILLISECONDS
 
 
 class ExhaustedDatabases:
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -13,6 +13,7 @@
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.load.shown_failures import ShownFailures
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.shared.units import MILLISECONDS
 
 WAY_SECONDS = (0.001, 0.004, 0.03)
 """A round trip within a zone, between two of a region, between regions: what is usual of networks.
@@ -21,7 +22,6 @@
 """Of a slot of a database, for which the opening of a connection holds one; beside the way."""
 UNREACHABLE_SECONDS = 10.0
 """Added where no connection could be opened a moment ago: such a one comes last."""
-MILLISECONDS = 1000.0
 
 
 def report_of(pool: ConnectionPool) -> LoadReport:
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -4,9 +4,7 @@
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Reply
 from dewledge.core.pooler.statements.targets import Target
-
-MILLISECONDS = 1000
-"""In a second."""
+from dewledge.core.shared.units import MILLISECONDS
 
 
 class RunRecord:
