--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -24,7 +24,8 @@
 _FAILURES = frozenset(
     {ErrorCode.DATABASE_UNREACHABLE, ErrorCode.OVERLOADED, ErrorCode.STATEMENT_TIMEOUT}
 )
-"""Outcomes that show a database which can't serve. A log that is behind is judged by its lag."""
+"""Codes of answers that show that a database can't serve. One whose log is behind is judged by its
+lag (`replica_lag`)."""
 
 SUSPECT_AFTER_SECONDS = 0.25
 """Seconds without any answer of a database, after which it is suspect: some round trips between
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -40,7 +40,7 @@
 
 
 def ignore_silence(_is_silent: bool, _seconds: float) -> None:
-    """Nobody wants to know."""
+    """Nothing is told of silence."""
 
 
 class DatabaseSilence:
@@ -78,7 +78,7 @@
         self._opening_since.append(at)
 
     def opening_ends(self, began_at: float) -> None:
-        """It stands, or is refused."""
+        """It was opened, or refused."""
         self._opening_since.remove(began_at)
 
     def begins_at(self, lent: Iterable[DatabaseConnection], usual_seconds: float) -> float:
--- a/src/dewledge/core/pooler/load/failed_login_throttle.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -28,7 +28,7 @@
         """The refusals that wait to be told."""
 
     def pause(self, now: float) -> float | None:
-        """Returns the seconds to wait before telling, None to close at once without a word.
+        """Returns the seconds to wait before telling, None to close at once without an answer.
 
         A refusal that waits is to be reported by `told` in the end.
         """
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -34,6 +34,13 @@
 LOST_AFTER_SECONDS = 1.2
 """Seconds; a link that is silent for so long is given up, and what is on it is in doubt. Longer
 than the doubt and silence of any rules. Chosen, not measured."""
+LEAST_LOOK_SECONDS = 0.001
+"""Seconds between two looks at least: a timer is no more exact."""
+LEAST_PAUSE_SHARE = 0.75
+"""Share of a pause between two dials that is kept at least, so that processes spread their dials.
+Chosen, not measured."""
+PAUSE_SPREAD = 0.5
+"""Share of a pause by which it varies at random: a quarter either way. Chosen, not measured."""
 SMOOTHING = 0.2
 """Share of each measured round trip in the usual one: half of the mean is of the last three.
 Chosen, not measured."""
@@ -218,7 +225,7 @@
         return Look(again=self._plan(now, self._judge(now, self._asked_at)))
 
     def _judge(self, now: float, asked_at: float) -> float:
-        """Judges by the ping without an answer; returns the seconds until the next look."""
+        """Judges by a ping or dial without an answer; returns the seconds until the next look."""
         waited = now - max(asked_at, self._heard_at)
         until_doubt = self.patience - waited
         until_silence = self.patience * self._rules.silent_patiences - waited
@@ -236,7 +243,7 @@
         return self.due > 0 or self._asked_at is not None
 
     def _plan(self, now: float, seconds: float) -> float:
-        delay = max(seconds, 0.001)
+        delay = max(seconds, LEAST_LOOK_SECONDS)
         self._next_look = now + delay
         return delay
 
@@ -262,4 +269,4 @@
             return min(rules.first_pause * (self._failures + 1), rules.longest_pause)
         longest = math.log(rules.longest_pause / rules.first_pause, rules.pause_growth)
         pause: float = rules.first_pause * rules.pause_growth ** min(self._failures, longest)
-        return pause * (0.75 + 0.5 * self._jitter())
+        return pause * (LEAST_PAUSE_SHARE + PAUSE_SPREAD * self._jitter())
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -31,7 +31,7 @@
         self._told_at = 0.0
 
     def word(self, report: LoadReport, now: float) -> LoadReport | None:
-        """Returns what is to go with an answer now, None for nothing. `now`: steady clock."""
+        """Returns the report to go along with an answer now, None for none. `now`: steady clock."""
         told = self._told
         is_old = now >= self._told_at + WORD_HALF_LIFE_SECONDS
         if told is not None and not is_old and not _differs(told, report):
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -57,12 +57,12 @@
 
     @property
     def has_come_back(self) -> bool:
-        """Whether it was refused before."""
+        """Whether its operation was refused before and has come back."""
         return self.arrived < self.came
 
     @property
     def back_in_order_at(self) -> float:
-        """From then on it stands where it would have stood, though it is late."""
+        """From then on it is in the order of arrival again, though it is late."""
         if self.has_come_back:
             return self.in_time_until
         late_since = max(self.in_time_until, self.came)
@@ -83,12 +83,12 @@
         return self.in_time_until < now and self.back_in_order_at <= now
 
     def queue_priority(self, now: float) -> QueuePriority:
-        """Returns where it stands now."""
+        """Returns its queue priority at a time."""
         is_late = self.in_time_until < now < self.back_in_order_at
         return QueuePriority.LATE if is_late else QueuePriority.IN_TIME
 
     def next_change(self, now: float) -> float:
-        """Returns when it will stand elsewhere; infinite if it stays where it is."""
+        """Returns when its rank will change; infinite if it stays as it is."""
         if self.in_time_until >= self.latest_start:
             return math.inf
         if self.has_come_back:
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -55,7 +55,7 @@
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
-        """Returns none for a way through holders: statements wait for slots there."""
+        """Returns none for a route through holders: statements wait for slots there."""
         if not holding.is_direct:
             return None
 
