--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -14,6 +14,7 @@
 
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
+from dewledge.core.shared.units import MILLISECONDS
 
 WORD_HALF_LIFE_SECONDS = 0.5
 """Seconds; half-life of the report of a queue. A statement waits for a quarter of its target or
@@ -36,7 +37,6 @@
 Chosen, not measured."""
 LEAST_WINDOW = 0.5
 """Connections, the mean over holders; below this most of those that reported can open none."""
-MILLISECONDS = 1000.0
 
 
 class KnownLoad(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -19,11 +19,11 @@
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.sharing.holders import Holding
+from dewledge.core.shared.units import MILLISECONDS
 
 CHANNELS_PER_DATABASE = 64
 """Statements that may be under way through holders of one database; the queue is at the holder.
 More than a process has under way at one database. Chosen, not measured."""
-MILLISECONDS = 1000
 
 
 class PoolFactory:
