--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -50,21 +50,22 @@
     """When a holder is doubted, and how it is tried again; times in seconds.
 
     ping_after: quiet while an answer is due, then a ping goes out: longer than most statements.
-    round_trips: usual ones that a sign of life may take. least_patience, longest_patience: bounds
+    round_trips: usual ones that a sign of life may take. least_timeout, longest_timeout: bounds
     of that: the least for the scheduling of slow machines, the longest so that a statement with a
     timeout of 0.8 s, or a target of 0.6 s, has most of its time left for another holder.
-    silent_patiences: so many of them without a sign of life make a doubted holder a silent one.
+    silent_timeouts: so many of them without a sign of life make a doubted holder a silent one.
     is_probed: whether a lost holder must answer a dial before a statement goes there.
     first_pause, longest_pause: between dials that fail; the longest is half of what most callers
     have for an operation, and 850 processes that miss one then dial it 400 times a second in all.
     pause_growth: the factor by which pauses grow; 0 has them grow by `first_pause` each time.
+    The figures are chosen; played together: docs/design/heavy-load.md, Silent holders.
     """
 
     ping_after: float = 0.1
     round_trips: float = 3.0
-    least_patience: float = 0.1
-    longest_patience: float = 0.2
-    silent_patiences: float = 2.0
+    least_timeout: float = 0.1
+    longest_timeout: float = 0.2
+    silent_timeouts: float = 2.0
     is_probed: bool = True
     first_pause: float = 0.25
     longest_pause: float = 2.0
@@ -125,13 +126,13 @@
         return self._round_trip.seconds
 
     @property
-    def patience(self) -> float:
+    def sign_timeout(self) -> float:
         """How long a sign of life may take that was asked for."""
         rules = self._rules
         usual = self._round_trip.seconds
         if usual == 0.0:
-            return rules.longest_patience
-        return min(max(rules.round_trips * usual, rules.least_patience), rules.longest_patience)
+            return rules.longest_timeout
+        return min(max(rules.round_trips * usual, rules.least_timeout), rules.longest_timeout)
 
     def silence(self, now: float) -> float:
         """Returns the seconds without a sign of life while one is due, 0 if none is."""
@@ -157,7 +158,7 @@
         if not self._rules.is_probed:
             return None
         self._asked_at = now
-        return self._plan(now, self.patience)
+        return self._plan(now, self.sign_timeout)
 
     def opened(self, now: float) -> None:
         """The link stands: a sign of life."""
@@ -221,14 +222,14 @@
             if remaining > 0:
                 return Look(again=self._plan(now, remaining))
             self._asked_at = now
-            return Look(sends_ping=True, again=self._plan(now, self.patience))
+            return Look(sends_ping=True, again=self._plan(now, self.sign_timeout))
         return Look(again=self._plan(now, self._judge(now, self._asked_at)))
 
     def _judge(self, now: float, asked_at: float) -> float:
         """Judges by a ping or dial without an answer; returns the seconds until the next look."""
         waited = now - max(asked_at, self._heard_at)
-        until_doubt = self.patience - waited
-        until_silence = self.patience * self._rules.silent_patiences - waited
+        until_doubt = self.sign_timeout - waited
+        until_silence = self.sign_timeout * self._rules.silent_timeouts - waited
         if until_silence <= 0:
             self._enter(HolderState.SILENT, now)
             return LOST_AFTER_SECONDS - self.silence(now)
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -7,7 +7,7 @@
 entry pays at most 14 bytes an answer (docs/design/heavy-load.md, What is told).
 """
 
-from dewledge.core.pooler.load.load_table import WORD_HALF_LIFE_SECONDS
+from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
 COUNT_CHANGE = 1
@@ -33,7 +33,7 @@
     def word(self, report: LoadReport, now: float) -> LoadReport | None:
         """Returns the report to go along with an answer now, None for none. `now`: steady clock."""
         told = self._told
-        is_old = now >= self._told_at + WORD_HALF_LIFE_SECONDS
+        is_old = now >= self._told_at + REPORT_HALF_LIFE_SECONDS
         if told is not None and not is_old and not _differs(told, report):
             return None
         self._told, self._told_at = report, now
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -16,7 +16,7 @@
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 from dewledge.core.shared.units import MILLISECONDS
 
-WORD_HALF_LIFE_SECONDS = 0.5
+REPORT_HALF_LIFE_SECONDS = 0.5
 """Seconds; half-life of the report of a queue. A statement waits for a quarter of its target or
 more, 0.1 to 0.25 s on the routes seen, so that all that stood in a queue has left it within about
 twice that. Chosen, not varied in a trial."""
@@ -140,7 +140,7 @@
         waiting = running = window = service = total = 0.0
         for heard in entry.reports.values():
             # Relative to the newest, so that the sum is never next to nothing.
-            share = _halved(now - heard.heard_at - newest, WORD_HALF_LIFE_SECONDS)
+            share = _halved(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
             total += share
             waiting += share * heard.report.waiting
             running += share * heard.report.running
@@ -152,7 +152,7 @@
             running / total,
             window / total,
             kept * service / total + (1.0 - kept) * self.usual_service(),
-            _halved(newest, WORD_HALF_LIFE_SECONDS),
+            _halved(newest, REPORT_HALF_LIFE_SECONDS),
             newest,
         )
 
