--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -89,6 +89,14 @@
                 names = [name for name, _ in numeric_constants(path)]
                 self.assertEqual([name for name in names if (path, name) not in stated], [])
 
+    def test_constants_named_in_rows_are_in_a_table(self) -> None:
+        stated = {each.name for each in self.constants}
+        for rule in self.rules:
+            for cell in rule.rows.values():
+                named = [name for name in IN_BACKTICKS.findall(cell) if name.isupper()]
+                with self.subTest(rule.title):
+                    self.assertEqual([name for name in named if name not in stated], [])
+
     def test_log_lines_exist(self) -> None:
         logged = (FORMS / "log_lines.txt").read_text()
         metrics = (FORMS / "metrics.txt").read_text()
