--- a/src/dewledge/core/pooler/sessions/client_transport.py
+++ b/src/dewledge/core/pooler/sessions/client_transport.py
@@ -1,4 +1,4 @@
-"""The client's side of a session, which the shell meets."""
+"""The client's side of a session: a protocol that the shell meets."""
 
 from typing import Protocol
 
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -1,4 +1,8 @@
-"""Session values and prepared statements: kept by the proxy, told to a database when it is used."""
+"""Session values and prepared statements: what a client's SET, PREPARE and DEALLOCATE change.
+
+They are kept by the proxy alone; connection_setup.py tells them to a database connection when one
+is used.
+"""
 
 from dewledge.core.pooler.sessions.session_state import (
     MAX_PREPARED,
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -1,4 +1,8 @@
-"""What a client's connection keeps: values, prepared statements, the open transaction, a floor."""
+"""What a client's connection keeps: values, prepared statements, the open transaction, a floor.
+
+State without rules: SessionTransactions, change_session and StatementRun change it. It ends with
+the client's connection, and nothing of it is stored.
+"""
 
 import msgspec
 
@@ -70,7 +74,7 @@
     )
 
     def __init__(self, name: str, database: str, credential_digest: str = "") -> None:
-        """`credential_digest`: of the client's token, which itself is not kept."""
+        """`credential_digest`: of the client's credential, which itself is not kept."""
         self.name = name
         self.database = database
         self.credential_digest = credential_digest
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -1,4 +1,7 @@
-"""What one statement went through, for its line in the log."""
+"""What one statement went through, for its line in the log (`statement_answered`).
+
+It owns the list of attempts; the parts of StatementRun add to it.
+"""
 
 from dewledge.core.pooler.events import StatementAnswered
 from dewledge.core.pooler.statements.statement_scope import StatementScope
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -37,29 +37,33 @@
 latency that the slowest routes aim at. Chosen, not measured."""
 LEAST_TURN_SECONDS = 0.1
 """Seconds that a read waits before one database at least, though another may serve it: some times
-the work of a statement, and two round trips between regions. Chosen, not measured."""
+the work of a statement, and two round trips between regions. Turns were played together in single
+trials, 0.883 in place of 0.879 (docs/measurements/heavy-load.md, All parts together); the figure
+itself is chosen."""
 TURN_COMPLETIONS = 2.0
 """A factor: a read waits before one database no longer than so many times what the next best was
 expected to take in all; by then it would have been served there even if that was expected wrongly
-by as much. Chosen, not measured."""
+by as much. Chosen, not measured alone; see LEAST_TURN_SECONDS."""
 LONGEST_HOLD_SECONDS = 0.25
 """Seconds from its arrival in which a read is kept for a lagging replica: a lag is foreseen from
 the last answers, and one of a replica that receives nothing grows with each moment it is waited
-for. Chosen, not measured."""
+for. In single trials 0.879 and 2.0% refused, in place of 0.873 and 2.4% where it was kept for up to
+0.7 s (docs/measurements/heavy-load.md, All parts together)."""
 SETUP_LIMIT_SECONDS = 0.4
 """Seconds in which what prepares a connection is answered, else the database counts as silent
-(docs/design/platform.md): some round trips between regions, and half of the shortest timeout, so
-that time is left for another database. Chosen, not measured."""
+(docs/design/silence.md): some round trips between regions, and half of a timeout of 0.8 s, so that
+time is left for another database. Chosen, not measured."""
 QUEUED_SETUP_SHARE = 0.5
 """A share of the time that is left to seek a connection: what begins a transaction through another
 process may stand in that one's queue for so long; the rest is for one try elsewhere if that process
-is silent. Chosen, not measured."""
+is silent. Not measured alone: with a fixed 0.4 s in place of it, and half of its time for a read, a
+trial had 0.878 in place of 0.897 (commit afd72c3)."""
 READ_ATTEMPT_SHARE = 0.5
 """A share of the time that is left: a read without an answer by then is tried once more elsewhere.
 Chosen, not measured: both attempts get as much."""
 QUEUED_READ_SHARE = 0.7
 """The same share through another process, where the read may stand in a queue: what is left is some
-times the work of a read. Chosen, not measured."""
+times the work of a read. Not measured alone; see QUEUED_SETUP_SHARE."""
 MOVED_WAIT_SHARE = 0.25
 """A share of the latency target: for so long a statement whose holder fell silent seeks another
 connection, at least; the time that the first one took was not the next one's. Chosen, not
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -1,4 +1,7 @@
-"""What all parts of one statement's way share: a value, fixed from its arrival on."""
+"""What all parts of one statement share: a value, fixed from its arrival on.
+
+It owns nothing; ClientSession makes it.
+"""
 
 from dataclasses import dataclass
 
--- a/src/dewledge/core/pooler/statements/statements.py
+++ b/src/dewledge/core/pooler/statements/statements.py
@@ -1,4 +1,8 @@
-"""What a client may ask for in a session, and what a database answers."""
+"""What a client may ask for in a session, and what a database answers: immutable values.
+
+The codecs of platform/ make them from bytes, and the core passes them on. NOT_RUN_CODES is what the
+promise "not run" rests on.
+"""
 
 from enum import StrEnum
 
@@ -117,4 +121,4 @@
         ErrorCode.DATABASE_UNREACHABLE,
     }
 )
-"""Failures of a database, or of a process before it: the statement did not run."""
+"""Failures of a database, or of a process before it: the statement surely did not run."""
