--- a/src/dewledge/core/pooler/sessions/authorization.py
+++ b/src/dewledge/core/pooler/sessions/authorization.py
@@ -28,6 +28,8 @@
 class Authorization:
     """Of one session."""
 
+    __slots__ = ("_services", "_session")
+
     def __init__(self, session: str, services: PoolServices) -> None:
         self._session = session
         self._services = services
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -260,7 +260,8 @@
         if arrived is None:
             arrived = self._services.scheduler.now()
         answerer = self._answerer(statement.id, admitted_at)
-        scope = StatementScope(self._services, group, route, state, statement, arrived)
+        writes = state.writes(statement)
+        scope = StatementScope(self._services, group, route, state, statement, writes, arrived)
         self._run = StatementRun(scope, answerer)
         self._run.start()
 
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -39,7 +39,7 @@
         self.second_reads = RetryBudget(SECOND_READS_SHARE, SECOND_READS_RESERVE)
         """Second tries of reads whose holder fell silent."""
         self.returns: dict[str, ReturnMoments] = {}
-        """By group: the moments told to callers that no queue told one."""
+        """By group: the moments promised to callers to whom no queue promised one."""
         self.admission: Admission = AdmitsAll()
         """Decides before any work whether an operation of a caller may begin."""
         self.is_ending = False
@@ -56,7 +56,7 @@
         return any(group.view.databases for group in self.groups.values())
 
     def return_moments(self, group: str) -> ReturnMoments:
-        """Returns a group's moments for callers that no queue told one."""
+        """Returns a group's moments, for callers to whom no queue promised one."""
         return self.returns.setdefault(group, ReturnMoments())
 
     def wait_for_configuration(self, callback: Callable[[], None]) -> None:
--- a/src/dewledge/core/pooler/sessions/session_replies.py
+++ b/src/dewledge/core/pooler/sessions/session_replies.py
@@ -14,6 +14,8 @@
 class SessionReplies:
     """Of one session."""
 
+    __slots__ = ("_answered", "_transport")
+
     def __init__(self, transport: ClientTransport, answered: Callable[[], None]) -> None:
         """`answered`: called after each answer, when the session may be at rest."""
         self._transport = transport
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -23,6 +23,16 @@
 class SessionStart:
     """Of one session; it begins once."""
 
+    __slots__ = (
+        "_accepted",
+        "_authorization",
+        "_held",
+        "_is_accepted",
+        "_name",
+        "_refused",
+        "_services",
+    )
+
     def __init__(
         self,
         name: str,
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -85,7 +85,7 @@
         self.transaction: OpenTransaction | None = None
         self.floor: LogPosition | None = None
         self.ticket: Ticket | None = None
-        """Of an operation that was refused and told when to come back."""
+        """Of an operation that was refused with a moment to come back."""
 
     def writes(self, statement: Statement) -> bool:
         """Tells whether a statement writes; one to execute has to be prepared here."""
--- a/src/dewledge/core/pooler/sessions/session_transactions.py
+++ b/src/dewledge/core/pooler/sessions/session_transactions.py
@@ -16,6 +16,8 @@
 class SessionTransactions:
     """Of one session."""
 
+    __slots__ = ("_replies", "_services")
+
     def __init__(self, services: PoolServices, replies: SessionReplies) -> None:
         self._services = services
         self._replies = replies
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -21,16 +21,16 @@
 from dewledge.errors import ErrorCode
 
 COME_BACK_OVERLOADED_MS = 100
-"""Milliseconds, told where no queue told when it will have room: some times the work of a
-statement. Chosen, not measured."""
+"""Milliseconds, where no queue has said when it will have room: some times the work of a statement.
+Chosen, not measured."""
 COME_BACK_NO_PRIMARY_MS = 500
-"""Milliseconds, told without a primary: one is usually replaced within a second or two, most of
-which whoever is told has waited for already. Chosen, not measured."""
+"""Milliseconds, while the group has no primary: one is usually replaced within a second or two, and
+the refused statement has waited for most of that already. Chosen, not measured."""
 COME_BACK_STARTING_MS = 500
-"""Milliseconds, told to a session that begins at a process without a configuration. Chosen, not
+"""Milliseconds, for a session that begins at a process without a configuration. Chosen, not
 measured."""
 COME_BACK_ENDING_MS = 100
-"""Milliseconds, told near the end of a planned stop: the client's next session begins at another
+"""Milliseconds, near the end of a planned stop: the client's next session begins at another
 process. Chosen, not measured."""
 
 
@@ -45,7 +45,7 @@
 
 
 def least_seconds(lacks_primary: bool) -> float:
-    """Returns the seconds told where no queue told when it will have room."""
+    """Returns the seconds where no queue has said when it will have room."""
     least_ms = COME_BACK_NO_PRIMARY_MS if lacks_primary else COME_BACK_OVERLOADED_MS
     return least_ms / MILLISECONDS
 
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -7,7 +7,8 @@
 
 import math
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from dewledge.core.pooler.databases.group import SEEK_AGAIN_SECONDS
 from dewledge.core.pooler.load.ticket import Ticket
@@ -33,8 +34,7 @@
 exact."""
 
 
-@dataclass(frozen=True, slots=True)
-class SearchEnds:
+class SearchEnds(msgspec.Struct, frozen=True):
     """How a search ends.
 
     found: gets the connection. gave_up: gets the milliseconds after which the client may come back.
@@ -119,7 +119,7 @@
         self._exhausted.note_overloaded(self.target.database.id, failure, now)
 
     def note_served(self) -> None:
-        """The statement ran: the place that it kept is no longer needed."""
+        """The statement ran: the ticket of an earlier refusal has served its purpose."""
         self._session.ticket = None
 
     def _plan(self) -> None:
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -31,7 +31,7 @@
 
 
 def report_of(pool: ConnectionPool) -> LoadReport:
-    """Returns what a process that holds connections tells of the load before a database."""
+    """Returns the load report of a process that holds connections to a database."""
     return bounded_report(
         pool.waiting,
         pool.urgent_waiting,
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -15,7 +15,8 @@
 - `turn_ends_at`: until then it waits for a slot of its present target, while another may serve it.
 - `hold_until`: until then a read is kept for a replica that lacks its position.
 - `set_up_limit`: until then the answer to what prepares the connection is awaited.
-- `attempt_limit`: until then the answer to the statement itself is awaited.
+- `attempt_limit`: until then the answer to a read that was not rerun yet is awaited; the answer to
+  any other statement until `deadline`.
 
 Reason: a wait that ends too late to be answered takes a place from one that can be served, and a
 step that takes all the time leaves none for another database.
@@ -139,13 +140,11 @@
             limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_SHARE)
         return limit
 
-    def attempt_limit(self, sent_at: float, may_rerun: bool, is_queued_elsewhere: bool) -> float:
-        """Returns until when the answer to the statement, sent at `sent_at`, is awaited.
+    def attempt_limit(self, sent_at: float, is_queued_elsewhere: bool) -> float:
+        """Returns until when the answer to a read that can be tried once more is awaited.
 
-        may_rerun: whether it is a read that can be tried once more.
+        The answer to anything else is awaited until the deadline. sent_at: when it was sent.
         """
-        if not may_rerun:
-            return self.deadline
         share = QUEUED_READ_SHARE if is_queued_elsewhere else READ_ATTEMPT_SHARE
         return sent_at + (self.deadline - sent_at) * share
 
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -119,8 +119,9 @@
         self._lease.note_sending()
         target = self._search.target
         floor = target.floor if self._transaction is None and target is not None else None
-        may_rerun = self._work is Work.READ and not self._reruns
-        limit = self._deadlines.attempt_limit(now, may_rerun, self._is_queued_elsewhere)
+        limit = self._deadlines.deadline
+        if self._work is Work.READ and not self._reruns:
+            limit = self._deadlines.attempt_limit(now, self._is_queued_elsewhere)
         if not self._lease.is_pinned:
             connection.wait_until = self._deadlines.slot_wait_until(limit)
         self._attempt.send(connection, floor, limit)
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -3,7 +3,7 @@
 It owns nothing; ClientSession makes it.
 """
 
-from dataclasses import dataclass
+import msgspec
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.sessions.routes import Route
@@ -13,11 +13,11 @@
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
 
-@dataclass(frozen=True, slots=True)
-class StatementScope:
+class StatementScope(msgspec.Struct, frozen=True):
     """One statement, its session and what serves it.
 
-    arrived: when the client's statement came (steady clock, seconds).
+    writes: whether the statement writes. arrived: when the client's statement came (steady clock,
+    seconds).
     """
 
     services: PoolServices
@@ -25,13 +25,9 @@
     route: Route
     session: SessionState
     statement: Statement
+    writes: bool
     arrived: float
 
-    @property
-    def writes(self) -> bool:
-        """Whether the statement writes."""
-        return self.session.writes(self.statement)
-
     @property
     def is_commit(self) -> bool:
         """Whether the statement commits a transaction."""
--- a/src/dewledge/core/pooler/statements/statements.py
+++ b/src/dewledge/core/pooler/statements/statements.py
@@ -41,8 +41,8 @@
 )
 """What runs in one of a database's slots, or is refused as overloaded while none is free."""
 OWN_QUESTIONS = frozenset({StatementKind.STATUS, StatementKind.STEP_DOWN})
-"""What the proxy asks a database about itself: who leads hangs on the answer, so it waits for no
-statement of a client."""
+"""What the proxy asks a database about itself. Which database is primary depends on the answer, so
+the question waits for no statement of a client."""
 
 
 class Statement(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -33,8 +33,8 @@
 
     FLOOR: it compares its log with a position; any database may do so.
     LEAD: the statement runs in a transaction that only a primary opens and keeps.
-    RIGHT: it has shown that it leads, and nobody else does while this process may use it.
-    NONE: the statement itself is refused by any other database than the primary.
+    RIGHT: it has shown that it is primary, and no other is while this process has the lease.
+    NONE: any database but the primary refuses the statement itself.
     """
 
     FLOOR = "floor"
--- a/tests/core/pooler/test_exhausted_databases.py
+++ b/tests/core/pooler/test_exhausted_databases.py
@@ -81,6 +81,7 @@
             route(Consistency.PRIMARY),
             SessionState("s", "primary"),
             statement,
+            True,
             self.now,
         )
         self.target = Target(self.harness.group.view.databases["p"], Proof.NONE)
--- a/tests/core/pooler/test_statement_deadlines.py
+++ b/tests/core/pooler/test_statement_deadlines.py
@@ -114,16 +114,16 @@
         late = moments.set_up_limit(ARRIVED + 1.8, is_queued_elsewhere=True)
         self.assertAlmostEqual(late, ARRIVED + 1.8 + SETUP_LIMIT_SECONDS)
 
-    def test_only_what_may_be_rerun_is_given_up_before_the_deadline(self) -> None:
+    def test_a_read_is_given_up_in_time_for_a_rerun(self) -> None:
         moments = deadlines()
-        for may_rerun, is_queued, limit in (
-            (False, False, 2.0),
-            (False, True, 2.0),
-            (True, False, 1.0),
-            (True, True, 1.4),
+        for sent_at, is_queued, limit in (
+            (0.0, False, 1.0),
+            (0.0, True, 1.4),
+            (1.0, False, 1.5),
+            (1.0, True, 1.7),
         ):
-            with self.subTest(may_rerun=may_rerun, is_queued=is_queued):
-                found = moments.attempt_limit(ARRIVED, may_rerun, is_queued)
+            with self.subTest(sent_at=sent_at, is_queued=is_queued):
+                found = moments.attempt_limit(ARRIVED + sent_at, is_queued)
                 self.assertAlmostEqual(found, ARRIVED + limit)
 
     def test_a_holder_is_told_no_end_for_a_pinned_transaction(self) -> None:
