--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -1,6 +1,9 @@
-"""What all parts of one statement's way share: a value, fixed from its arrival on."""
+"""What all parts of one statement share: a value, fixed from its arrival on.
 
-from dataclasses import dataclass
+It owns nothing; ClientSession makes it.
+"""
+
+import msgspec
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.sessions.routes import Route
@@ -10,11 +13,11 @@
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
 
-@dataclass(frozen=True, slots=True)
-class StatementScope:
+class StatementScope(msgspec.Struct, frozen=True):
     """One statement, its session and what serves it.
 
-    arrived: when the client's statement came (steady clock, seconds).
+    writes: whether the statement writes. arrived: when the client's statement came (steady clock,
+    seconds).
     """
 
     services: PoolServices
@@ -22,13 +25,9 @@
     route: Route
     session: SessionState
     statement: Statement
+    writes: bool
     arrived: float
 
-    @property
-    def writes(self) -> bool:
-        """Whether the statement writes."""
-        return self.session.writes(self.statement)
-
     @property
     def is_commit(self) -> bool:
         """Whether the statement commits a transaction."""
