--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -24,7 +24,7 @@
 SILENT_AFTER_SECONDS = 0.25
 """Seconds; something is awaited and no answer came for so long: some round trips between regions
 and the work of the longest statements, as in `answer_watch`. Played with and without: within noise
-(docs/design/heavy-load.md)."""
+(docs/measurements/heavy-load.md)."""
 USUAL_FACTOR = 3.0
 """Usual times of a statement; a database whose statements take longer than `SILENT_AFTER_SECONDS`
 is silent after so many of them. Chosen, not measured."""
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -58,7 +58,7 @@
     first_pause, longest_pause: between dials that fail; the longest is half of what most callers
     have for an operation, and 850 processes that miss one then dial it 400 times a second in all.
     pause_growth: the factor by which pauses grow; 0 has them grow by `first_pause` each time.
-    The figures are chosen; played together: docs/design/heavy-load.md, Silent holders.
+    The figures are chosen; played together: docs/measurements/heavy-load.md, Silent holders.
     """
 
     ping_after: float = 0.1
@@ -75,7 +75,7 @@
 WITHOUT_PROBES = HolderRules(0.25, 0.0, 0.25, 0.25, 1.0, False, 0.5, 4.0, 0.0)
 """Times in seconds, as they were before holders were judged by probes: silent after half a second,
 and lost ones are tried again by the next statement after a pause. In single plays 1,125 statements
-were lost without probes, 528 with them (docs/design/heavy-load.md, Silent holders)."""
+were lost without probes, 528 with them (docs/measurements/heavy-load.md, Silent holders)."""
 
 
 class HolderState(StrEnum):
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -4,7 +4,7 @@
 Decision: the report goes along if a number differs by more than `COUNT_CHANGE` and `SHARE_CHANGE`,
 or if the last one is as old as its half-life, when it counts half. So a peer that gets answers at
 any rate gets at most two reports a second while nothing changes. Reason: bytes on the links; an
-entry pays at most 14 bytes an answer (docs/design/heavy-load.md, What is told).
+entry pays at most 14 bytes an answer (docs/measurements/heavy-load.md, What is told).
 """
 
 from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -8,7 +8,7 @@
 in the order of arrival. One that was refused and has come back is never passed over for being late.
 Reason: worth is in what is answered in time, and what is late is passed over for most of its time
 but never until that is over. In single trials 1.0% were refused in place of 2.1%
-(docs/design/heavy-load.md, Useful waits).
+(docs/measurements/heavy-load.md, Useful waits).
 """
 
 import math
@@ -24,7 +24,7 @@
 Chosen, not measured."""
 LEAST_JUDGING_SECONDS = 0.02
 """Seconds; what waits is judged anew no more often: some times the work of a statement. Each is
-judged some six times at most (docs/design/heavy-load.md, Useful waits)."""
+judged some six times at most (docs/measurements/heavy-load.md, Useful waits)."""
 FUTILE_SECONDS = 0.4
 """Seconds; a database that has had a statement wait for so long and then refused it, or has run
 nothing of this process meanwhile, isn't asked again: statements have 0.8 s and more, so that half
