--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -1,6 +1,6 @@
 """The pool of one database: what this process's statements ask for, and what they get.
 
-This is the door; each decision is in a part of its own:
+`ConnectionPool` joins the parts and decides little itself:
 
 - `held_connections`: the connections, their count and limit; `connection_openings` opens them.
 - `pool_slots`: how many statements may be at the database at once.
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from enum import IntEnum, StrEnum
 
+from dewledge.core.pooler.load.flow_queue import Rank
 from dewledge.core.pooler.load.verdict import Refuse
 from dewledge.core.pooler.load.wait_deadlines import QueuePriority, WaitDeadlines
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
-from dewledge.core.pooler.load.wait_queue import Rank
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
--- a/tests/core/pooler/load/test_wait_queue.py
+++ b/tests/core/pooler/load/test_wait_queue.py
@@ -6,7 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.wait_queue import Rank, WaitQueue
+from dewledge.core.pooler.load.flow_queue import Rank
+from dewledge.core.pooler.load.wait_queue import WaitQueue
 
 FOREVER = float("inf")
 
