--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -82,11 +82,6 @@
         for key in list(self._order):
             yield from self._levels[key]
 
-    @property
-    def first(self) -> Waiter:
-        """Who comes first; somebody has to wait."""
-        return next(iter(self))
-
     @property
     def most_urgent(self) -> int:
         """How many wait that are as urgent as the first."""
--- a/tests/core/pooler/load/test_wait_queue.py
+++ b/tests/core/pooler/load/test_wait_queue.py
@@ -140,7 +140,7 @@
             queue.add(Waits(caller, rank, rank, FOREVER), 0.0)
         left, had = Counter(callers), Counter[str]()
         while len(queue):
-            first = queue.first
+            first = next(iter(queue))
             self.assertEqual(had[first.caller], min(had[name] for name in left if left[name]))
             queue.serve(first)
             had[first.caller] += 1
@@ -163,7 +163,7 @@
                     queue.add(Waits(each[0], rank, rank, FOREVER), 0.0)
                 served = []
                 while len(queue):
-                    first = queue.first
+                    first = next(iter(queue))
                     served.append(f"{first.caller}{first.rank(0.0)[0]:.0f}")
                     queue.serve(first)
                 self.assertEqual(" ".join(served), expected)
