--- a/src/dewledge/core/proxy/messages.py
+++ b/src/dewledge/core/proxy/messages.py
@@ -15,8 +15,6 @@
 
 PROTOCOL_VERSION = 1
 """Of the links between proxies; a peer of any other version is refused."""
-MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Of one message; a full configuration takes 2.1 MB of memory at the target size."""
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag="hello"):
--- a/src/dewledge/shell/proxy/peer_link.py
+++ b/src/dewledge/shell/proxy/peer_link.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from dewledge.core.proxy.messages import PeerMessage, decode
+from dewledge.core.proxy.messages import PeerMessage, decode, encode
 from dewledge.errors import ProtocolError
 from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop
-from dewledge.shell.shared.frames import HEARTBEAT_FRAME, FrameReader, encode_frame
+from dewledge.shell.shared.frames import HEARTBEAT_FRAME, FrameReader, frame_of
 
 RECEIVE_BYTES = 256 * 1024
 MAX_OUTBOUND_BYTES = 8 * 1024 * 1024
@@ -80,7 +80,7 @@
 
     def send(self, message: PeerMessage, request: int | None = None) -> None:
         """Queues a message; a link whose peer does not keep up is closed, not buffered for."""
-        self._enqueue(encode_frame(message), request)
+        self._enqueue(frame_of(encode(message)), request)
 
     def send_heartbeat(self) -> None:
         """Asks the acceptor for a sign of life."""
--- a/src/dewledge/shell/shared/frames.py
+++ b/src/dewledge/shell/shared/frames.py
@@ -1,4 +1,4 @@
-"""Frames on a link between proxies: a 4-byte big-endian length, then one encoded message.
+"""Frames on a link between processes: a 4-byte big-endian length, then one encoded message.
 
 An empty frame is a heartbeat: the side that dialled sends one when an answer is overdue, the
 other side returns it.
@@ -6,16 +6,12 @@
 
 import struct
 
-from dewledge.core.proxy.messages import MAX_FRAME_BYTES, PeerMessage, encode
 from dewledge.errors import ProtocolError
 
 _LENGTH = struct.Struct(">I")
 HEARTBEAT_FRAME = _LENGTH.pack(0)
-
-
-def encode_frame(message: PeerMessage) -> bytes:
-    """Returns the frame of one message."""
-    return frame_of(encode(message))
+MAX_FRAME_BYTES = 16 * 1024 * 1024
+"""Of one message; a full configuration takes 2.1 MB of memory at the target size. Chosen."""
 
 
 def frame_of(body: bytes) -> bytes:
--- a/tests/platform/test_start_imports.py
+++ b/tests/platform/test_start_imports.py
@@ -42,6 +42,24 @@
 """
 
 
+OTHER_PROGRAM = ("dewledge.core.proxy", "dewledge.shell.proxy")
+"""The pooler loads nothing of the proxy: neither its start nor its reader should know of it."""
+
+
+class OtherProgramTest(unittest.TestCase):
+    def test_the_pooler_loads_nothing_of_the_proxy(self) -> None:
+        program = "import sys, dewledge.shell.pooler.pooler_process; print(*sys.modules)"
+        done = subprocess.run(
+            [sys.executable, "-c", f"import sys; sys.path.insert(0, {str(SOURCES)!r})\n{program}"],
+            capture_output=True,
+            text=True,
+            timeout=30,
+            check=True,
+        )
+        loaded = done.stdout.split()
+        self.assertEqual([name for name in loaded if name.startswith(OTHER_PROGRAM)], [])
+
+
 class StartTest(unittest.TestCase):
     def start(self, settings: str) -> subprocess.CompletedProcess[str]:
         directory = Path(self.enterContext(tempfile.TemporaryDirectory()))
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -21,6 +21,7 @@
     PeerMessage,
     StatementDone,
     StatementRequest,
+    encode,
 )
 from dewledge.core.shared.positions import LOG_START
 from dewledge.shell.proxy.outbound_peer import (
@@ -33,12 +34,16 @@
 from dewledge.shell.proxy.peer_link import MAX_OUTBOUND_BYTES
 from dewledge.shell.proxy.peer_links import PeerLinks
 from dewledge.shell.shared.event_loop import EventLoop
-from dewledge.shell.shared.frames import FrameReader, encode_frame
+from dewledge.shell.shared.frames import FrameReader, frame_of
 from dewledge.shell.shared.sockets import bound_address, parse_address
 
 PATIENCE_SECONDS = 10.0
 
 
+def frame_of_message(message: PeerMessage) -> bytes:
+    return frame_of(encode(message))
+
+
 def request(correlation: int, remaining: float = 5.0, key: str | None = None) -> StatementRequest:
     return StatementRequest(
         correlation, "c", "g", "d", Operation.EXECUTE, Access.READ, remaining, idempotency_key=key
@@ -116,7 +121,7 @@
             except OSError:
                 return
             self._sockets.append(sock)
-            sock.sendall(encode_frame(Hello(PROTOCOL_VERSION, self._name, 1)))
+            sock.sendall(frame_of_message(Hello(PROTOCOL_VERSION, self._name, 1)))
 
     def close(self) -> None:
         self._listener.close()
@@ -296,10 +301,10 @@
         self.assertEqual(first.opened, [])
 
 
-HELLO = encode_frame(Hello(PROTOCOL_VERSION, "x", 1))
+HELLO = frame_of_message(Hello(PROTOCOL_VERSION, "x", 1))
 BAD_FRAMES = [
-    ("no greeting", encode_frame(ConfigurationDigest(1))),
-    ("other version", encode_frame(Hello(PROTOCOL_VERSION + 1, "x", 1))),
+    ("no greeting", frame_of_message(ConfigurationDigest(1))),
+    ("other version", frame_of_message(Hello(PROTOCOL_VERSION + 1, "x", 1))),
     ("too long", HELLO + b"\xff\xff\xff\xff"),
     ("no cbor", HELLO + b"\0\0\0\1\xff"),
     ("unknown message", HELLO + b"\0\0\0\7\x81\x65other"),
