--- a/src/dewledge/core/pooler/coordination_store.py
+++ b/src/dewledge/core/pooler/coordination_store.py
@@ -67,7 +67,7 @@
         """Returns the new version. Raises StoreConditionFailed, StoreOutcomeUnknown."""
 
 
-class DutyCalls(Protocol):
+class PromotionCalls(Protocol):
     """Calls that the platform takes from the holder of a lease, guarded by a fencing token."""
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
--- a/src/dewledge/platform/adapter.py
+++ b/src/dewledge/platform/adapter.py
@@ -1,4 +1,7 @@
-"""Everything that the product is given of the platform, in one value."""
+"""Builds the adapter of the users' platform: everything that the product is given of it.
+
+The only module that knows which table and key of the platform's store hold what.
+"""
 
 from dewledge.platform.operator_records import (
     parse_configuration,
@@ -6,7 +9,7 @@
     without_keys,
 )
 from dewledge.platform.status_row import parse_status
-from dewledge.platform.store_client import PlatformDuties, PlatformStore
+from dewledge.platform.store_client import PlatformPromotions, PlatformStore
 from dewledge.platform.wire_codec import WireClientCodec, WireDatabaseCodec
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
@@ -18,7 +21,7 @@
     """Returns the adapter for the addresses of the settings."""
     return PlatformAdapter(
         store=PlatformStore(settings.store_address, {CONFIGURATION_TABLE: without_keys}),
-        duties=PlatformDuties(settings.duty_address) if settings.duty_address else None,
+        promotions=PlatformPromotions(settings.duty_address) if settings.duty_address else None,
         parse_status=parse_status,
         new_client_codec=WireClientCodec,
         new_database_codec=WireDatabaseCodec,
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -1,6 +1,7 @@
-"""Calls to the platform's store and to the calls that are the duty of one node. They block.
+"""Calls to the platform's store, and the promotions that are the duty of one node. They block.
 
-May be called from any thread; HttpCalls keeps the connections.
+May be called from any thread; HttpCalls keeps the connections. Translates at the edge: statuses of
+the store become the product's errors, and nothing is tried again here.
 """
 
 import base64
@@ -35,12 +36,15 @@
 )
 
 CONNECT_SECONDS = 0.7
+"""For the store to accept a connection; chosen, not measured."""
 RETRY_AFTER_SECONDS = 0.5
+"""Told with a refusal for too many calls, which names no time itself; chosen, not measured."""
 LONGEST_ANSWER_SECONDS = 6.0
 """For an answer that goes on coming: a configuration of 1,400 routes is some 350 KB, which takes
 0.6 s over a link of 5 Mbit/s that carries nothing else, and some times that beside all else. Given
 up sooner it would fill the link for nothing and be begun anew."""
 PAGE_ROWS = 500
+"""Of a table in one answer; chosen, not measured."""
 ACCEPTED = 200
 FENCED = 409
 _JSON = {"Content-Type": "application/json"}
@@ -151,7 +155,7 @@
             raise StoreOutcomeUnknown(f"unreadable answer: {error}") from error
 
 
-class PlatformDuties:
+class PlatformPromotions:
     """Calls that the platform takes from one node at a time.
 
     A connection given up on is reset: what a broken network still holds of a call is never
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -72,7 +72,7 @@
             scheduler,
             settings.name,
             settings.quota.policy,
-            self.notices.quota_asked,
+            self.notices.quota_asked.tell,
             scheduler.now(),
         )
         self.services = PoolServices(
@@ -80,7 +80,7 @@
             self.log.record,
             settings.load.policy,
             self.gate,
-            self.notices.database_suspected,
+            self.notices.database_suspected.tell,
         )
         self.databases = KnownDatabases(self.services.groups)
         self.readiness = Readiness(self.services)
@@ -143,7 +143,7 @@
         )
         self.driver = FailoverDriver(
             context,
-            platform.duties,
+            platform.promotions,
             platform.parse_status,
             lambda: neighbours.members.addresses,
             base.log.record,
@@ -181,7 +181,7 @@
     )
     own = CoordinationTable(
         members,
-        base.notices.members_changed,
+        base.notices.members_changed.tell,
         lambda: members.register_if_missing(base.executor, lambda: base.readiness.is_leaving),
         failover.driver,
         failover.claims,
@@ -204,11 +204,11 @@
     tables: TableReading,
 ) -> None:
     """Says who is told what. Who stands first is told first."""
-    notices.configuration_changed.add_taker(quota.configuration_changed)
-    notices.quota_asked.add_taker(quota.send)
-    notices.group_changed.add_taker(failover.look_at)
-    notices.database_suspected.add_taker(failover.doubt)
-    notices.members_changed.add_taker(failover.members_changed)
-    notices.members_changed.add_taker(quota.members_changed)
-    notices.members_changed.add_taker(shares.share_anew)
-    notices.members_changed.add_taker(tables.members_changed)
+    notices.configuration_changed.add(quota.configuration_changed)
+    notices.quota_asked.add(quota.send)
+    notices.group_changed.add(failover.look_at)
+    notices.database_suspected.add(failover.doubt)
+    notices.members_changed.add(failover.members_changed)
+    notices.members_changed.add(quota.members_changed)
+    notices.members_changed.add(shares.share_anew)
+    notices.members_changed.add(tables.members_changed)
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -52,7 +52,7 @@
         for name in table.groups:
             self._groups.group(name)
         self._shares.share_anew()
-        self._notices.configuration_changed(table)
+        self._notices.configuration_changed.tell(table)
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
@@ -84,7 +84,7 @@
             return
         group = self._groups.group(record.group)
         group.change_view(group.view.with_record(record, self._now()))
-        self._notices.group_changed(record.group)
+        self._notices.group_changed.tell(record.group)
         logger.bind(
             database=record.id,
             group=record.group,
--- a/src/dewledge/shell/pooler/failover/claim_events.py
+++ b/src/dewledge/shell/pooler/failover/claim_events.py
@@ -5,28 +5,10 @@
 runs on the loop's thread, within the call that tells it, in the order of subscription.
 """
 
-from collections.abc import Callable, Sequence
-from typing import Generic, ParamSpec
+from collections.abc import Sequence
 
 from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
-
-P = ParamSpec("P")
-
-
-class Listeners(Generic[P]):
-    """The calls that take one kind of event."""
-
-    def __init__(self) -> None:
-        self._calls: list[Callable[P, None]] = []
-
-    def add(self, call: Callable[P, None]) -> None:
-        """Subscribes a call for the life of the process."""
-        self._calls.append(call)
-
-    def tell(self, *args: P.args, **kwargs: P.kwargs) -> None:
-        """Passes an event to each call."""
-        for call in self._calls:
-            call(*args, **kwargs)
+from dewledge.shell.pooler.listeners import Listeners
 
 
 class ClaimEvents:
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -5,7 +5,7 @@
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import (
-    DutyCalls,
+    PromotionCalls,
     StoreRow,
     StoreWrite,
 )
@@ -32,7 +32,7 @@
     def __init__(
         self,
         context: FailoverContext,
-        promotions: DutyCalls | None,
+        promotions: PromotionCalls | None,
         take_rows: Callable[[Sequence[StoreRow]], None],
         handle: Callable[[str, FailoverEvent], None],
     ) -> None:
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -5,7 +5,7 @@
 import msgspec
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import DutyCalls, StoreRow
+from dewledge.core.pooler.coordination_store import PromotionCalls, StoreRow
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.candidates import panel
@@ -52,7 +52,7 @@
     def __init__(
         self,
         context: FailoverContext,
-        promotions: DutyCalls | None,
+        promotions: PromotionCalls | None,
         parse_status: Callable[[Reply], DatabaseStatus | None],
         addresses: Callable[[], dict[str, str]],
         record: Callable[[msgspec.Struct], None],
--- a/src/dewledge/shell/pooler/platform_adapter.py
+++ b/src/dewledge/shell/pooler/platform_adapter.py
@@ -1,10 +1,13 @@
-"""What the adapter of a platform brings: calls, codecs, tables, and readers of their rows."""
+"""What the adapter of a platform brings: the border between the product and the platform's forms.
+
+Everything that the process knows of the platform comes in this one value.
+"""
 
 from collections.abc import Callable
 
 import msgspec
 
-from dewledge.core.pooler.coordination_store import CoordinationStore, DutyCalls
+from dewledge.core.pooler.coordination_store import CoordinationStore, PromotionCalls
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.messages import DatabaseStatus
 from dewledge.core.pooler.sessions.codec import ClientCodec, DatabaseCodec
@@ -16,7 +19,7 @@
     """What the adapter of a platform brings: codecs, tables, and readers of their rows."""
 
     store: CoordinationStore
-    duties: DutyCalls | None
+    promotions: PromotionCalls | None
     parse_status: Callable[[Reply], DatabaseStatus | None]
     new_client_codec: Callable[[], ClientCodec]
     new_database_codec: Callable[[], DatabaseCodec]
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -14,7 +14,7 @@
     StoreRateLimited,
 )
 from dewledge.platform.operator_records import parse_configuration, parse_database
-from dewledge.platform.store_client import PlatformDuties, PlatformStore
+from dewledge.platform.store_client import PlatformPromotions, PlatformStore
 from dewledge.shell.pooler.tables.followed_table import FollowedTable
 from dewledge.shell.pooler.tables.table_watcher import TableWatcher
 from tests.platform.table_store import TableStore
@@ -92,7 +92,7 @@
             self.store.read_table("op")
 
     def test_duty_calls(self) -> None:
-        duties = PlatformDuties(self.stand_in.address)
+        duties = PlatformPromotions(self.stand_in.address)
         self.assertTrue(duties.promote("menus", "i-1", "node-a", 7))
         self.assertFalse(duties.promote("menus", "i-1", "node-b", 6))
         self.assertEqual(self.stand_in.promotions, [("menus", "i-1", "node-a", 7)])
