--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -1,4 +1,7 @@
-"""A non-blocking TCP connection on the event loop: bytes in, bytes out, one end."""
+"""A non-blocking TCP connection on the event loop: bytes in, bytes out, one end.
+
+Owns the socket and what was not sent yet. An end is told once, a close of one's own never.
+"""
 
 import contextlib
 import errno
@@ -6,14 +9,18 @@
 from collections.abc import Callable
 
 from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import family_of, parse_address
+from dewledge.shell.shared.sockets import KeepAlive, family_of, parse_address, tune_link
 
 READ_BYTES = 64 * 1024
+"""Taken in one turn of the loop; chosen, not measured."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
+"""Of one connection; an other end that takes so little is given up. Chosen, not measured."""
 CLOSE_LINGER_SECONDS = 1.0
-KEEPALIVE_SECONDS = 1
-KEEPALIVE_PROBES = 3
+"""Read on after the last answer, so that no reset cuts it; chosen, not measured."""
+NOTICES_SILENCE = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
+"""An idle connection whose other end is gone ends after 4 s; chosen, not measured."""
 USER_TIMEOUT_MS = 4000
+"""Bytes that were sent and not taken for so long end the connection; chosen, not measured."""
 
 
 class ByteStream:
@@ -34,7 +41,9 @@
         self._closing = False
         self.closed = False
         sock.setblocking(False)
-        set_options(sock)
+        tune_link(sock, NOTICES_SILENCE)
+        with contextlib.suppress(OSError):
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         loop.watch(sock, READABLE, self._on_ready)
 
     def send(self, data: bytes) -> None:
@@ -168,14 +177,3 @@
     def _release(self) -> None:
         self._timer.cancel()
         self._loop.unwatch(self._socket)
-
-
-def set_options(sock: socket.socket) -> None:
-    """Sends at once, and notices within seconds that the other end is silent."""
-    with contextlib.suppress(OSError):
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_SECONDS)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_SECONDS)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -1,4 +1,8 @@
-"""Connections to databases that other processes hold: channels on links to them."""
+"""Connections to databases that other processes hold: channels on links to them.
+
+Owns the channels of this process by link and number. Relies on `outgoing_links` for links and on
+what these judge of the processes at their other ends; a channel ends with its link.
+"""
 
 import itertools
 from collections import deque
@@ -21,12 +25,11 @@
 from dewledge.core.pooler.statements.statements import Statement
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
+from dewledge.shell.pooler.links.open_request import OpenRequest
 from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
 from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
 from dewledge.shell.shared.event_loop import EventLoop
 
-OpenedCallback = Callable[[DatabaseConnection], None]
-
 
 class HolderNews(Protocol):
     """Takes what answers of holders tell besides the answers themselves."""
@@ -53,36 +56,28 @@
         else:
             links.watch_health(self._retire_silent)
 
-    def open(
-        self,
-        database_id: str,
-        caller: str,
-        addresses: Sequence[str],
-        opened: OpenedCallback,
-        failed: Callable[[ErrorCode], None],
-        closed: OpenedCallback,
-    ) -> None:
-        """Opens a channel through the first process that can be reached; as Opener.open.
+    def open(self, request: OpenRequest, addresses: Sequence[str]) -> None:
+        """Opens a channel through the first process that can be reached.
 
         Those that are thought lost are dialled, as far as it is time to, and not waited for.
         """
         usable = [address for address in addresses if self._is_usable(address)]
         if not usable:
-            self._loop.call_later(0.0, lambda: failed(ErrorCode.DATABASE_UNREACHABLE))
+            self._loop.call_later(0.0, lambda: request.failed(ErrorCode.DATABASE_UNREACHABLE))
             return
         link = self._links.to(usable[0])
 
         def go_on() -> None:
-            self.open(database_id, caller, usable[1:], opened, failed, closed)
+            self.open(request, usable[1:])
 
-        def reached() -> None:
-            number = next(self._numbers)
-            channel = _Channel(link, number, database_id, closed, self._forget, self._loop.now)
-            self._channels.setdefault(link, {})[channel.number] = channel
-            link.send(ChannelOpened(channel.number, database_id, caller))
-            opened(channel.connection)
+        link.when_open(lambda: self._begin(link, request), go_on)
 
-        link.when_open(reached, go_on)
+    def _begin(self, link: OutgoingLink, request: OpenRequest) -> None:
+        number = next(self._numbers)
+        channel = _Channel(link, number, request, self._forget, self._loop.now)
+        self._channels.setdefault(link, {})[number] = channel
+        link.send(ChannelOpened(number, request.database_id, request.caller))
+        request.opened(channel.connection)
 
     def _is_usable(self, address: str) -> bool:
         link = self._links.to(address)
@@ -142,15 +137,14 @@
         self,
         link: OutgoingLink,
         number: int,
-        database_id: str,
-        closed: OpenedCallback,
+        request: OpenRequest,
         forget: Callable[[OutgoingLink, int], None],
         now: Callable[[], float],
     ) -> None:
         self.number = number
-        self.connection = DatabaseConnection(database_id, self)
+        self.connection = DatabaseConnection(request.database_id, self)
         self._link = link
-        self._closed = closed
+        self._closed = request.closed
         self._forget = forget
         self._now = now
         self.sent_at: deque[float] = deque()
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -1,4 +1,8 @@
-"""Lends this process's database connections to others: accepts links and their channels."""
+"""Lends this process's database connections to others: accepts links and their channels.
+
+Owns the links that others have dialled, and the channels on each. Relies on `core/pooler/sharing`
+for what a channel does, and on the publisher of tables for those who follow them through here.
+"""
 
 import socket
 from collections.abc import Callable
@@ -30,9 +34,12 @@
 from dewledge.shell.shared.sockets import listen_tcp
 
 ACCEPT_BATCH = 32
+"""Links accepted in one turn of the loop; chosen, not measured."""
 MAX_CHANNELS = 2048
+"""Of one link; a peer that opens more is refused. Chosen, not measured."""
 MOST_TOLD_DATABASES = 256
-"""Of one peer whose last word is remembered; beyond that all are told anew."""
+"""Whose last load report to one peer is remembered; beyond that all are reported anew. Chosen, not
+measured."""
 
 
 FollowCallback = Callable[["IncomingLink", FollowTables], None]
@@ -121,7 +128,7 @@
         self._gone = gone
         self._peer = ""
         self._loop = loop
-        self._tellers: dict[str, LoadReporter] = {}
+        self._reporters: dict[str, LoadReporter] = {}
         self._channels: dict[int, ChannelSession] = {}
         self._stream = FramedStream(loop, sock, self._received, self.close)
 
@@ -189,17 +196,17 @@
         )
         self._channels[message.channel] = session
 
-    def load_word(self, group: Group, database_id: str) -> LoadReport | None:
+    def load_report(self, group: Group, database_id: str) -> LoadReport | None:
         """Returns what goes with an answer of the load before a database, if it says anything."""
         report = group.load_report(database_id)
         if report is None:
             return None
-        teller = self._tellers.get(database_id)
-        if teller is None:
-            if len(self._tellers) >= MOST_TOLD_DATABASES:
-                self._tellers.clear()
-            teller = self._tellers[database_id] = LoadReporter()
-        return teller.word(report, self._loop.now())
+        reporter = self._reporters.get(database_id)
+        if reporter is None:
+            if len(self._reporters) >= MOST_TOLD_DATABASES:
+                self._reporters.clear()
+            reporter = self._reporters[database_id] = LoadReporter()
+        return reporter.word(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
         """A channel is over."""
@@ -217,7 +224,7 @@
 
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
         """Answers the oldest statement that has no answer."""
-        load = self._link.load_word(self._group, self._database_id)
+        load = self._link.load_report(self._group, self._database_id)
         self._link.send(channel_reply(self._channel, reply, proof, load))
 
     def send_ended(self) -> None:
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -1,4 +1,8 @@
-"""Accepts clients' connections and gives each a session."""
+"""Accepts clients' connections and gives each a session.
+
+Owns the clients' connections of one process. Relies on `core/pooler/sessions`, for
+whose sessions connections are transports, and on FailedLoginThrottle for when a refusal is told.
+"""
 
 import contextlib
 import itertools
@@ -8,16 +12,17 @@
 from loguru import logger
 
 from dewledge.core.pooler.load.failed_login_throttle import FailedLoginThrottle
-from dewledge.core.pooler.sessions.client_session import ClientSession
+from dewledge.core.pooler.sessions.client_session import ClientSession, ClientTransport
 from dewledge.core.pooler.sessions.codec import ClientCodec
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.statements.statements import Failure, Reply
 from dewledge.errors import ErrorCode
 from dewledge.shell.pooler.links.byte_stream import ByteStream
 from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import bound_address
+from dewledge.shell.shared.sockets import accept_waiting, bound_address
 
 ACCEPT_BATCH = 64
+"""Connections accepted in one turn of the loop; chosen, not measured."""
 
 _PACED = frozenset({ErrorCode.UNAUTHENTICATED, ErrorCode.UNKNOWN_GROUP})
 """Refusals that a client which comes back at once only repeats."""
@@ -30,19 +35,18 @@
         self,
         loop: EventLoop,
         sock: socket.socket,
-        name: str,
-        services: PoolServices,
         codec: ClientCodec,
+        throttle: FailedLoginThrottle,
         gone: Callable[["ClientConnection"], None],
-        pace: FailedLoginThrottle,
+        new_session: Callable[[ClientTransport], ClientSession],
     ) -> None:
         self._loop = loop
         self._codec = codec
         self._gone = gone
-        self._pace = pace
+        self._throttle = throttle
         self._is_refused = False
         self._held: Timer | None = None
-        self.session = ClientSession(name, services, self)
+        self.session = new_session(self)
         self._stream = ByteStream(loop, sock, self._received, self._ended)
 
     def send_ready(self) -> None:
@@ -56,7 +60,7 @@
     def send_refusal(self, failure: Failure) -> None:
         """Refuses the session and closes the connection; see FailedLoginThrottle for when."""
         self._is_refused = True
-        pause = self._pace.pause(self._loop.now()) if failure.code in _PACED else 0.0
+        pause = self._throttle.pause(self._loop.now()) if failure.code in _PACED else 0.0
         if pause is None:
             self._stream.close()
             self._gone(self)
@@ -77,7 +81,7 @@
         if self._held is not None:
             self._held.cancel()
             self._held = None
-            self._pace.told()
+            self._throttle.told()
 
     def close(self) -> None:
         """Closes the connection once everything sent has left."""
@@ -123,7 +127,7 @@
         self._listener = listener
         self.address = bound_address(listener)
         self._names = itertools.count(1)
-        self._pace = FailedLoginThrottle()
+        self._throttle = FailedLoginThrottle()
         self.connections: set[ClientConnection] = set()
 
     def start(self) -> None:
@@ -136,15 +140,7 @@
         self._listener.close()
 
     def _accept(self, _events: int) -> None:
-        for _ in range(ACCEPT_BATCH):
-            try:
-                sock, _ = self._listener.accept()
-            except BlockingIOError:
-                return
-            except OSError as error:
-                logger.bind(error=str(error)).warning("accept_failed")
-                return
-            self._add(sock)
+        accept_waiting(self._listener, ACCEPT_BATCH, self._add)
 
     def _add(self, sock: socket.socket) -> None:
         if len(self.connections) >= self._max_connections:
@@ -156,10 +152,9 @@
         connection = ClientConnection(
             self._loop,
             sock,
-            name,
-            self._services,
             self._new_codec(),
+            self._throttle,
             self.connections.discard,
-            self._pace,
+            lambda transport: ClientSession(name, self._services, transport),
         )
         self.connections.add(connection)
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -1,12 +1,16 @@
 """Opens connections to databases and carries statements and answers on them.
 
-A connection is one of this process's own, or a channel to a process that holds connections.
+A connection is one of this process's own, or a channel to a process that holds connections. Owns
+the connections of this process from the dial to their end, and the count of those opened because no
+holder could be reached. Relies on `channel_client` for channels.
 """
 
 import socket
 from collections import Counter
 from collections.abc import Callable, Sequence
 
+import msgspec
+
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
 from dewledge.core.pooler.failover.reach_limit import ReachLimit
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -17,10 +21,13 @@
 from dewledge.errors import ErrorCode, ProtocolError
 from dewledge.shell.pooler.links.byte_stream import ByteStream, Connecting
 from dewledge.shell.pooler.links.channel_client import ChannelClient
+from dewledge.shell.pooler.links.open_request import OpenRequest
 from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_LIMIT_SECONDS = 0.6
+"""For a database to accept a connection; chosen, not measured."""
 STARTUP_LIMIT_SECONDS = 1.5
+"""From an accepted connection to the answer of its startup; chosen, not measured."""
 
 
 class DirectOpener:
@@ -52,46 +59,43 @@
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
         """Opens one for a caller; see Opener.open."""
-        record = self._find(database_id)
+        self.dial(OpenRequest(database_id, caller, opened, failed, closed))
+
+    def dial(self, request: OpenRequest) -> None:
+        """Opens a connection of this process's own."""
+        record = self._find(request.database_id)
         if record is None:
-            self._loop.call_later(0.0, lambda: failed(ErrorCode.DATABASE_UNREACHABLE))
+            self._loop.call_later(0.0, lambda: request.failed(ErrorCode.DATABASE_UNREACHABLE))
             return
         known = record
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
             self._reach_limit.observe(self._loop.now() - started_at)
-            _DatabaseLink(
-                self._loop,
-                sock,
-                known,
-                caller or self._user,
-                self._new_codec(),
-                opened,
-                failed,
-                closed,
-            )
+            user = request.caller or self._user
+            _DatabaseLink(self._loop, sock, known, user, self._new_codec(), request)
 
         def refused() -> None:
-            failed(ErrorCode.DATABASE_UNREACHABLE)
+            request.failed(ErrorCode.DATABASE_UNREACHABLE)
 
         Connecting(self._loop, record.address, CONNECT_LIMIT_SECONDS, connected, refused)
 
 
 class SharingOpener:
-    """Opens connections directly or through holders, as `find_way` says."""
+    """Opens connections directly or through holders, as `find_route` says."""
 
     def __init__(
         self,
         direct: DirectOpener,
         channels: ChannelClient,
-        find_way: Callable[[str, str], Sequence[str] | None],
+        find_route: Callable[[str, str], Sequence[str] | None],
     ) -> None:
-        """`find_way`: the addresses of the processes to go through to a database for a caller, None
-        for the direct way."""
+        """`find_route`: the addresses of the processes to go through to a database for a caller,
+        None for a direct connection.
+        """
         self._direct = direct
         self._channels = channels
-        self._find_way = find_way
+        self._find_route = find_route
         self._fallbacks: Counter[str] = Counter()
 
     def open(
@@ -103,39 +107,35 @@
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
         """Opens one for a caller; see Opener.open."""
-        way = self._find_way(database_id, caller)
-        if way is None:
-            self._direct.open(database_id, caller, opened, failed, closed)
+        request = OpenRequest(database_id, caller, opened, failed, closed)
+        addresses = self._find_route(database_id, caller)
+        if addresses is None:
+            self._direct.dial(request)
             return
 
         def without_holders(_code: ErrorCode) -> None:
-            self._open_fallback(database_id, caller, opened, failed, closed)
+            self._dial_without_holders(request)
 
-        self._channels.open(database_id, caller, way, opened, without_holders, closed)
+        through_holders = msgspec.structs.replace(request, failed=without_holders)
+        self._channels.open(through_holders, addresses)
 
-    def _open_fallback(
-        self,
-        database_id: str,
-        caller: str,
-        opened: Callable[[DatabaseConnection], None],
-        failed: Callable[[ErrorCode], None],
-        closed: Callable[[DatabaseConnection], None],
-    ) -> None:
+    def _dial_without_holders(self, request: OpenRequest) -> None:
         """No holder can be reached: a few connections are opened without them."""
+        database_id = request.database_id
         if self._fallbacks[database_id] >= FALLBACK_CONNECTIONS:
-            failed(ErrorCode.CONNECTION_LIMIT)
+            request.failed(ErrorCode.CONNECTION_LIMIT)
             return
         self._fallbacks[database_id] += 1
 
         def ended(connection: DatabaseConnection) -> None:
             self._fallbacks[database_id] -= 1
-            closed(connection)
+            request.closed(connection)
 
         def refused(code: ErrorCode) -> None:
             self._fallbacks[database_id] -= 1
-            failed(code)
+            request.failed(code)
 
-        self._direct.open(database_id, caller, opened, refused, ended)
+        self._direct.dial(msgspec.structs.replace(request, failed=refused, closed=ended))
 
 
 class _DatabaseLink:
@@ -148,14 +148,10 @@
         record: DatabaseRecord,
         user: str,
         codec: DatabaseCodec,
-        opened: Callable[[DatabaseConnection], None],
-        failed: Callable[[ErrorCode], None],
-        closed: Callable[[DatabaseConnection], None],
+        request: OpenRequest,
     ) -> None:
         self._codec = codec
-        self._opened = opened
-        self._failed = failed
-        self._closed = closed
+        self._request = request
         self._connection: DatabaseConnection | None = None
         self._record = record
         self._over = False
@@ -171,7 +167,7 @@
         """Ends the connection at once."""
         self._stream.close()
         if self._connection is not None:
-            self._closed(self._connection)
+            self._request.closed(self._connection)
 
     def _received(self, data: bytes) -> None:
         try:
@@ -195,7 +191,7 @@
             self._refuse(reply.failure.code)
             return
         self._connection = DatabaseConnection(self._record.id, self)
-        self._opened(self._connection)
+        self._request.opened(self._connection)
 
     def _startup_silent(self) -> None:
         self._refuse(ErrorCode.DATABASE_UNREACHABLE)
@@ -206,7 +202,7 @@
         self._over = True
         self._timer.cancel()
         self._stream.close()
-        self._failed(code)
+        self._request.failed(code)
 
     def _ended(self) -> None:
         if self._connection is None:
@@ -214,4 +210,4 @@
             return
         self._over = True
         self._connection.on_closed()
-        self._closed(self._connection)
+        self._request.closed(self._connection)
--- a/src/dewledge/shell/pooler/links/framed_stream.py
+++ b/src/dewledge/shell/pooler/links/framed_stream.py
@@ -1,4 +1,7 @@
-"""Messages of a link over one TCP connection."""
+"""Messages of a link between processes over one TCP connection.
+
+Relies on `byte_stream` for the connection and on `core/pooler/sharing/messages` for the encoding.
+"""
 
 import socket
 from collections.abc import Callable
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -1,4 +1,8 @@
-"""A link that this process dials, and how it is judged: usable, doubted, silent, leaving, lost."""
+"""A link that this process dials, and how it is judged: usable, doubted, silent, leaving, lost.
+
+Owns one connection and who waits for it. Relies on `core/pooler/load/holder_health`, which judges
+the other end by what comes and when; this module only tells it and acts on the judgement.
+"""
 
 import socket
 from collections.abc import Callable
@@ -13,6 +17,7 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 CONNECT_LIMIT_SECONDS = 0.4
+"""For another process to accept a connection; chosen, not measured."""
 
 
 class LinkWatcher(Protocol):
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -1,4 +1,7 @@
-"""The links that this process dials, by address, and the parts that use them."""
+"""The links that this process dials, by address, and the parts that use them.
+
+Owns the links; passes their messages and ends on to each user, in the order in which users came.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -7,11 +10,10 @@
 from dewledge.core.pooler.events import HolderJudged, PoolingEvent
 from dewledge.core.pooler.load.holder_health import WITHOUT_PROBES, HolderRules, HolderState
 from dewledge.core.pooler.sharing.messages import PeerLinkMessage
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
 from dewledge.shell.shared.event_loop import EventLoop
 
-MILLISECONDS = 1000
-
 
 class LinkUser(Protocol):
     """A part that uses links; it is told of all of them and looks at its own messages."""
--- a/src/dewledge/shell/pooler/links/peer_messages.py
+++ b/src/dewledge/shell/pooler/links/peer_messages.py
@@ -1,4 +1,8 @@
-"""What poolers say to each other in cbor2 over UDP: on lost databases, claims and limits."""
+"""What poolers say to each other in cbor2 over UDP: on lost databases, claims and rate limits.
+
+Owns the encoding of datagrams. Fields go by position, so their order must not change; a message of
+an unknown kind is unreadable and dropped.
+"""
 
 import cbor2
 import msgspec
@@ -12,6 +16,7 @@
 from dewledge.errors import ProtocolError
 
 MAX_BYTES = 8192
+"""Of one datagram; longer ones are neither sent nor read. Chosen, not measured."""
 
 
 class IndirectProbeQuestion(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
--- a/src/dewledge/shell/pooler/links/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -1,4 +1,8 @@
-"""The datagram socket of one process towards other poolers: each kind of message has its taker."""
+"""The datagram socket of one process towards other poolers: each kind of message has its taker.
+
+Owns the socket. Unreadable datagrams and those that cannot be sent are dropped: who needs an answer
+asks again.
+"""
 
 import contextlib
 from collections.abc import Callable, Iterable
@@ -12,6 +16,7 @@
 from dewledge.shell.shared.sockets import bind_udp, format_address, parse_address
 
 READ_BATCH = 64
+"""Datagrams taken in one turn of the loop; chosen, not measured."""
 
 MessageTaker = Callable[[Any, str], None]
 """Gets a message of the kind it was set for, and the address ("ip:port") of its sender."""
--- a/src/dewledge/shell/shared/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -1,19 +1,23 @@
-"""Listens for callers and keeps their connections within the stated bounds."""
+"""Listens for HTTP callers and keeps their connections within the stated bounds.
+
+Owns one listening address and its connections; `http_connection` reads and answers on each.
+"""
 
 import contextlib
 import socket
 
-from loguru import logger
-
 from dewledge.errors import ErrorCode
 from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
 from dewledge.shell.shared.http_connection import Handler, HttpConnection
 from dewledge.shell.shared.http_messages import HttpLimits, refusal
-from dewledge.shell.shared.sockets import listen_tcp
+from dewledge.shell.shared.sockets import accept_waiting, listen_tcp
 
 SWEEP_SECONDS = 1.0
+"""Between two looks at connections that are too slow; chosen, not measured."""
 ACCEPT_BATCH = 64
+"""Connections accepted in one turn of the loop; chosen, not measured."""
 ACCEPT_PAUSE_SECONDS = 0.1
+"""After an accept that failed, as for want of descriptors; chosen, not measured."""
 SERVICE_UNAVAILABLE = 503
 
 
@@ -68,16 +72,8 @@
             self._sweep_timer.cancel()
 
     def _accept(self, _events: int) -> None:
-        for _ in range(ACCEPT_BATCH):
-            try:
-                sock, _ = self._listener.accept()
-            except BlockingIOError:
-                return
-            except OSError as error:
-                logger.bind(error=str(error)).warning("accept_failed")
-                self._pause_accepting()
-                return
-            self._add(sock)
+        if not accept_waiting(self._listener, ACCEPT_BATCH, self._add):
+            self._pause_accepting()
 
     def _pause_accepting(self) -> None:
         self._loop.unwatch(self._listener)
--- a/src/dewledge/shell/shared/sockets.py
+++ b/src/dewledge/shell/shared/sockets.py
@@ -1,12 +1,30 @@
-"""Sockets by "ip:port" addresses."""
+"""Sockets by "ip:port" addresses: how they are opened, accepted and set to notice silence."""
 
 import contextlib
 import socket
+from collections.abc import Callable
+
+import msgspec
+from loguru import logger
 
 LISTEN_BACKLOG = 1024
-KEEPALIVE_IDLE_SECONDS = 5
-KEEPALIVE_INTERVAL_SECONDS = 2
-KEEPALIVE_PROBES = 3
+"""Connections that wait to be accepted; chosen, not measured."""
+
+
+class KeepAlive(msgspec.Struct, frozen=True):
+    """When the system probes a connection on which nothing comes, and gives it up.
+
+    idle_seconds: without a byte until the first probe. interval_seconds: between two probes.
+    probes: so many without an answer end the connection.
+    """
+
+    idle_seconds: int
+    interval_seconds: int
+    probes: int
+
+
+BETWEEN_PROXIES = KeepAlive(idle_seconds=5, interval_seconds=2, probes=3)
+"""A dead peer is noticed after 11 s at most; chosen, not measured."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
@@ -70,11 +88,30 @@
     return sock, bound_address(sock)
 
 
-def tune_link(sock: socket.socket) -> None:
-    """Sets a link between proxies to send at once and to notice a dead peer."""
+def accept_waiting(
+    listener: socket.socket, most: int, taken: Callable[[socket.socket], None]
+) -> bool:
+    """Has `taken` called with each connection that waits, `most` at a time.
+
+    Returns False if accepting failed, for which there is a log line.
+    """
+    for _ in range(most):
+        try:
+            sock, _ = listener.accept()
+        except BlockingIOError:
+            return True
+        except OSError as error:
+            logger.bind(error=str(error)).warning("accept_failed")
+            return False
+        taken(sock)
+    return True
+
+
+def tune_link(sock: socket.socket, keepalive: KeepAlive = BETWEEN_PROXIES) -> None:
+    """Sets a connection to send at once and to notice a dead peer."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, keepalive.idle_seconds)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, keepalive.interval_seconds)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, keepalive.probes)
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -107,10 +107,10 @@
         flood = [self.connect() for _ in range(60)]
         for sock in flood:
             sock.sendall(self.start("wrong"))
-        self.await_state("some wait", lambda: self.listener._pace.held > 0)
+        self.await_state("some wait", lambda: self.listener._throttle.held > 0)
         for sock in flood:
             sock.close()
-        self.await_state("none waits", lambda: self.listener._pace.held == 0)
+        self.await_state("none waits", lambda: self.listener._throttle.held == 0)
         self.await_state("all are gone", lambda: not self.listener.connections)
 
     def await_state(self, what: str, is_reached: object) -> None:
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -29,6 +29,7 @@
 from dewledge.shell.pooler.known_databases import KnownDatabases
 from dewledge.shell.pooler.links.channel_client import ChannelClient
 from dewledge.shell.pooler.links.framed_stream import FramedStream
+from dewledge.shell.pooler.links.open_request import OpenRequest
 from dewledge.shell.pooler.links.outgoing_links import OutgoingLinks
 from dewledge.shell.shared.event_loop import READABLE, EventLoop
 from dewledge.shell.shared.sockets import bound_address
@@ -129,7 +130,8 @@
     def open(self, *addresses: str) -> tuple[list[DatabaseConnection], list[ErrorCode]]:
         opened: list[DatabaseConnection] = []
         failed: list[ErrorCode] = []
-        self.channels.open("d", "", addresses, opened.append, failed.append, lambda _: None)
+        request = OpenRequest("d", "", opened.append, failed.append, lambda _: None)
+        self.channels.open(request, addresses)
         return opened, failed
 
     def channel(self, *addresses: str) -> DatabaseConnection:
