--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -24,13 +24,12 @@
     Failure,
     StatementKind,
 )
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
 QUEUE_LIMIT_SECONDS = 0.25
 """For a connection or slot, where the peer does not say how long a statement may wait and where
 waits are not judged by use: a quarter of the latency aimed at on the slowest routes seen, 1 s."""
-MILLISECONDS = 1000
-"""In a second."""
 
 
 class ChannelWait:
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -4,6 +4,10 @@
 processes only a few hold them, chosen by rendezvous hashing, the nearest to the database first; the
 others send their statements through these. Two processes that disagree for a moment are harmless:
 the database's own limit is the guard, and it refuses a connection before anything runs.
+
+Inputs: the members and their zones, as the store's table tells them; a database's limit of
+connections, of the configuration in force. Decision: how many connections this process may hold to
+a database, or through which processes it goes.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -15,15 +19,18 @@
 from dewledge.core.pooler.sharing.members import Member
 
 RESERVED_SHARE = 0.1
-"""Of a database's limit, kept free for processes that have just started."""
+"""Of a database's limit, kept free for processes that have just started; chosen, not measured."""
 LEAST_DIRECT_SHARE = 3
-"""With less than this for each process, only holders connect."""
+"""Connections for each process; with less, only holders connect. Where 73 processes connected to
+databases of 40 each, 28% of the requests were refused (aee6e115), with holders none."""
 CONNECTIONS_PER_HOLDER = 8
+"""Connections planned for each holder of a database; chosen, not measured by itself."""
 LEAST_HOLDERS = 2
+"""Of one database, so that the loss of one leaves another; chosen, not measured."""
 FALLBACK_CONNECTIONS = 2
-"""A process that is asked without being a holder, because those are gone, opens so many."""
+"""Connections of a process that can reach none of the holders; chosen, not measured."""
 RESERVE_HOLDERS = 3
-"""So many further processes are tried when no holder can be reached."""
+"""Further processes that are tried when no holder can be reached; chosen, not measured."""
 
 
 class Holding(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/sharing/members.py
+++ b/src/dewledge/core/pooler/sharing/members.py
@@ -1,4 +1,4 @@
-"""A process that serves, as the others know it."""
+"""A process that serves, as the others know it from its row in the store."""
 
 import msgspec
 
--- a/src/dewledge/core/pooler/sharing/packing.py
+++ b/src/dewledge/core/pooler/sharing/packing.py
@@ -1,11 +1,16 @@
-"""Values of rows on links: large ones compressed, since the links of small machines are narrow."""
+"""Values of rows on links: large ones compressed, since the links of small machines are narrow.
+
+Owns the encoding: a byte that tells the kind, then the value.
+"""
 
 import zlib
 
 from dewledge.errors import ProtocolError
 
 LEAST_COMPRESSED_BYTES = 1024
+"""Of a value; smaller ones go as they are. Chosen, not measured."""
 MAX_VALUE_BYTES = 8 * 1024 * 1024
+"""Of a value that was compressed; a longer one is refused. Chosen, not measured."""
 _PLAIN = b"\x00"
 _COMPRESSED = b"\x01"
 
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -14,12 +14,13 @@
 from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sharing.channel_wait import MILLISECONDS
 from dewledge.core.pooler.statements.statements import Failure, Reply, TransactionState
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
 SLOT_PAUSE_SECONDS = 0.01
-"""Mean pause before a statement is sent once more that found no slot; drawn anew each time."""
+"""Mean pause before a statement that found no slot is sent once more, drawn anew each time: 5 to 15
+ms. Chosen, not measured by itself."""
 
 
 class SlotRetry:
--- a/src/dewledge/core/pooler/sharing/table_cache.py
+++ b/src/dewledge/core/pooler/sharing/table_cache.py
@@ -1,4 +1,7 @@
-"""One table of the store as this process knows it: kept so that others may follow it from here."""
+"""One table of the store as this process knows it: kept so that others may follow it from here.
+
+Owns the rows and the version. Decides which rows a follower at a version lacks.
+"""
 
 from collections.abc import Iterable, Sequence
 
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -11,9 +11,9 @@
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, Route, RouteTable
 from dewledge.core.shared.caller_credentials import credential_digest, index_credentials
+from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ProtocolError
 
-MILLISECONDS = 1000.0
 DRAINING = "draining"
 
 Row = TypeVar("Row")
--- a/src/dewledge/platform/statement_texts.py
+++ b/src/dewledge/platform/statement_texts.py
@@ -1,4 +1,4 @@
-"""The texts of statements, to and from the product's own types."""
+"""The texts of statements, to and from the product's own types. Translates only."""
 
 from dewledge.core.pooler.statements.statements import MalformedInput, Statement, StatementKind
 from dewledge.platform.wire_words import OWN_TEXTS, READ_WORD, STEP_DOWN_WORD, WRITE_WORD
--- a/src/dewledge/platform/status_row.py
+++ b/src/dewledge/platform/status_row.py
@@ -1,4 +1,4 @@
-"""The row by which a database tells its state."""
+"""The row by which a database tells its state, to the product's own type."""
 
 from dewledge.core.pooler.failover.messages import DatabaseStatus
 from dewledge.core.pooler.statements.statements import Reply
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -1,4 +1,7 @@
-"""The line codec: one message a line, words and fields separated by blanks."""
+"""The line codec: one message a line, words and fields separated by blanks.
+
+Owns what is left of a line that has not come whole. Translates only; `wire_words` has the words.
+"""
 
 from collections.abc import Sequence
 
--- a/src/dewledge/pooler_settings.py
+++ b/src/dewledge/pooler_settings.py
@@ -1,4 +1,7 @@
-"""The settings of one pooler process: a TOML file, checked as a whole."""
+"""The settings of one pooler process: a TOML file, checked as a whole.
+
+Owns names, defaults and bounds of settings, which operators' files rest on.
+"""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -14,6 +17,7 @@
 from dewledge.settings_text import NAME_PATTERN, read_toml
 
 LONGEST_BOUND_SECONDS = 86_400
+"""Of every time in the settings, a day; chosen, not measured."""
 
 ListenAddress = Annotated[str, checked_by(split_address)]
 RemoteAddress = Annotated[str, checked_by(check_remote_address)]
--- a/src/dewledge/shell/pooler/observing/event_log.py
+++ b/src/dewledge/shell/pooler/observing/event_log.py
@@ -1,4 +1,8 @@
-"""Writes typed events as log lines, and counts them."""
+"""Writes typed events as log lines, and counts them.
+
+Owns the names of events in the log, which are made from class names. Relies on loguru for the lines
+and on `log_writer`, which bounds them.
+"""
 
 import sys
 from typing import TYPE_CHECKING, TextIO
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -1,8 +1,8 @@
 """Log lines to a stream that may stop being read: bounded, never blocking who logs.
 
 A thread of its own writes. Plain lines (one for each statement) have a budget a second and give way
-first; what was left out is counted in a line of its own. Warnings, errors and changes of belief are
-left out only when the whole buffer is full.
+first; what was left out is counted in a line of its own. Warnings, errors and other events are
+left out only when the whole buffer is full. Owns the buffer and the thread.
 """
 
 import threading
@@ -12,9 +12,13 @@
 from typing import TextIO
 
 MAX_WAITING_LINES = 4000
+"""Before the stream; beyond it every line is left out. Chosen, not measured."""
 MAX_WAITING_PLAIN = 2000
+"""Before the stream; beyond it plain lines are left out. Chosen, not measured."""
 PLAIN_LINES_PER_SECOND = 400
+"""Budget of plain lines; chosen, not measured."""
 WAKE_SECONDS = 0.2
+"""Between two writes to the stream; chosen, not measured."""
 
 
 class LogWriter:
--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -14,14 +14,13 @@
 import msgspec
 
 from dewledge.core.pooler.events import StatementAnswered
+from dewledge.core.shared.units import MILLISECONDS
 
 if TYPE_CHECKING:
     from prometheus_client import Metric
 
 LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0)
 """Upper bounds in seconds: finer around the latency targets of routes, 0.4 to 1 s."""
-MILLISECONDS = 1000.0
-"""In a second."""
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 """Of the text format that `render` writes."""
 
--- a/src/dewledge/shell/pooler/observing/stall_watch.py
+++ b/src/dewledge/shell/pooler/observing/stall_watch.py
@@ -1,4 +1,8 @@
-"""Notices that the process stood still: frozen, or without a processor, for longer than usual."""
+"""Notices that the process stood still: frozen, or without a processor, for longer than usual.
+
+Input: when each tick of a regular timer came (steady clock, seconds). Decision: whether it came so
+late that the log is to say so; an operator then knows why answers were late.
+"""
 
 from dewledge.core.pooler.events import ProcessStoodStill
 
--- a/src/dewledge/shell/pooler/observing/wait_gauges.py
+++ b/src/dewledge/shell/pooler/observing/wait_gauges.py
@@ -1,4 +1,7 @@
-"""Waits before databases and who uses their slots, as metrics; seven, whatever the databases."""
+"""Waits before databases and who uses their slots, as metrics; seven, whatever the databases.
+
+Owns their names; relies on the counts that pools keep, summed when metrics are asked for.
+"""
 
 from collections.abc import Callable, Mapping
 
--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -1,4 +1,7 @@
-"""Logs what the queues before databases counted, one line for each that counted something."""
+"""Logs what the queues before databases counted, one line for each that counted something.
+
+Owns the timer; relies on `core/pooler/load/wait_summaries` for what a line says.
+"""
 
 from collections.abc import Callable, Mapping
 
--- a/src/dewledge/shell/pooler/settings_file.py
+++ b/src/dewledge/shell/pooler/settings_file.py
@@ -1,4 +1,7 @@
-"""The settings file of a running process: noticed when it changes, taken only if it is right."""
+"""The settings file of a running process: noticed when it changes, taken only if it is right.
+
+Owns the settings in force. A change of one in FIXED is logged and needs a restart.
+"""
 
 from pathlib import Path
 from typing import Protocol
--- a/src/dewledge/shell/pooler/tables/coordination_rows.py
+++ b/src/dewledge/shell/pooler/tables/coordination_rows.py
@@ -1,4 +1,7 @@
-"""The product's own rows in the store: members, and claims of succession. Values in cbor2."""
+"""The product's own rows in the store: members, and claims on groups. Values in cbor2.
+
+Owns the names of the table and of its keys, which processes of other releases read too.
+"""
 
 from typing import TypeVar
 
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -20,7 +20,8 @@
 NEVER = -1e9
 """Seconds of the steady clock, before any that it gives."""
 FOLLOWED_SLACK_SECONDS = 0.7
-"""Word passes on at once, so it is little older at the last step than at the first."""
+"""Added to the wait before a table is doubtful: a confirmation passes on at once, so at the last
+process it is little older than at the first. Chosen, not measured."""
 LARGE_BYTES = 128 * 1024
 """Changes above this, compressed, are read from the store by each process: sent to all followers,
 they would fill the link of a small machine for a second."""
@@ -39,8 +40,8 @@
     ) -> None:
         """`wait_seconds`: so long a reader's call waits at the store for a change.
 
-        confirmed: called with each word on how new the table is. Then a table read as a whole
-        counts as surely the newest only once a feed has said so: such reads may lag behind.
+        confirmed: called with each time at which the table was surely the newest. Then a table read
+        as a whole counts as the newest only once a feed has said so: such reads may lag behind.
         """
         self.name = name
         self.wait_seconds = wait_seconds
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -1,4 +1,8 @@
-"""The processes that registered themselves in the store, and the own registration."""
+"""The processes that registered themselves in the store, and the own registration.
+
+Owns what is known of the members and the own row; the row is written again until the store's table
+shows it. Relies on the store's rows being taken here in their order.
+"""
 
 import random
 import time
@@ -19,8 +23,10 @@
 )
 
 RETRY_SECONDS = 0.5
+"""Mean pause after a write that failed; drawn anew each time. Chosen, not measured."""
 ASSUMED_MEMBERS = 12
-"""Before the table is known: a share that does not crowd out who came earlier."""
+"""Processes, before the table is known: a share of a database's connections that leaves room for
+those that came earlier. Chosen, not measured."""
 
 
 class _Outcome(Enum):
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -2,8 +2,9 @@
 
 One question at a time goes to a source; its answer says how long ago the tables were surely the
 newest. What this process knows is at most as old as that, counted from the sending of its question.
-A source that is silent, or whose own word is too old, is left for the next; when none has sure
-word, the store is read by this process itself.
+A source that is silent, or whose own confirmation is too old, is left for the next; when none has a
+young one, the store is read by this process itself. Owns the order of the sources and the question
+under way; relies on `followed_table` for what is known and when it is doubtful.
 """
 
 import itertools
@@ -29,20 +30,26 @@
 ANSWER_LIMIT_SECONDS = 1.1
 """A source holds a question for less; a silent one is given up after this."""
 ANSWER_GAP_SECONDS = 0.5
+"""Between two pieces of an answer that goes on coming; chosen, not measured."""
 LONGEST_ANSWER_SECONDS = 4.0
 """For an answer that goes on coming, without a gap: eight followers that lack a configuration of
 128 KB, packed, fill a link of 5 Mbit/s for 1.6 s, with other tables and traffic beside it for some
 times that. Asked elsewhere meanwhile, all sources would send it to all."""
 PAUSE_SECONDS = 0.3
+"""At most, before the next source is asked; drawn anew each time. Chosen, not measured."""
 WITHHELD_SPREAD_SECONDS = 0.2
+"""Over which followers spread their reads of a large change; chosen, not measured."""
 WITHHELD_PAUSE_SECONDS = 0.5
+"""Before the source is asked again after a large change; chosen, not measured."""
 TAKE_LARGE_SECONDS = 1.5
 """A large change that the store does not give within this is taken from the source."""
 DOUBT_TICK_SECONDS = 0.2
+"""Between two looks at how old the confirmations are; chosen, not measured."""
 OWN_READ_SECONDS = 0.5
-"""Where no source has sure word each process reads the store so often, many of them less often:"""
+"""Between two own reads of the store, where no source has a young confirmation. Many processes read
+less often each:"""
 OWN_READS_PER_SECOND = 100.0
-"""all together no more than this for a table."""
+"""all together no more than this for a table; chosen, not measured."""
 
 
 class TableFollower:
@@ -59,8 +66,7 @@
     ) -> None:
         """`read_store`: has a table read from the store once.
 
-        changed: told after news, and after younger word on how new a table is.
-        """
+        changed: called after news, and after a younger confirmation of how new a table is."""
         self._loop = loop
         self._links = links
         self._tables = tables
@@ -86,7 +92,10 @@
         return self._sources[0] if self._sources else ""
 
     def follow(self, sources: Sequence[str]) -> None:
-        """Follows the processes at these addresses, the first that has sure word; none ends it."""
+        """Follows the processes at these addresses, the first that has a young confirmation.
+
+        None ends it.
+        """
         if set(sources) == set(self._sources):
             return
         self._sources = tuple(sources)
@@ -110,7 +119,7 @@
         """Nothing new should begin on a link; the time limit of the question sees to it."""
 
     def _watch_doubt(self) -> None:
-        """Looks again and again: a source may hold a question while its own word grows old."""
+        """Looks again and again: a source may hold a question while its confirmation grows old."""
         if self._doubt_timer is not None:
             self._doubt_timer.cancel()
             self._doubt_timer = None
@@ -156,7 +165,7 @@
         return tuple(TablePosition(name, table.asked_after) for name, table in self._tables.items())
 
     def _take(self, answer: TablesAnswered) -> None:
-        before = self._newest_words()
+        before = self._newest_confirmations()
         # The question came to the source after it was sent, and stood there for a known time.
         answered_at = self._asked_at + answer.held_seconds
         is_news = False
@@ -169,7 +178,7 @@
                 withheld.append(news.table)
             else:
                 is_news |= self._take_table(table, news, answered_at)
-        if is_news or self._newest_words() != before:
+        if is_news or self._newest_confirmations() != before:
             self._changed()
         if withheld:
             self._read_withheld(withheld)
@@ -179,7 +188,7 @@
             self._withheld_since = math.inf
             self._schedule(0.0)
 
-    def _newest_words(self) -> tuple[float, ...]:
+    def _newest_confirmations(self) -> tuple[float, ...]:
         return tuple(table.confirmed_at for table in self._tables.values())
 
     def _take_table(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
--- a/src/dewledge/shell/pooler/tables/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -1,4 +1,8 @@
-"""Answers processes that follow the store's tables through this one."""
+"""Answers processes that follow the store's tables through this one.
+
+Owns the questions that have no answer yet, one of each follower's link, and what each was told
+last. Relies on `followed_table` for what a follower lacks.
+"""
 
 import math
 from collections.abc import Mapping
@@ -11,7 +15,9 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 HOLD_SECONDS = 0.9
-"""A question is answered after this at the latest, with nothing new."""
+"""A question is answered after this at the latest, with nothing new; less than a follower waits for
+an answer (ANSWER_LIMIT_SECONDS, 1.1 s). In place of 0.4 s, with answers at each confirmation, it
+took bytes between regions from 0.0148 to 0.0127 of a quiet day's worth (trial c0e2012f)."""
 
 
 class HeldQuestion(msgspec.Struct, frozen=True):
@@ -33,9 +39,9 @@
         """How new each table was when a follower was last told of it (steady clock, seconds)."""
 
     def take_question(self, link: IncomingLink, question: FollowTables) -> None:
-        """Answers now if there is news or younger word on how new a table is, else later."""
+        """Answers now if there is news or a younger confirmation of a table, else later."""
         held = HeldQuestion(question, self._loop.now())
-        if self._has_news(question) or self._has_younger_word(link, question):
+        if self._has_news(question) or self._has_younger_confirmation(link, question):
             self._answer(link, held)
             return
         self._waiting[link] = held
@@ -45,9 +51,10 @@
         self._timers[link] = self._loop.call_later(HOLD_SECONDS, lambda: self._time_out(link))
 
     def tell_followers(self) -> None:
-        """A table has changed, or there is younger word on how new it is: all are told at once.
+        """A table has changed, or was confirmed as the newest: all followers are told at once.
 
-        Word that waited here would be older at each step, and the last ones would doubt it.
+        A confirmation that waited here would be older at each step, and the last ones would doubt
+        the table.
         """
         for link, held in list(self._waiting.items()):
             self._drop(link)
@@ -72,10 +79,10 @@
                 return True
         return False
 
-    def _has_younger_word(self, link: IncomingLink, question: FollowTables) -> bool:
-        """Tells whether word came while the follower's question was under way.
+    def _has_younger_confirmation(self, link: IncomingLink, question: FollowTables) -> bool:
+        """Tells whether a table was confirmed while the follower's question was under way.
 
-        It would stand here until the next word, and the follower would doubt what it knows.
+        Told only with the next confirmation, the follower would doubt the table by then.
         """
         told = self._told.get(link)
         if told is None:
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -35,7 +35,7 @@
 """Processes that start together register within this. Who knows few others until then looks for
 more and reads the other tables once only: following is cheaper than reading beside them."""
 RIGHT_WAIT_SECONDS = 0.9
-"""For a change, where primary leases rest on how new the table surely is; chosen, not measured."""
+"""For a change, where primary leases rest on how new the table surely is; not measured alone."""
 
 
 class StoreCalls(msgspec.Struct, frozen=True):
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -1,7 +1,8 @@
 """Reads one table of the store on a thread of its own, and hands what it finds to the loop.
 
 A reader follows the table's changes without end; a process that follows others reads only when it
-is asked to, because none of those it follows has sure word.
+is asked to, because none of those it follows knows surely how new the table is. Owns the version
+read last and the pauses after failures.
 """
 
 import random
@@ -74,8 +75,6 @@
         self._newest = -1
         self._has_read_whole = False
         self._has_brought_rows = False
-        """Then the word is as old as the call, which may have stood for its whole wait: the next
-        call asks at once, or all who follow would come to doubt it and ask themselves."""
         self._failures = 0
         self._wanted.set()
 
@@ -146,6 +145,8 @@
         self._hand_over(TableDelta(answer.rows, answer.version, True), sent_at)
 
     def _read_changes(self) -> None:
+        # After a call that brought rows the table is confirmed as of the start of that call, which
+        # may have waited: the next asks at once, or all followers would come to doubt the table.
         is_quick = self._failures > 0 or not self._is_reader or self._has_brought_rows
         is_quick = is_quick or (self._confirms_whole and self._has_read_whole)
         self._has_read_whole = False
--- a/src/dewledge/shell/shared/event_loop.py
+++ b/src/dewledge/shell/shared/event_loop.py
@@ -19,6 +19,7 @@
 WRITABLE = selectors.EVENT_WRITE
 
 MAX_SLEEP_SECONDS = 3600.0
+"""Of one wait for events where no timer is due; chosen, not measured."""
 
 SocketCallback = Callable[[int], None]
 Callback = Callable[[], None]
--- a/src/dewledge/shell/shared/http_messages.py
+++ b/src/dewledge/shell/shared/http_messages.py
@@ -1,4 +1,7 @@
-"""One HTTP request and the exchange that answers it."""
+"""One HTTP request and the exchange that answers it.
+
+Owns the forms of answers and refusals; relies on `http_connection` to send them.
+"""
 
 from collections.abc import Callable
 from http import HTTPStatus
