--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -15,6 +15,7 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
+from dewledge.shell.pooler.coordination_table import CoordinationTable
 from dewledge.shell.pooler.directory import Directory
 from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
@@ -34,7 +35,6 @@
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 from dewledge.shell.pooler.quota_driver import QuotaDriver
 from dewledge.shell.pooler.tables.coordination_rows import TABLE
-from dewledge.shell.pooler.tables.coordination_table import CoordinationTable
 from dewledge.shell.pooler.tables.member_table import MemberTable
 from dewledge.shell.pooler.tables.table_reading import (
     LEASE_WAIT_SECONDS,
