--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -15,6 +15,7 @@
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.members import Member
 from dewledge.pooler_settings import PoolerSettings
+from dewledge.shell.pooler.coordination_table import CoordinationTable
 from dewledge.shell.pooler.directory import Directory
 from dewledge.shell.pooler.failover.claim_events import ClaimEvents
 from dewledge.shell.pooler.failover.claim_keeper import ClaimKeeper
@@ -34,10 +35,9 @@
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 from dewledge.shell.pooler.quota_driver import QuotaDriver
 from dewledge.shell.pooler.tables.coordination_rows import TABLE
-from dewledge.shell.pooler.tables.coordination_table import CoordinationTable
 from dewledge.shell.pooler.tables.member_table import MemberTable
 from dewledge.shell.pooler.tables.table_reading import (
-    RIGHT_WAIT_SECONDS,
+    LEASE_WAIT_SECONDS,
     URGENT_WAIT_SECONDS,
     StoreCalls,
     TableReading,
@@ -72,7 +72,7 @@
             scheduler,
             settings.name,
             settings.quota.policy,
-            self.notices.quota_asked,
+            self.notices.quota_asked.tell,
             scheduler.now(),
         )
         self.services = PoolServices(
@@ -80,7 +80,7 @@
             self.log.record,
             settings.load.policy,
             self.gate,
-            self.notices.database_suspected,
+            self.notices.database_suspected.tell,
         )
         self.databases = KnownDatabases(self.services.groups)
         self.readiness = Readiness(self.services)
@@ -88,7 +88,7 @@
 
 
 class Neighbours:
-    """The other processes: who they are, the links and datagrams to them, rights between them."""
+    """The other processes: who they are, links and datagrams to them, and leases among them."""
 
     def __init__(self, base: ProcessBase) -> None:
         """Binds the address of datagrams. Raises OSError if it cannot."""
@@ -97,7 +97,7 @@
         # Where processes fence, a row written before this start would pass for one of this start.
         start = secrets.token_hex(4) if self.fencing is Fencing.PROCESSES else ""
         own = Member(settings.peer_address, settings.zone, start)
-        self.rights = PrimaryLeases(self.fencing)
+        self.leases = PrimaryLeases(self.fencing)
         self.members = MemberTable(settings.name, own, base.platform.store)
         is_judged = settings.load.policy.silent_holders
         self.links = OutgoingLinks(loop, settings.name, base.log.record, is_judged)
@@ -121,7 +121,7 @@
         )
         routes = RouteFinder(base.databases, neighbours.members)
         opener = SharingOpener(direct, neighbours.channels, routes.find)
-        groups = GroupFactory(settings, services, neighbours.rights, opener, direct)
+        groups = GroupFactory(settings, services, neighbours.leases, opener, direct)
         self.shares = ConnectionShares(settings, services, neighbours.members, groups)
         self.directory = Directory(base.platform, services, groups, self.shares, base.notices)
 
@@ -136,14 +136,14 @@
             base.loop,
             settings.name,
             base.services.groups,
-            neighbours.rights,
+            neighbours.leases,
             platform.store,
             base.executor,
             self.claim_events,
         )
         self.driver = FailoverDriver(
             context,
-            platform.duties,
+            platform.promotions,
             platform.parse_status,
             lambda: neighbours.members.addresses,
             base.log.record,
@@ -170,7 +170,7 @@
 def build_tables(
     base: ProcessBase, neighbours: Neighbours, directory: Directory, failover: Failover
 ) -> TableReading:
-    """Returns what reads the store's tables, with who takes the rows of each."""
+    """Returns what reads the store's tables, and hands the rows of each table on."""
     platform, members = base.platform, neighbours.members
     calls = StoreCalls(platform.store, base.executor)
     tables = TableReading(base.loop, base.settings, calls, neighbours.links, members, TABLE)
@@ -181,7 +181,7 @@
     )
     own = CoordinationTable(
         members,
-        base.notices.members_changed,
+        base.notices.members_changed.tell,
         lambda: members.register_if_missing(base.executor, lambda: base.readiness.is_leaving),
         failover.driver,
         failover.claims,
@@ -192,7 +192,7 @@
     # The holder of a claim waits for all that have rows beside it, so it has to know these.
     failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
     confirmed = failover.claims.store_confirmed
-    tables.add(TABLE, own.take_snapshot, own.take_rows, RIGHT_WAIT_SECONDS, confirmed)
+    tables.add(TABLE, own.take_snapshot, own.take_rows, LEASE_WAIT_SECONDS, confirmed)
     return tables
 
 
@@ -203,12 +203,12 @@
     shares: ConnectionShares,
     tables: TableReading,
 ) -> None:
-    """Says who is told what. Who stands first is told first."""
-    notices.configuration_changed.add_taker(quota.configuration_changed)
-    notices.quota_asked.add_taker(quota.send)
-    notices.group_changed.add_taker(failover.look_at)
-    notices.database_suspected.add_taker(failover.doubt)
-    notices.members_changed.add_taker(failover.members_changed)
-    notices.members_changed.add_taker(quota.members_changed)
-    notices.members_changed.add_taker(shares.share_anew)
-    notices.members_changed.add_taker(tables.members_changed)
+    """Adds the listeners of each notice; they are called in this order."""
+    notices.configuration_changed.add(quota.configuration_changed)
+    notices.quota_asked.add(quota.send)
+    notices.group_changed.add(failover.look_at)
+    notices.database_suspected.add(failover.doubt)
+    notices.members_changed.add(failover.members_changed)
+    notices.members_changed.add(quota.members_changed)
+    notices.members_changed.add(shares.share_anew)
+    notices.members_changed.add(tables.members_changed)
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -8,7 +8,7 @@
 
 from loguru import logger
 
-from dewledge.core.pooler.coordination_store import DutyCalls, StoreRow, StoreWrite
+from dewledge.core.pooler.coordination_store import PromotionCalls, StoreRow, StoreWrite
 from dewledge.core.pooler.failover.messages import (
     ClaimRefused,
     FailoverEvent,
@@ -32,7 +32,7 @@
     def __init__(
         self,
         context: FailoverContext,
-        promotions: DutyCalls | None,
+        promotions: PromotionCalls | None,
         take_rows: Callable[[Sequence[StoreRow]], None],
         handle: Callable[[str, FailoverEvent], None],
     ) -> None:
--- a/src/dewledge/shell/pooler/links/peer_messages.py
+++ b/src/dewledge/shell/pooler/links/peer_messages.py
@@ -1,4 +1,8 @@
-"""What poolers say to each other in cbor2 over UDP: on lost databases, claims and limits."""
+"""What poolers say to each other in cbor2 over UDP: on lost databases, claims and rate limits.
+
+Owns the encoding of datagrams. Fields go by position, so their order must not change; a message of
+an unknown kind is unreadable and dropped.
+"""
 
 import cbor2
 import msgspec
@@ -12,6 +16,7 @@
 from dewledge.errors import ProtocolError
 
 MAX_BYTES = 8192
+"""Of one datagram; longer ones are neither sent nor read. Chosen, not measured."""
 
 
 class IndirectProbeQuestion(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
@@ -30,7 +35,7 @@
 
 
 class LeaderNotice(msgspec.Struct, frozen=True, array_like=True, tag="lead"):
-    """Tells that a database has taken the lead of its group."""
+    """Tells that a database is the primary of its group now."""
 
     sender: str
     database: str
@@ -45,7 +50,7 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, array_like=True, tag="known"):
-    """The token of the newest claim on a group that the sender knows."""
+    """The fencing token of the newest claim on a group that the sender knows."""
 
     sender: str
     group: str
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -1,4 +1,8 @@
-"""The processes that registered themselves in the store, and the own registration."""
+"""The processes that registered themselves in the store, and the own registration.
+
+Owns what is known of the members and the own row; the row is written again until the store's table
+shows it. Relies on the store's rows being taken here in their order.
+"""
 
 import random
 import time
@@ -19,8 +23,10 @@
 )
 
 RETRY_SECONDS = 0.5
+"""Mean pause after a write that failed; drawn anew each time. Chosen, not measured."""
 ASSUMED_MEMBERS = 12
-"""Before the table is known: a share that does not crowd out who came earlier."""
+"""Processes, before the table is known: a share of a database's connections that leaves room for
+those that came earlier. Chosen, not measured."""
 
 
 class _Outcome(Enum):
@@ -62,21 +68,21 @@
         return len(self.members) if self.is_known else ASSUMED_MEMBERS
 
     def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes the whole table: who is not in it has gone. Returns what `take_rows` returns."""
-        before = self._places()
+        """Takes the whole table: a process without a row has gone. Returns as `take_rows`."""
+        before = self._localities()
         self.members = {self._own_name: self._own}
         self._own_row = None
         return self._take(rows, before)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes rows of the store; returns whether the members' places changed or became known.
+        """Takes rows of the store; returns whether any address or zone changed, or became known.
 
         A process that starts again where it was changes nothing for the others.
         """
-        return self._take(rows, self._places())
+        return self._take(rows, self._localities())
 
-    def _places(self) -> Mapping[str, tuple[str, str]] | None:
-        """Returns what others go by, None before the table is known."""
+    def _localities(self) -> Mapping[str, tuple[str, str]] | None:
+        """Returns the address and zone of each process, None before the table is known."""
         if not self.is_known:
             return None
         return {name: (each.peer_address, each.zone) for name, each in self.members.items()}
@@ -95,7 +101,7 @@
                 self.members[name] = member
             elif name != self._own_name:
                 self.members.pop(name, None)
-        return self._places() != before
+        return self._localities() != before
 
     def register_if_missing(self, executor: Executor, is_stopped: Callable[[], bool]) -> None:
         """Has the own row written unless the table holds it, or it is being written."""
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -1,7 +1,8 @@
 """Reads one table of the store on a thread of its own, and hands what it finds to the loop.
 
 A reader follows the table's changes without end; a process that follows others reads only when it
-is asked to, because none of those it follows has sure word.
+is asked to, because none of those it follows knows surely how new the table is. Owns the version
+read last and the pauses after failures.
 """
 
 import random
@@ -31,7 +32,8 @@
 FIRST_READ_LIMIT_SECONDS = 0.5
 """For a read of the whole table by a process that knows nothing yet; chosen, not measured."""
 FIRST_READ_PAUSE_SECONDS = 0.15
-"""A process that knows nothing serves nobody, so it asks again soon."""
+"""After a first read that failed: a process that knows nothing cannot serve, so it asks again soon.
+Chosen, not measured."""
 SPACING_SECONDS = 0.1
 """Between two calls of a feed: many changes at once are taken together."""
 
@@ -74,8 +76,6 @@
         self._newest = -1
         self._has_read_whole = False
         self._has_brought_rows = False
-        """Then the word is as old as the call, which may have stood for its whole wait: the next
-        call asks at once, or all who follow would come to doubt it and ask themselves."""
         self._failures = 0
         self._wanted.set()
 
@@ -88,7 +88,7 @@
             self._wanted.clear()
 
     def set_wait(self, seconds: float) -> None:
-        """Has later calls wait so long for a change."""
+        """Sets for how long later calls wait for a change."""
         self._wait_seconds = seconds
 
     def read_once(self) -> None:
@@ -146,6 +146,8 @@
         self._hand_over(TableDelta(answer.rows, answer.version, True), sent_at)
 
     def _read_changes(self) -> None:
+        # After a call that brought rows the table is confirmed as of the start of that call, which
+        # may have waited: the next asks at once, or all followers would come to doubt the table.
         is_quick = self._failures > 0 or not self._is_reader or self._has_brought_rows
         is_quick = is_quick or (self._confirms_whole and self._has_read_whole)
         self._has_read_whole = False
