--- a/src/dewledge/core/pooler/load/wait_estimate.py
+++ b/src/dewledge/core/pooler/load/wait_estimate.py
@@ -36,6 +36,7 @@
 """Seconds; told as the usual time of a statement until one was measured. Nobody is refused by it.
 Chosen, not measured."""
 _UNMEASURED = ServiceRate(FIRST_SERVICE_SECONDS, TIME_SMOOTHING)
+"""Never noted to: what is told until a time was measured."""
 
 
 class ExpectedWait(msgspec.Struct, frozen=True):
