--- a/src/dewledge/core/pooler/failover/phases.py
+++ b/src/dewledge/core/pooler/failover/phases.py
@@ -84,6 +84,7 @@
 ACTING = HOLDING | {Phase.CHECKING}
 """This process judges or replaces the primary."""
 NOT_STEADY = ACTING | {Phase.FOLLOWING}
+"""A failover is under way, here or at another process."""
 
 _STEADY = frozenset({Phase.STEADY})
 _CHECKING = frozenset({Phase.CHECKING})
--- a/src/dewledge/core/proxy/gateway/database.py
+++ b/src/dewledge/core/proxy/gateway/database.py
@@ -55,7 +55,6 @@
         self._registry = registry
         self._monitor = monitor
         self._weight_of = weight_of
-        self._search_interval = settings.no_primary_interval
         self._stand_in_timer: Timer | None = None
         self._target = ConnectionTarget()
         self._open_failures = OpenFailureLog(context, name)
@@ -205,7 +204,8 @@
         code = self._monitor.write_refusal(self.name, now)
         if code is None:
             return None
-        return Refusal(code, "not the primary of a majority", self._search_interval)
+        pause = self._context.settings.no_primary_interval
+        return Refusal(code, "not the primary of a majority", pause)
 
     def _refuse(self, request: GatewayRequest, refusal: Refusal) -> None:
         status = None
--- a/src/dewledge/shell/proxy/proxy_driver.py
+++ b/src/dewledge/shell/proxy/proxy_driver.py
@@ -42,6 +42,7 @@
 from dewledge.shell.proxy.peer_links import PeerLinks
 from dewledge.shell.proxy.proxy_services import DeadlineBounds
 from dewledge.shell.proxy.store_calls import StoreCalls
+from dewledge.shell.proxy.waiting_callers import WaitingCallers
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 
@@ -66,9 +67,7 @@
         self._workers: DatabaseWorkers
         self._store: StoreCalls
         self._request_ids = itertools.count(1)
-        self._callers: dict[int, Callable[[CallerAnswer], None]] = {}
-        self._proposers: dict[str, list[Callable[[ProposalFinished], None]]] = {}
-        self._askers: dict[str, list[Callable[[ChangeLookedUp], None]]] = {}
+        self._waiting = WaitingCallers()
         self._timer: Timer | None = None
         self._reschedule_planned = False
 
@@ -87,7 +86,7 @@
         self._workers = workers
         self._store = store
         self._carriers: dict[type, Callable[[Any], None]] = {
-            AnswerCaller: self._answer_caller,
+            AnswerCaller: self._waiting.answer,
             SendToPeer: self._send_to_peer,
             OpenConnection: workers.open,
             CloseConnection: workers.close,
@@ -99,8 +98,8 @@
             ConfigurationChanged: self._ignore,
             StoreCall: self._call_store,
             ReadMachineList: self._read_machine_list,
-            ProposalFinished: self._proposal_finished,
-            ChangeLookedUp: self._change_looked_up,
+            ProposalFinished: self._waiting.finish_proposal,
+            ChangeLookedUp: self._waiting.answer_lookup,
         }
 
     def start(self, seeds: Iterable[str]) -> None:
@@ -169,24 +168,24 @@
         self, request: CallerRequest, on_answer: Callable[[CallerAnswer], None]
     ) -> None:
         """Hands a caller's request to the core."""
-        self._callers[request.request_id] = on_answer
+        self._waiting.for_answer(request.request_id, on_answer)
         self._carry_out(self._core.handle_call(request, self.now()))
 
     def abandon_call(self, request_id: int) -> None:
         """Tells the core that the caller is gone."""
-        if self._callers.pop(request_id, None) is not None:
+        if self._waiting.forget(request_id):
             self._carry_out(self._core.handle_caller_gone(request_id, self.now()))
 
     def propose(
         self, change: ProposedChange, on_finished: Callable[[ProposalFinished], None]
     ) -> None:
         """Asks for a change of configuration."""
-        self._proposers.setdefault(change.change_id, []).append(on_finished)
+        self._waiting.for_proposal(change.change_id, on_finished)
         self._carry_out(self._core.propose(change, self.now()))
 
     def look_up_change(self, change_id: str, on_answer: Callable[[ChangeLookedUp], None]) -> None:
         """Asks whether a change stands."""
-        self._askers.setdefault(change_id, []).append(on_answer)
+        self._waiting.for_lookup(change_id, on_answer)
         self._carry_out(self._core.look_up_change(change_id, self.now()))
 
     # PeerHandler, for the links.
@@ -270,11 +269,6 @@
         self._timer = None
         self._carry_out(self._core.tick(self.now()))
 
-    def _answer_caller(self, effect: AnswerCaller) -> None:
-        on_answer = self._callers.pop(effect.request_id, None)
-        if on_answer is not None:
-            on_answer(effect.answer)
-
     def _send_to_peer(self, effect: SendToPeer) -> None:
         self._links.send(effect.peer, effect.message)
 
@@ -298,11 +292,3 @@
 
     def _read_machine_list(self, _effect: ReadMachineList) -> None:
         self._store.read_machines(self._machines_read)
-
-    def _proposal_finished(self, effect: ProposalFinished) -> None:
-        for on_finished in self._proposers.pop(effect.change_id, ()):
-            on_finished(effect)
-
-    def _change_looked_up(self, effect: ChangeLookedUp) -> None:
-        for on_answer in self._askers.pop(effect.change_id, ()):
-            on_answer(effect)
