--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -48,7 +48,6 @@
     def __init__(self, scope: StatementScope, answer: Callable[[Reply], None]) -> None:
         self._scope = scope
         self._scheduler = scope.services.scheduler
-        self._group = scope.group
         self._session = scope.session
         self._answer = answer
         self._transaction = scope.session.transaction
