--- a/tests/decisions_page.py
+++ b/tests/decisions_page.py
@@ -147,9 +147,9 @@
     return {*of_types, *of_calls}
 
 
-def pooler_modules() -> Iterator[str]:
-    """Yields the paths of all modules of the pooler's decision core."""
-    for path in sorted((SOURCES / "core" / "pooler").rglob("*.py")):
+def modules_below(folder: str) -> Iterator[str]:
+    """Yields the paths of all modules below a folder of the sources."""
+    for path in sorted((SOURCES / folder).rglob("*.py")):
         yield path.relative_to(SOURCES).as_posix()
 
 
@@ -213,8 +213,7 @@
 
 
 def _all_modules() -> list[str]:
-    paths = [*(SOURCES / "core").rglob("*.py"), *(SOURCES / "shell" / "pooler").rglob("*.py")]
-    return sorted(path.relative_to(SOURCES).as_posix() for path in paths)
+    return [*modules_below("core"), *modules_below("shell/pooler")]
 
 
 def refresh(lines: list[str]) -> tuple[list[str], list[str]]:
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -6,6 +6,7 @@
 """
 
 import ast
+import math
 import re
 import unittest
 
@@ -17,8 +18,8 @@
     ROOT,
     log_events,
     module_at,
+    modules_below,
     numeric_constants,
-    pooler_modules,
     read_constants,
     read_rules,
     refresh,
@@ -40,6 +41,7 @@
     "Fail over",
     "Hand on",
 ]
+INFINITIES = (math.inf, -math.inf)
 ROWS = ("decided by", "inputs", "decides", "why", "log line", "switched off by", "measured")
 RUN = re.compile(r"\b(?=[0-9a-f]*[0-9])[0-9a-f]{8}\b")
 PATH = re.compile(r"\b(?:docs|tests)/[\w./-]+\.\w+")
@@ -85,11 +87,19 @@
     def test_no_numeric_constant_of_the_pooler_is_missing(self) -> None:
         stated = {(each.module, each.name) for each in self.constants}
         listed = {path for rule in self.rules for path, _ in rule.places}
-        for path in sorted(listed | set(pooler_modules())):
+        for path in sorted(listed | set(modules_below("core/pooler"))):
             with self.subTest(path):
                 names = [name for name, _ in numeric_constants(path)]
                 self.assertEqual([name for name in names if (path, name) not in stated], [])
 
+    def test_each_finite_constant_of_the_core_says_its_unit_and_source(self) -> None:
+        for path in modules_below("core"):
+            with self.subTest(path):
+                origins = dict(numeric_constants(path))
+                silent = [name for name, origin in origins.items() if not origin]
+                finite = [name for name in silent if value_of(path, name) not in INFINITIES]
+                self.assertEqual(finite, [])
+
     def test_constants_named_in_rows_are_in_a_table(self) -> None:
         stated = {each.name for each in self.constants}
         for rule in self.rules:
