--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -14,7 +14,6 @@
 from dewledge.core.pooler.databases.group_pools import GroupPools
 from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
 from dewledge.core.pooler.databases.locality import Locality
-from dewledge.core.pooler.databases.proof_seeking import SEEK_AGAIN_SECONDS as SEEK_AGAIN_SECONDS
 from dewledge.core.pooler.databases.proof_seeking import ProofSeeking
 from dewledge.core.pooler.databases.read_order import ReadOptions, ReadOrder
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -30,7 +30,7 @@
         self._told: LoadReport | None = None
         self._told_at = 0.0
 
-    def word(self, report: LoadReport, now: float) -> LoadReport | None:
+    def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
         """Returns the report to go along with an answer now, None for none. `now`: steady clock."""
         told = self._told
         is_old = now >= self._told_at + REPORT_HALF_LIFE_SECONDS
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -25,7 +25,7 @@
 LEAST_JUDGING_SECONDS = 0.02
 """Seconds; what waits is judged anew no more often: some times the work of a statement. Each is
 judged some six times at most (docs/measurements/heavy-load.md, Useful waits)."""
-FUTILE_SECONDS = 0.4
+EXHAUSTED_SECONDS = 0.4
 """Seconds; a database that has had a statement wait for so long and then refused it, or has run
 nothing of this process meanwhile, isn't asked again: statements have 0.8 s and more, so that half
 is left for another database, and nobody is held to the end of its time before one that serves
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -4,14 +4,14 @@
 time that the peer gave it); when it was first sent; when the database last ran anything of this
 process. Decision: send again after a pause, or pass the refusal on with a time to return. Reason:
 the statement keeps its connection while it is sent again, so later statements queue behind it;
-a database that has run nothing for FUTILE_SECONDS is not worth the rest of the statement's time.
+a database that has run nothing for EXHAUSTED_SECONDS is not worth the rest of the statement's time.
 """
 
 import math
 import random
 
 from dewledge.core.pooler.load.verdict import RefusalCause
-from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
+from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_SECONDS
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.statements.statements import Failure, Reply, TransactionState
@@ -70,7 +70,7 @@
         """
         if present is TransactionState.OPEN or not self._services.load_policy.useful_waits:
             return False
-        return now - max(self._first_sent_at, pool.served_at) >= FUTILE_SECONDS
+        return now - max(self._first_sent_at, pool.served_at) >= EXHAUSTED_SECONDS
 
     def with_return(self, reply: Reply, pool: ConnectionPool) -> Reply:
         """Adds a time to return to the refusal of a statement that got no slot in its time."""
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.databases.group import SEEK_AGAIN_SECONDS
+from dewledge.core.pooler.databases.proof_seeking import SEEK_AGAIN_SECONDS
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -4,7 +4,7 @@
 database was first asked and when it last served this process (steady clock, seconds).
 
 Decision: a database that said when it will have room is asked again then. One that refused the
-statement for FUTILE_SECONDS, or has run nothing of this process for as long, is exhausted: this
+statement for EXHAUSTED_SECONDS, or has run nothing of this process for as long, is exhausted: this
 statement asks it no more. Reason: nobody is held to the end of its time before a database that
 serves nobody.
 """
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Iterable
 
 from dewledge.core.pooler.databases.group import Group
-from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
+from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_SECONDS
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.core.shared.units import MILLISECONDS
 
@@ -63,9 +63,9 @@
         tried_at = self._tried_at.get(database_id, now)
         if failure.come_back_ms:
             self._room_at[database_id] = now + failure.come_back_ms / MILLISECONDS
-            if now - tried_at >= FUTILE_SECONDS:
+            if now - tried_at >= EXHAUSTED_SECONDS:
                 self._exhausted.add(database_id)
-        elif now - max(tried_at, pool.served_at) >= FUTILE_SECONDS:
+        elif now - max(tried_at, pool.served_at) >= EXHAUSTED_SECONDS:
             self._room_at[database_id] = now + pool.promise_return()
             self._exhausted.add(database_id)
 
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -207,7 +207,7 @@
             if len(self._reporters) >= MOST_TOLD_DATABASES:
                 self._reporters.clear()
             reporter = self._reporters[database_id] = LoadReporter()
-        return reporter.word(report, self._loop.now())
+        return reporter.due_report(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
         """A channel is over."""
--- a/tests/core/pooler/load/test_load_table.py
+++ b/tests/core/pooler/load/test_load_table.py
@@ -61,19 +61,19 @@
         for title, later, is_told in cases:
             with self.subTest(title):
                 teller = LoadReporter()
-                self.assertEqual(teller.word(report(), NOW), report())
-                word = teller.word(later, NOW + 0.01)
+                self.assertEqual(teller.due_report(report(), NOW), report())
+                word = teller.due_report(later, NOW + 0.01)
                 self.assertEqual(word, later if is_told else None)
 
     def test_the_same_is_told_again_once_it_counts_half(self) -> None:
         teller = LoadReporter()
-        told = [teller.word(report(), NOW + tick / 100) for tick in range(1000)]
+        told = [teller.due_report(report(), NOW + tick / 100) for tick in range(1000)]
         words = sum(word is not None for word in told)
         self.assertEqual(words, round(10 / REPORT_HALF_LIFE_SECONDS))
 
     def test_small_changes_add_up(self) -> None:
         teller = LoadReporter()
-        told = [teller.word(report(waiting=tick), NOW) for tick in range(5)]
+        told = [teller.due_report(report(waiting=tick), NOW) for tick in range(5)]
         self.assertEqual([word is not None for word in told], [True, False, True, False, True])
 
 
--- a/tests/core/pooler/sharing/model_channels.py
+++ b/tests/core/pooler/sharing/model_channels.py
@@ -104,7 +104,7 @@
 
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
         report = self.channels.holder.group.load_report(self.connection.database_id)
-        load = None if report is None else self._teller.word(report, self.scheduler.now())
+        load = None if report is None else self._teller.due_report(report, self.scheduler.now())
         data = encode(channel_reply(1, reply, proof, load))
 
         def arrive() -> None:
--- a/tests/core/pooler/test_exhausted_databases.py
+++ b/tests/core/pooler/test_exhausted_databases.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.load.policy import LoadPolicy
-from dewledge.core.pooler.load.wait_deadlines import FUTILE_SECONDS
+from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_SECONDS
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.sessions.session_state import SessionState
 from dewledge.core.pooler.statements.come_back import (
@@ -43,19 +43,19 @@
             with self.subTest(failure=failure):
                 exhausted = ExhaustedDatabases(self.harness.group)
                 exhausted.note_tried("p", self.now)
-                exhausted.note_overloaded("p", failure, self.now + FUTILE_SECONDS / 2)
+                exhausted.note_overloaded("p", failure, self.now + EXHAUSTED_SECONDS / 2)
                 self.assertFalse(exhausted.is_exhausted("p"))
-                exhausted.note_tried("p", self.now + FUTILE_SECONDS / 2)
-                exhausted.note_overloaded("p", failure, self.now + FUTILE_SECONDS)
+                exhausted.note_tried("p", self.now + EXHAUSTED_SECONDS / 2)
+                exhausted.note_overloaded("p", failure, self.now + EXHAUSTED_SECONDS)
                 self.assertTrue(exhausted.is_exhausted("p"))
                 self.assertFalse(exhausted.may_ask("p", self.now + 100.0))
                 self.assertIsNone(exhausted.next_room_at(["p"]))
 
     def test_one_that_serves_others_meanwhile_is_asked_again(self) -> None:
         self.exhausted.note_tried("p", self.now)
-        self.harness.group.pool("p").served_at = self.now + FUTILE_SECONDS / 2
-        self.exhausted.note_overloaded("p", UNTOLD, self.now + FUTILE_SECONDS)
-        self.assertTrue(self.exhausted.may_ask("p", self.now + FUTILE_SECONDS))
+        self.harness.group.pool("p").served_at = self.now + EXHAUSTED_SECONDS / 2
+        self.exhausted.note_overloaded("p", UNTOLD, self.now + EXHAUSTED_SECONDS)
+        self.assertTrue(self.exhausted.may_ask("p", self.now + EXHAUSTED_SECONDS))
 
     def test_the_first_that_has_room_is_waited_for(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
@@ -65,7 +65,7 @@
     def test_without_useful_waits_refusals_change_nothing(self) -> None:
         exhausted = NeverExhausted(self.harness.group)
         exhausted.note_tried("p", self.now)
-        exhausted.note_overloaded("p", IN_70_MS, self.now + FUTILE_SECONDS)
+        exhausted.note_overloaded("p", IN_70_MS, self.now + EXHAUSTED_SECONDS)
         self.assertTrue(exhausted.may_ask("p", self.now))
 
 
