--- a/tests/decisions_page.py
+++ b/tests/decisions_page.py
@@ -1,33 +1,34 @@
 """Reads the catalogue of rules (docs/DECISIONS.md) and writes its tables of constants anew.
 
 After a module or constant was renamed, or its docstring changed, `python -m tests.decisions_page`
-finds each class and function by its name, follows it to its module, and takes values and origins of
+finds each class and function by its name, follows it to its module, and takes values and units of
 constants from the sources. What it cannot find it prints. The words of the rules it leaves alone.
+It writes the table of constants in docs/CAPACITY.md too, see `tests.constants_table`.
 """
 
 import ast
-import importlib
 import re
 import sys
-from collections.abc import Iterator
 from pathlib import Path
-from types import ModuleType
 from typing import NamedTuple
 
+from tests import constants_table
+from tests.constants_table import as_cell, is_numeric, numeric_constants, unit_of
+from tests.source_modules import SOURCES, module_at, modules_below
+
 ROOT = Path(__file__).parent.parent
 PAGE = ROOT / "docs" / "DECISIONS.md"
-SOURCES = ROOT / "src" / "dewledge"
 PLACE_ROWS = ("decided by", "with")
 PLACE = re.compile(r"`([\w/]+\.py)`: `([\w.]+)`")
 ROW = re.compile(r"^\| ([a-z ]+) \| (.+) \|$")
 CONSTANTS_OF = re.compile(r"^Constants of `([\w/]+\.py)`:$")
-CONSTANT = re.compile(r"^\| `([\w.]+)` \| (.+?) \| (.+) \|$")
+CONSTANT = re.compile(r"^\| `([\w.]+)` \| (.+?) \| (.*) \|$")
 FIELD = re.compile(r"(?:^|(?<=\. ))([a-z_]+(?:, [a-z_]+)*): ")
 IN_BACKTICKS = re.compile(r"`([^`]+)`")
 INDEX = "## By log line"
 INDEX_HEAD = ("| log line | rules |", "| --- | --- |")
 FORMS = ROOT / "tests" / "outside_forms"
-HEAD = ("| constant | value | unit, and where the figure is from |", "| --- | --- | --- |")
+HEAD = ("| constant | value | unit |", "| --- | --- | --- |")
 
 
 class Constant(NamedTuple):
@@ -36,12 +37,12 @@
     module: str
     name: str
     value: str
-    origin: str
+    unit: str
 
     @property
     def line(self) -> str:
         """Its line in the page."""
-        return f"| `{self.name}` | {self.value} | {self.origin} |"
+        return f"| `{self.name}` | {self.value} | {self.unit} |"
 
 
 class Rule(NamedTuple):
@@ -99,11 +100,6 @@
     return found
 
 
-def module_at(path: str) -> ModuleType:
-    """Imports the module of a path below the sources."""
-    return importlib.import_module("dewledge." + path.removesuffix(".py").replace("/", "."))
-
-
 def value_of(path: str, name: str) -> object:
     """Returns a constant of a module, or the default of a field of one of its types."""
     owner, _, field = name.rpartition(".")
@@ -119,27 +115,6 @@
     return dict(zip(reversed(names), reversed(defaults), strict=False))
 
 
-def is_numeric(value: object) -> bool:
-    """Tells whether a constant is a number, or some of them."""
-    if isinstance(value, tuple):
-        return bool(value) and all(is_numeric(each) for each in value)
-    return isinstance(value, int | float) and not isinstance(value, bool)
-
-
-def numeric_constants(path: str) -> Iterator[tuple[str, str]]:
-    """Yields the numeric constants that a module itself defines: name, and the docstring beside."""
-    module = module_at(path)
-    body = ast.parse((SOURCES / path).read_text()).body
-    for node, following in zip(body, [*body[1:], None], strict=True):
-        targets = node.targets if isinstance(node, ast.Assign) else []
-        if isinstance(node, ast.AnnAssign):
-            targets = [node.target]
-        for target in targets:
-            is_constant = isinstance(target, ast.Name) and target.id.isupper()
-            if is_constant and is_numeric(getattr(module, target.id)):
-                yield target.id, _docstring(following)
-
-
 def log_events() -> set[str]:
     """Returns the names of all lines of the log."""
     of_types = re.findall(r"event=(\w+)", (FORMS / "log_lines.txt").read_text())
@@ -147,23 +122,11 @@
     return {*of_types, *of_calls}
 
 
-def modules_below(folder: str) -> Iterator[str]:
-    """Yields the paths of all modules below a folder of the sources."""
-    for path in sorted((SOURCES / folder).rglob("*.py")):
-        yield path.relative_to(SOURCES).as_posix()
-
-
-def _docstring(node: ast.stmt | None) -> str:
-    is_text = isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)
-    text = node.value.value if is_text else ""  # type: ignore[union-attr]
-    return " ".join(text.split()) if isinstance(text, str) else ""
-
-
 def _constants_of(path: str, names: list[str]) -> list[Constant]:
     """Returns a module's constants, and defaults of the fields of those types that are named."""
     found = [
-        Constant(path, name, repr(value_of(path, name)), _as_cell(origin))
-        for name, origin in numeric_constants(path)
+        Constant(path, name, repr(value_of(path, name)), unit_of(name, comment))
+        for name, comment in numeric_constants(path)
     ]
     for name in names:
         kind = getattr(module_at(path), name, None)
@@ -171,8 +134,8 @@
             continue
         for field, value in reversed(field_defaults(kind).items()):
             if is_numeric(value):
-                origin = _as_cell(_field_text(kind, field))
-                found.append(Constant(path, f"{name}.{field}", repr(value), origin))
+                unit = as_cell(_field_text(kind, field))
+                found.append(Constant(path, f"{name}.{field}", repr(value), unit))
     return found
 
 
@@ -185,10 +148,6 @@
     return text
 
 
-def _as_cell(text: str) -> str:
-    return text.replace("|", "/").replace("`", "") or "not said in the source"
-
-
 def _follow(line: str, lost: list[str]) -> str:
     """Returns a line with each class and function at the module where it is now."""
 
@@ -275,9 +234,11 @@
 
 
 def main() -> None:
-    """Writes the page anew."""
+    """Writes the tables of both pages."""
     lines, lost = refresh(PAGE.read_text().splitlines())
     PAGE.write_text("\n".join(lines).rstrip() + "\n")
+    capacity = constants_table.refresh(constants_table.PAGE.read_text().splitlines())
+    constants_table.PAGE.write_text("\n".join(capacity).rstrip() + "\n")
     for each in lost:
         sys.stdout.write(f"not found: {each}\n")
 
--- a/tests/test_decisions_page.py
+++ b/tests/test_decisions_page.py
@@ -10,6 +10,7 @@
 import re
 import unittest
 
+from tests.constants_table import numeric_constants
 from tests.decisions_page import (
     FORMS,
     IN_BACKTICKS,
@@ -17,14 +18,12 @@
     PAGE,
     ROOT,
     log_events,
-    module_at,
-    modules_below,
-    numeric_constants,
     read_constants,
     read_rules,
     refresh,
     value_of,
 )
+from tests.source_modules import module_at, modules_below
 
 STEPS = [
     "Admit",
