--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -12,12 +12,12 @@
 from dewledge.core.pooler.failover.messages import DatabaseStatus
 from dewledge.core.shared.positions import LogPosition
 
-PANEL_SIZE = 15
+MAX_JUDGES = 15
 """Processes that judge a group's primary, at most: bounds the indirect probes of a check where
 there are hundreds of processes."""
 
 
-def panel(group: str, members: Iterable[str]) -> Sequence[str]:
+def panel(group: str, processes: Iterable[str]) -> Sequence[str]:
     """Returns the processes that judge a group's primary and may replace it, in order of rank.
 
     Chosen by rendezvous hashing: the same on every process that knows the same members.
@@ -26,10 +26,10 @@
     def weight(name: str) -> tuple[int, str]:
         return (zlib.crc32(f"{group} {name}".encode()), name)
 
-    return sorted(members, key=weight)[:PANEL_SIZE]
+    return sorted(processes, key=weight)[:MAX_JUDGES]
 
 
-def eligible(view: GroupView, replaced: str, refused: frozenset[str]) -> Sequence[str]:
+def eligible_databases(view: GroupView, replaced: str, refused: frozenset[str]) -> Sequence[str]:
     """Returns the databases that may become primary: in service, and not the replaced one."""
     return sorted(
         record.id
@@ -38,7 +38,7 @@
     )
 
 
-def choose(names: Sequence[str], statuses: Mapping[str, DatabaseStatus]) -> str | None:
+def choose_candidate(names: Sequence[str], statuses: Mapping[str, DatabaseStatus]) -> str | None:
     """Returns the database that received most; among equals the last by name.
 
     One whose state is not known is chosen only if none is known: what it has received may be less.
--- a/src/dewledge/core/pooler/failover/claim_acknowledgements.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -23,15 +23,15 @@
         """`written_at`: a time, steady clock, by which the claim surely stood in the store."""
         self.claim = claim
         self._written_at = written_at
-        self._knows: dict[str, float] = {}
+        self._acknowledged_at: dict[str, float] = {}
 
-    def take(self, name: str, now: float) -> None:
+    def add(self, process: str, now: float) -> None:
         """A process has acknowledged the claim."""
-        self._knows.setdefault(name, now)
+        self._acknowledged_at.setdefault(process, now)
 
-    def missing(self, names: Collection[str]) -> Sequence[str]:
+    def missing(self, processes: Collection[str]) -> Sequence[str]:
         """Returns those of `names` that have not acknowledged the claim."""
-        return sorted(name for name in names if name not in self._knows)
+        return sorted(name for name in processes if name not in self._acknowledged_at)
 
     def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
         """Tells whether no process can still use the old primary."""
@@ -39,7 +39,9 @@
             return True
         since = [self._written_at]
         for voters in self.claim.quorums:
-            known_at = sorted(self._knows[name] for name in voters if name in self._knows)
+            known_at = sorted(
+                self._acknowledged_at[name] for name in voters if name in self._acknowledged_at
+            )
             majority = len(voters) // 2 + 1
             if len(known_at) < majority:
                 return False
--- a/src/dewledge/core/pooler/failover/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -10,25 +10,27 @@
 from dewledge.core.pooler.failover.messages import Claim, WriteClaim
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
 
-NOBODY = ""
+NO_LEADER = ""
 """The leader of a claim under which no database may be used as primary."""
 
 
-def standing_claim(lease: PrimaryLease, voters: Sequence[str], is_settled: bool) -> WriteClaim:
+def maintenance_claim(
+    lease: PrimaryLease, voters: Sequence[str], drops_earlier_voters: bool
+) -> WriteClaim:
     """Returns the claim that changes nothing but the voters.
 
     is_settled: no voter confirms claims before the newest one any more.
     """
     leader = None if lease.claim is None else lease.claim.leader
-    return _next_claim(lease, voters, "", leader, is_settled=is_settled)
+    return _next_claim(lease, voters, "", leader, drops_earlier_voters=drops_earlier_voters)
 
 
 def replacement_claim(
-    lease: PrimaryLease, voters: Sequence[str], replaced: str, serves_on: bool
+    lease: PrimaryLease, voters: Sequence[str], replaced: str, still_serves: bool
 ) -> WriteClaim:
     """Returns the claim to replace a primary. serves_on: it may be used until the order."""
-    if not serves_on:
-        return _next_claim(lease, voters, replaced, NOBODY)
+    if not still_serves:
+        return _next_claim(lease, voters, replaced, NO_LEADER)
     leader = None if lease.claim is None else lease.claim.leader
     return _next_claim(lease, voters, replaced, replaced if leader is None else leader)
 
@@ -40,9 +42,9 @@
     return _next_claim(lease, voters, replaced, ordered, ordered)
 
 
-def withdrawn_claim(lease: PrimaryLease, voters: Sequence[str], kept: str) -> WriteClaim:
+def withdrawal_claim(lease: PrimaryLease, voters: Sequence[str], primary: str) -> WriteClaim:
     """Returns the claim after a replacement without an order: `kept` stays primary."""
-    return _next_claim(lease, voters, "", kept, kept)
+    return _next_claim(lease, voters, "", primary, primary)
 
 
 def last_order(lease: PrimaryLease, replaced: str) -> str:
@@ -57,7 +59,7 @@
     replaced: str,
     leader: str | None,
     ordered: str | None = None,
-    is_settled: bool = False,
+    drops_earlier_voters: bool = False,
 ) -> WriteClaim:
     claim = lease.claim
     expected = 0 if claim is None else claim.fencing_token
@@ -65,13 +67,15 @@
         return WriteClaim(replaced, expected)
     if ordered is None:
         ordered = last_order(lease, replaced)
-    quorums = _quorums(claim, is_settled)
+    quorums = _earlier_quorums(claim, drops_earlier_voters)
     return WriteClaim(replaced, expected, leader, tuple(voters), quorums, ordered)
 
 
-def _quorums(claim: Claim | None, is_settled: bool) -> tuple[tuple[str, ...], ...]:
+def _earlier_quorums(
+    claim: Claim | None, drops_earlier_voters: bool
+) -> tuple[tuple[str, ...], ...]:
     if claim is None:
         return ()
-    earlier = () if is_settled else claim.quorums
+    earlier = () if drops_earlier_voters else claim.quorums
     sets = dict.fromkeys(tuple(sorted(names)) for names in (claim.voters, *earlier) if names)
     return tuple(sets)
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -8,10 +8,10 @@
 
 from dewledge.core.pooler.failover.messages import IndirectProbeReported, ReachTested
 
-CHECK_LIMIT_SECONDS = 0.45
+MAJORITY_DECISION_SECONDS = 0.45
 """Seconds from the start of a check until a majority of the judges decides without the others: two
 tests of 0.3 s at most, the second begun 0.1 s after the first, and a datagram each way."""
-LONE_CHECK_LIMIT_SECONDS = 2.5
+SOLE_DECISION_SECONDS = 2.5
 """Seconds until the own test decides alone, where the platform fences: no majority answers after
 many processes died."""
 
@@ -21,43 +21,43 @@
 
     def __init__(self, database: str) -> None:
         self._database = database
-        self._own: ReachTested | None = None
-        self._answers: dict[str, bool] = {}
+        self._local_test: ReachTested | None = None
+        self._probe_results: dict[str, bool] = {}
 
-    def take(self, event: ReachTested | IndirectProbeReported) -> None:
+    def add(self, event: ReachTested | IndirectProbeReported) -> None:
         """Takes a test or an answer; one about another database is ignored."""
         if event.database != self._database:
             return
         if isinstance(event, ReachTested):
-            self._own = event
+            self._local_test = event
         else:
-            self._answers[event.process] = event.reachable
+            self._probe_results[event.process] = event.reachable
 
     @property
-    def is_reached(self) -> bool:
+    def is_reached_locally(self) -> bool:
         """Whether this process reaches the database."""
-        return self._own is not None and self._own.reachable
+        return self._local_test is not None and self._local_test.reachable
 
     @property
-    def is_missed(self) -> bool:
+    def is_missed_locally(self) -> bool:
         """Whether this process has tried and does not reach it."""
-        return self._own is not None and not self._own.reachable
+        return self._local_test is not None and not self._local_test.reachable
 
     @property
-    def reaching(self) -> Sequence[str]:
+    def reached_by(self) -> Sequence[str]:
         """The processes that reach it, by name."""
-        return sorted(name for name, reaches in self._answers.items() if reaches)
+        return sorted(name for name, reaches in self._probe_results.items() if reaches)
 
-    def is_confirmed(
-        self, members: Sequence[str], waited: float, may_act_alone: bool = True
+    def is_loss_confirmed(
+        self, judges: Sequence[str], elapsed: float, may_decide_alone: bool = True
     ) -> bool:
         """Tells whether enough processes miss the database. `waited`: since the check began.
 
         may_act_alone: whether the own test is enough after LONE_CHECK_LIMIT_SECONDS.
         """
-        against = 1 + sum(not reaches for reaches in self._answers.values())
-        if against >= len(members):
+        against = 1 + sum(not reaches for reaches in self._probe_results.values())
+        if against >= len(judges):
             return True
-        if waited >= CHECK_LIMIT_SECONDS and against * 2 > len(members):
+        if elapsed >= MAJORITY_DECISION_SECONDS and against * 2 > len(judges):
             return True
-        return may_act_alone and waited >= LONE_CHECK_LIMIT_SECONDS
+        return may_decide_alone and elapsed >= SOLE_DECISION_SECONDS
--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -6,7 +6,7 @@
 Whether the primary is lost is judged elsewhere: loss_watch.py by what the group's view shows
 (the primary leaves, its entry is gone, no primary is known, the newest claim forbids it), and
 reach_check.py by tests of its address. What is done about a lost one is replacement.py's, and what
-is done while nothing is lost standing_claim.py's.
+is done while nothing is lost claim_maintenance.py's.
 
 Two processes may both decide to replace a primary. The conditional write of the claim lets one
 through, and the others follow it.
@@ -15,7 +15,8 @@
 from collections.abc import Callable, Sequence
 
 from dewledge.core.pooler.databases.group_view import GroupView
-from dewledge.core.pooler.failover.claim_turn import FOLLOW_LIMIT_SECONDS, ClaimTurn
+from dewledge.core.pooler.failover.claim_maintenance import ClaimMaintenance
+from dewledge.core.pooler.failover.claim_turn import CLAIM_HOLDER_TIMEOUT_SECONDS, ClaimTurn
 from dewledge.core.pooler.failover.loss_watch import Loss, LossWatch
 from dewledge.core.pooler.failover.messages import (
     Claim,
@@ -47,10 +48,9 @@
 from dewledge.core.pooler.failover.reach_check import ReachCheck
 from dewledge.core.pooler.failover.replacement import PrimaryReplacement
 from dewledge.core.pooler.failover.situation import Situation, Step
-from dewledge.core.pooler.failover.standing_claim import StandingClaim
 
 _NO_LOSS = Loss(LossCause.UNREACHABLE, "")
-NONE_REGISTERED = RegisteredProcesses()
+NO_REGISTERED_PROCESSES = RegisteredProcesses()
 
 
 class GroupFailover:
@@ -59,34 +59,34 @@
     def __init__(
         self,
         group: str,
-        own_name: str,
+        local_name: str,
         record: Callable[[PhaseChanged], None],
         lease: PrimaryLease | None = None,
     ) -> None:
         """`lease`: shared with those who use the primary; by default the platform fences."""
         self._group = group
-        self._own_name = own_name
+        self._local_name = local_name
         self._record = record
         self._lease = lease or PrimaryLease(Fencing.PLATFORM)
-        self._losses = LossWatch(self._lease)
-        self._reach = ReachCheck()
-        self._turn = ClaimTurn(own_name, self._lease)
-        self._standing = StandingClaim(own_name, self._lease)
+        self._loss_watch = LossWatch(self._lease)
+        self._reach_check = ReachCheck()
+        self._claim_turn = ClaimTurn(local_name, self._lease)
+        self._claim_maintenance = ClaimMaintenance(local_name, self._lease)
         self.phase = Phase.STEADY
         self._loss = _NO_LOSS
-        self._replacement = PrimaryReplacement(own_name, self._lease, _NO_LOSS)
-        self._began_at = 0.0
-        self._phase_since = 0.0
+        self._replacement = PrimaryReplacement(local_name, self._lease, _NO_LOSS)
+        self._started_at = 0.0
+        self._phase_started_at = 0.0
 
     @property
     def doubted(self) -> str | None:
         """The primary that this process does not reach, None for none."""
-        return self._reach.doubted
+        return self._reach_check.suspected
 
     @property
     def reached_by(self) -> str | None:
         """The process through which the doubted primary is reached, None for none."""
-        return self._reach.reached_by
+        return self._reach_check.reached_by
 
     @property
     def _is_unfenced(self) -> bool:
@@ -98,43 +98,43 @@
         view: GroupView,
         members: Sequence[str],
         now: float,
-        registered: RegisteredProcesses = NONE_REGISTERED,
+        registered: RegisteredProcesses = NO_REGISTERED_PROCESSES,
     ) -> Sequence[FailoverEffect]:
         """Takes an event; for the others see Situation."""
         situation = Situation(view, members, registered, now)
-        self._take(event, now)
+        self._apply_event(event, now)
         effects: list[FailoverEffect] = []
         if isinstance(event, StatusRead) and self.phase is Phase.PROMOTING:
-            effects += self._replacement.announce(event)
+            effects += self._replacement.announce_if_leading(event)
         if isinstance(event, PrimaryDoubted):
-            effects += self._doubt(event.database, view, now)
+            effects += self._on_suspicion(event.database, view, now)
         effects += self._advance(situation)
         return effects
 
     # Taking events.
 
-    def _take(self, event: FailoverEvent, now: float) -> None:
+    def _apply_event(self, event: FailoverEvent, now: float) -> None:
         if isinstance(event, ReachTested | IndirectProbeReported):
-            self._reach.take(event)
+            self._reach_check.add_evidence(event)
         elif isinstance(event, StatusRead | SteppedDown):
-            self._replacement.take(event, now)
+            self._replacement.on_answer(event, now)
         elif isinstance(event, ClaimSeen):
-            self._see_claim(event.claim, now)
+            self._on_claim(event.claim, now)
         elif isinstance(event, ClaimRefused) and self.phase is Phase.CLAIMING:
-            self._turn.note_refusal(now)
+            self._claim_turn.record_refusal(now)
         elif isinstance(event, PromotionAnswered) and self.phase is Phase.PROMOTING:
-            self._take_promotion(event, now)
+            self._on_promotion_answer(event, now)
         elif isinstance(event, ClaimKnown):
-            self._replacement.take(event, now)
-            self._standing.take(event, now)
+            self._replacement.on_answer(event, now)
+            self._claim_maintenance.on_acknowledgement(event, now)
 
-    def _see_claim(self, claim: Claim, now: float) -> None:
+    def _on_claim(self, claim: Claim, now: float) -> None:
         if not self._lease.take_claim(claim):
             return
-        self._turn.see_claim(now)
-        if claim.holder == self._own_name:
+        self._claim_turn.on_newer_claim(now)
+        if claim.holder == self._local_name:
             if self.phase in HOLDING:
-                self._replacement.take_claim(claim, now)
+                self._replacement.on_claim_stored(claim, now)
             return
         is_ban = self.phase is Phase.STEADY and not claim.allows(claim.replaced)
         if claim.replaced and (self.phase in ACTING or is_ban):
@@ -144,143 +144,143 @@
             self._replacement.fencing_token = 0
             self._end_phase(PhaseEnd.OVERTAKEN_BY_OTHER, now, claim.holder)
 
-    def _take_promotion(self, event: PromotionAnswered, now: float) -> None:
-        step = self._replacement.take_promotion(event)
+    def _on_promotion_answer(self, event: PromotionAnswered, now: float) -> None:
+        step = self._replacement.on_promotion_answer(event)
         if step.end is PhaseEnd.TOKEN_REFUSED:
-            self._turn.spend(self._replacement.fencing_token)
+            self._claim_turn.on_token_refused(self._replacement.fencing_token)
             self._replacement.fencing_token = 0
-        self._follow_step(step, now)
+        self._apply_step(step, now)
 
     # Advancing.
 
     def _advance(self, situation: Situation) -> Sequence[FailoverEffect]:
-        if self._is_over(situation.view):
-            self._reach.forget()
+        if self._is_finished(situation.view):
+            self._reach_check.clear_suspicion()
             self._end_phase(PhaseEnd.NEW_PRIMARY, situation.now)
         if self.phase is Phase.STEADY:
-            return self._watch(situation)
+            return self._watch_primary(situation)
         if self.phase is Phase.CHECKING:
-            return self._check(situation)
+            return self._continue_check(situation)
         if self.phase is Phase.CLAIMING:
-            return self._claim(situation)
+            return self._continue_claim(situation)
         if self.phase in REPLACING:
-            return self._replace(situation)
-        return self._follow(situation.now)
+            return self._continue_replacement(situation)
+        return self._continue_following(situation.now)
 
-    def _is_over(self, view: GroupView) -> bool:
+    def _is_finished(self, view: GroupView) -> bool:
         """Tells whether the group has a primary that needs no replacement."""
         primary = view.primary
         if self.phase is Phase.STEADY or primary is None or primary.draining:
             return False
         if self._is_unfenced and self.phase in (Phase.RELEASING, Phase.PROMOTING):
-            return self._replacement.is_done
+            return self._replacement.is_new_primary_confirmed
         if self._lease.is_banned(primary.id):
             return False
         is_another = primary.id != self._loss.replaced or self._replacement.is_planned
         return is_another or self._loss.cause is LossCause.UNFINISHED
 
-    def _watch(self, situation: Situation) -> Sequence[FailoverEffect]:
+    def _watch_primary(self, situation: Situation) -> Sequence[FailoverEffect]:
         view, now = situation.view, situation.now
-        loss = self._losses.find(view, now)
+        loss = self._loss_watch.find_loss(view, now)
         if loss is not None:
-            self._begin(loss, now)
-            self._begin_claim(situation)
+            self._start_replacement(loss, now)
+            self._start_claim(situation)
             return []
         primary = view.primary
-        claimed = self._losses.claimed_leader(view, now)
+        claimed = self._loss_watch.leader_to_try(view, now)
         if claimed is not None:
             return [TryLeader(claimed)]
         if primary is None or primary.draining or self._lease.is_banned(primary.id):
             return []
-        if self.doubted == primary.id and self._reach.is_due(now):
-            return self._begin_check(primary.id, now)
-        return self._standing.keep(situation)
+        if self.doubted == primary.id and self._reach_check.may_start(now):
+            return self._start_check(primary.id, now)
+        return self._claim_maintenance.maintain(situation)
 
-    def _begin(self, loss: Loss, now: float) -> None:
+    def _start_replacement(self, loss: Loss, now: float) -> None:
         self._loss = loss
-        self._began_at = now
-        self._replacement = PrimaryReplacement(self._own_name, self._lease, loss)
+        self._started_at = now
+        self._replacement = PrimaryReplacement(self._local_name, self._lease, loss)
 
     # Checking.
 
-    def _doubt(self, database: str, view: GroupView, now: float) -> Sequence[FailoverEffect]:
+    def _on_suspicion(self, database: str, view: GroupView, now: float) -> Sequence[FailoverEffect]:
         primary = view.primary
         if self.phase is not Phase.STEADY or primary is None or primary.id != database:
             return []
-        if not self._reach.is_due(now):
+        if not self._reach_check.may_start(now):
             return []
-        return self._begin_check(database, now)
+        return self._start_check(database, now)
 
-    def _begin_check(self, database: str, now: float) -> Sequence[FailoverEffect]:
-        effects = self._reach.begin(database, now)
-        self._begin(Loss(LossCause.UNREACHABLE, database), now)
+    def _start_check(self, database: str, now: float) -> Sequence[FailoverEffect]:
+        effects = self._reach_check.start(database, now)
+        self._start_replacement(Loss(LossCause.UNREACHABLE, database), now)
         self._end_phase(PhaseEnd.NO_ANSWER, now)
         return effects
 
-    def _check(self, situation: Situation) -> Sequence[FailoverEffect]:
-        waited = situation.now - self._phase_since
-        step = self._reach.judge(situation.members, waited, not self._is_unfenced)
+    def _continue_check(self, situation: Situation) -> Sequence[FailoverEffect]:
+        waited = situation.now - self._phase_started_at
+        step = self._reach_check.evaluate(situation.members, waited, not self._is_unfenced)
         if step.end is PhaseEnd.LOST:
-            self._begin_claim(situation)
+            self._start_claim(situation)
             return self._advance(situation)
-        self._follow_step(step, situation.now)
+        self._apply_step(step, situation.now)
         return step.effects
 
     # Claiming.
 
-    def _begin_claim(self, situation: Situation) -> None:
+    def _start_claim(self, situation: Situation) -> None:
         now = situation.now
-        holder = self._turn.holder_at_work(self._loss.replaced, now)
+        holder = self._claim_turn.active_holder(self._loss.replaced, now)
         if holder is not None:
             self._end_phase(PhaseEnd.CLAIMED_BY_OTHER, now, holder)
             return
-        self._turn.begin(situation.members, now)
+        self._claim_turn.schedule_first_write(situation.members, now)
         self._end_phase(PhaseEnd.LOST, now, self._loss.cause)
 
-    def _claim(self, situation: Situation) -> Sequence[FailoverEffect]:
+    def _continue_claim(self, situation: Situation) -> Sequence[FailoverEffect]:
         now = situation.now
         if self._replacement.fencing_token:
             self._end_phase(PhaseEnd.CLAIMED, now)
-            return self._replace(situation)
-        if not self._turn.is_due(now):
+            return self._continue_replacement(situation)
+        if not self._claim_turn.may_write(now):
             return []
-        self._turn.note_write(now)
-        write = self._replacement.claim(situation)
-        held = self._turn.held_fencing_token
+        self._claim_turn.record_write(now)
+        write = self._replacement.first_claim(situation)
+        held = self._claim_turn.usable_fencing_token
         if not held:
             return [write]
         # The last holder need not wait for the row, which tells the others to follow.
         self._replacement.fencing_token = held
         self._end_phase(PhaseEnd.HELD_BEFORE, now)
-        return [write, *self._replace(situation)]
+        return [write, *self._continue_replacement(situation)]
 
     # Replacing, or following the process that does.
 
-    def _replace(self, situation: Situation) -> Sequence[FailoverEffect]:
+    def _continue_replacement(self, situation: Situation) -> Sequence[FailoverEffect]:
         effects: list[FailoverEffect] = []
         while self.phase in REPLACING:
             before = self.phase
             step = self._replacement.step(before, situation)
             effects += step.effects
-            self._follow_step(step, situation.now)
+            self._apply_step(step, situation.now)
             if self.phase is before or self.phase is Phase.PROMOTING:
                 break
         return effects
 
-    def _follow_step(self, step: Step, now: float) -> None:
+    def _apply_step(self, step: Step, now: float) -> None:
         if step.end is not None:
             self._end_phase(step.end, now, step.detail)
 
-    def _follow(self, now: float) -> Sequence[FailoverEffect]:
-        if now >= self._phase_since + FOLLOW_LIMIT_SECONDS:
+    def _continue_following(self, now: float) -> Sequence[FailoverEffect]:
+        if now >= self._phase_started_at + CLAIM_HOLDER_TIMEOUT_SECONDS:
             self._end_phase(PhaseEnd.HOLDER_WITHOUT_EFFECT, now)
         return []
 
     def _end_phase(self, end: PhaseEnd, now: float, detail: str = "") -> None:
         transition = TRANSITIONS[end]
         self.phase = transition.next_phase
-        self._phase_since = now
-        self._replacement.enter(now)
+        self._phase_started_at = now
+        self._replacement.start_phase(now)
         self._record(
             PhaseChanged(
                 group=self._group,
@@ -288,6 +288,6 @@
                 phase=self.phase,
                 reason=transition.reason + detail,
                 token=self._replacement.fencing_token,
-                after_ms=int((now - self._began_at) * 1000),
+                after_ms=int((now - self._started_at) * 1000),
             )
         )
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -22,67 +22,69 @@
 )
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO
 
-SEND_CLAIM_AGAIN_SECONDS = 0.1
+CLAIM_SEND_INTERVAL_SECONDS = 0.1
 """Seconds between two sendings of the claim to processes that have not acknowledged it: a datagram
 may be lost."""
-STEP_DOWN_AGAIN_SECONDS = 0.2
+STEP_DOWN_INTERVAL_SECONDS = 0.2
 """Seconds between two requests to step down to one database."""
-STEP_DOWN_LIMIT_SECONDS = 1.0
+STEP_DOWN_TIMEOUT_SECONDS = 1.0
 """Seconds that the old primary has to step down; after that its leases have to end."""
 
 
 class LeaseRelease:
     """The release of one primary, in one failover."""
 
-    def __init__(self, own_name: str, replaced: str, may_step_down: bool) -> None:
+    def __init__(self, local_name: str, replaced: str, may_step_down: bool) -> None:
         """`may_step_down`: whether the old primary is expected to answer."""
-        self._own_name = own_name
+        self._local_name = local_name
         self._replaced = replaced
         self._may_step_down = may_step_down
-        self._notice: ClaimAcknowledgements | None = None
+        self._first_claim: ClaimAcknowledgements | None = None
         """Of the first own claim: who knows it has each read prove the lead, or uses none."""
-        self._ban: ClaimAcknowledgements | None = None
+        self._first_ban: ClaimAcknowledgements | None = None
         """Of the first own claim under which the old primary may not be used."""
-        self._sent_at = LONG_AGO
-        self._asked_at = LONG_AGO
-        self._asked_since: float | None = None
-        self.stepped_down: DatabaseStatus | None = None
+        self._claim_sent_at = LONG_AGO
+        self._step_down_sent_at = LONG_AGO
+        self._first_step_down_sent_at: float | None = None
+        self.final_status: DatabaseStatus | None = None
         """What the old primary held when it had stepped down."""
 
-    def take_claim(self, claim: Claim, now: float) -> None:
+    def on_claim_stored(self, claim: Claim, now: float) -> None:
         """The own claim stands in the store."""
-        if self._notice is None:
-            self._notice = self._acknowledgements_of(claim, now)
-        if self._ban is None and not claim.allows(self._replaced):
-            is_first = self._notice.claim.fencing_token == claim.fencing_token
-            self._ban = self._notice if is_first else self._acknowledgements_of(claim, now)
+        if self._first_claim is None:
+            self._first_claim = self._start_acknowledgements(claim, now)
+        if self._first_ban is None and not claim.allows(self._replaced):
+            is_first = self._first_claim.claim.fencing_token == claim.fencing_token
+            self._first_ban = (
+                self._first_claim if is_first else self._start_acknowledgements(claim, now)
+            )
 
-    def _acknowledgements_of(self, claim: Claim, now: float) -> ClaimAcknowledgements:
+    def _start_acknowledgements(self, claim: Claim, now: float) -> ClaimAcknowledgements:
         acknowledgements = ClaimAcknowledgements(claim, now)
-        acknowledgements.take(self._own_name, now)
+        acknowledgements.add(self._local_name, now)
         return acknowledgements
 
-    def take(self, event: ClaimKnown | SteppedDown, now: float) -> None:
+    def on_answer(self, event: ClaimKnown | SteppedDown, now: float) -> None:
         """Takes an acknowledgement of a process, or the old primary's answer."""
         if isinstance(event, SteppedDown):
             is_down = event.status is not None and not event.status.is_primary
             if event.database == self._replaced and is_down:
-                self.stepped_down = event.status
+                self.final_status = event.status
             return
-        for known in (self._notice, self._ban):
+        for known in (self._first_claim, self._first_ban):
             if known is not None and event.fencing_token >= known.claim.fencing_token:
-                known.take(event.process, now)
+                known.add(event.process, now)
 
-    def send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
+    def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
         """Returns to whom the claim is to be sent, again until all have acknowledged it."""
-        acknowledgements = self._ban or self._notice
-        if acknowledgements is None or now < self._sent_at + SEND_CLAIM_AGAIN_SECONDS:
+        acknowledgements = self._first_ban or self._first_claim
+        if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
-        self._sent_at = now
+        self._claim_sent_at = now
         missing = acknowledgements.missing(registered.names)
         return [SendClaim(tuple(missing))] if missing else []
 
-    def step_down(
+    def step_down_requests(
         self, term: int, registered: RegisteredProcesses, now: float
     ) -> Sequence[StepDown]:
         """Returns the request to the old primary to step down, none any more after a second.
@@ -90,24 +92,24 @@
         It is sent once all processes know that the primary leaves: it serves until then, and
         single reads afterwards.
         """
-        if not self._may_step_down or self.stepped_down is not None:
+        if not self._may_step_down or self.final_status is not None:
             return []
-        if self._notice is None or not self._notice.is_over(registered, now):
+        if self._first_claim is None or not self._first_claim.is_over(registered, now):
             return []
-        if self._asked_since is None:
-            self._asked_since = now
-        if now >= self._asked_since + STEP_DOWN_LIMIT_SECONDS:
+        if self._first_step_down_sent_at is None:
+            self._first_step_down_sent_at = now
+        if now >= self._first_step_down_sent_at + STEP_DOWN_TIMEOUT_SECONDS:
             self._may_step_down = False
             return []
-        if now < self._asked_at + STEP_DOWN_AGAIN_SECONDS:
+        if now < self._step_down_sent_at + STEP_DOWN_INTERVAL_SECONDS:
             return []
-        self._asked_at = now
+        self._step_down_sent_at = now
         return [StepDown(self._replaced, term)]
 
-    def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
+    def is_complete(self, registered: RegisteredProcesses, now: float) -> bool:
         """Tells whether no process uses the old primary any more."""
-        if self.stepped_down is not None:
+        if self.final_status is not None:
             return True
-        if self._may_step_down or self._ban is None:
+        if self._may_step_down or self._first_ban is None:
             return False
-        return self._ban.is_over(registered, now)
+        return self._first_ban.is_over(registered, now)
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -11,19 +11,19 @@
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import GroupView
-from dewledge.core.pooler.failover.candidates import eligible
+from dewledge.core.pooler.failover.candidates import eligible_databases
 from dewledge.core.pooler.failover.messages import LossCause
 from dewledge.core.pooler.failover.primary_lease import PrimaryLease
 
-ENTRY_GONE_SECONDS = 1.5
+REMOVED_ENTRY_TIMEOUT_SECONDS = 1.5
 """Seconds since the primary's entry left the store's table until it is replaced; one that returns
 within them is kept."""
-NONE_KNOWN_SECONDS = 2.5
+NO_PRIMARY_TIMEOUT_SECONDS = 2.5
 """Seconds without any known primary until one is chosen; longer than ENTRY_GONE_SECONDS."""
-CLAIMED_LEADER_SECONDS = 1.0
+CLAIMED_LEADER_DELAY_SECONDS = 1.0
 """Seconds until the database that the newest claim names is tried as primary: it has said so itself
 by then if it can."""
-UNFINISHED_SECONDS = 3.0
+UNFINISHED_CLAIM_TIMEOUT_SECONDS = 3.0
 """Seconds that a claim may be without effect before its holder is taken for lost; as long as
 FOLLOW_LIMIT_SECONDS of claim_turn.py."""
 
@@ -40,50 +40,50 @@
 
     def __init__(self, lease: PrimaryLease) -> None:
         self._lease = lease
-        self._none_since: float | None = None
+        self._no_primary_since: float | None = None
         self._banned_since: float | None = None
 
-    def find(self, view: GroupView, now: float) -> Loss | None:
+    def find_loss(self, view: GroupView, now: float) -> Loss | None:
         """Returns the loss to act upon now, None for none."""
         primary = view.primary
         if primary is None:
-            return self._find_none_known(view, now)
-        self._none_since = None
+            return self._find_missing_primary(view, now)
+        self._no_primary_since = None
         if self._lease.is_banned(primary.id):
-            return self._find_unfinished(primary.id, now)
+            return self._find_unfinished_claim(primary.id, now)
         self._banned_since = None
         if not primary.draining:
             return None
         gone = primary.id in view.departed
         since = view.draining_since.get(primary.id, now)
-        if gone and now < since + ENTRY_GONE_SECONDS:
+        if gone and now < since + REMOVED_ENTRY_TIMEOUT_SECONDS:
             return None
-        if not eligible(view, primary.id, frozenset()):
+        if not eligible_databases(view, primary.id, frozenset()):
             return None
         return Loss(LossCause.ENTRY_GONE if gone else LossCause.DRAINING, primary.id)
 
-    def claimed_leader(self, view: GroupView, now: float) -> str | None:
+    def leader_to_try(self, view: GroupView, now: float) -> str | None:
         """Returns the database that the newest claim names, once it is to be tried as primary."""
         claim = self._lease.claim
-        if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_SECONDS:
+        if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_DELAY_SECONDS:
             return None
         if claim is None or claim.leader not in view.databases or claim.leader in view.claims:
             return None
         return claim.leader
 
-    def _find_none_known(self, view: GroupView, now: float) -> Loss | None:
+    def _find_missing_primary(self, view: GroupView, now: float) -> Loss | None:
         if not view.databases:
             return None
-        if self._none_since is None:
-            self._none_since = now
-        if now < self._none_since + NONE_KNOWN_SECONDS:
+        if self._no_primary_since is None:
+            self._no_primary_since = now
+        if now < self._no_primary_since + NO_PRIMARY_TIMEOUT_SECONDS:
             return None
         return Loss(LossCause.NONE_KNOWN, "")
 
-    def _find_unfinished(self, primary: str, now: float) -> Loss | None:
+    def _find_unfinished_claim(self, primary: str, now: float) -> Loss | None:
         """The newest claim does not allow the primary and has brought no other."""
         if self._banned_since is None:
             self._banned_since = now
-        if now < self._banned_since + UNFINISHED_SECONDS:
+        if now < self._banned_since + UNFINISHED_CLAIM_TIMEOUT_SECONDS:
             return None
         return Loss(LossCause.UNFINISHED, primary)
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -53,7 +53,7 @@
         """The newest claim known."""
         self.confirmed_at = LONG_AGO
         """At this time (steady clock, seconds) no claim existed that this process does not know."""
-        self._proven = ("", -1)
+        self._proven_leader = ("", -1)
 
     @property
     def fencing_token(self) -> int:
@@ -84,7 +84,7 @@
 
     def prove(self, database_id: str, fencing_token: int) -> None:
         """A database has shown that it leads, in answer to a statement sent under a claim."""
-        self._proven = (database_id, fencing_token)
+        self._proven_leader = (database_id, fencing_token)
 
     def is_proven(self, database_id: str) -> bool:
         """Tells whether a database has shown that it leads under the newest claim.
@@ -92,7 +92,10 @@
         It leads then for as long as this process holds the lease: without a newer claim no other
         is promoted. So a read need not prove it again, unless it is to step down under this claim.
         """
-        if self.fencing is Fencing.PLATFORM or self._proven != (database_id, self.fencing_token):
+        if self.fencing is Fencing.PLATFORM or self._proven_leader != (
+            database_id,
+            self.fencing_token,
+        ):
             return False
         return self.claim is None or self.claim.replaced != database_id
 
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -17,12 +17,12 @@
 from dewledge.core.pooler.failover.messages import Claim
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
-CONFIRM_AFTER_SECONDS = 1.25
+CONFIRMATION_REFRESH_AGE_SECONDS = 1.25
 """Age in seconds of the last confirmation from which voters are asked. Confirmations by followers
 are up to 1.2 s old in peace."""
-CONFIRM_AGAIN_SECONDS = 0.25
+QUESTION_INTERVAL_SECONDS = 0.25
 """Seconds between two questions: two tries lie between CONFIRM_AFTER_SECONDS and LEASE_SECONDS."""
-MAX_GROUPS_ASKED = 40
+MAX_GROUPS_PER_QUESTION = 40
 """Groups in one question, so that it fits into a datagram (MAX_BYTES of peer_messages.py)."""
 
 
@@ -42,7 +42,7 @@
     tokens: dict[str, int]
 
 
-class Inquiry(msgspec.Struct, frozen=True):
+class VoterPoll(msgspec.Struct, frozen=True):
     """A question and the processes to ask."""
 
     question: ConfirmationQuestion
@@ -52,38 +52,40 @@
 class QuorumConfirmation:
     """The questions of one process, and its answers to others."""
 
-    def __init__(self, own_name: str) -> None:
-        self._own_name = own_name
+    def __init__(self, local_name: str) -> None:
+        self._local_name = local_name
         self._number = 0
         self._asked_at = LONG_AGO
         self._tokens: dict[str, int] = {}
         self._agreed: dict[str, set[str]] = {}
 
-    def ask(self, leases: Mapping[str, PrimaryLease], now: float) -> Inquiry | None:
+    def ask(self, leases: Mapping[str, PrimaryLease], now: float) -> VoterPoll | None:
         """Returns the next question, None if no lease needs one."""
-        if now < self._asked_at + CONFIRM_AGAIN_SECONDS:
+        if now < self._asked_at + QUESTION_INTERVAL_SECONDS:
             return None
         due = [
             (lease.confirmed_at, name, lease.claim)
             for name, lease in leases.items()
             if lease.claim is not None
             and lease.claim.voters
-            and now > lease.confirmed_at + CONFIRM_AFTER_SECONDS
+            and now > lease.confirmed_at + CONFIRMATION_REFRESH_AGE_SECONDS
         ]
         if not due:
             return None
         due.sort(key=lambda entry: entry[:2])
-        claims = {name: claim for _, name, claim in due[:MAX_GROUPS_ASKED] if claim is not None}
-        return self._begin(claims, now)
+        claims = {
+            name: claim for _, name, claim in due[:MAX_GROUPS_PER_QUESTION] if claim is not None
+        }
+        return self._start_poll(claims, now)
 
-    def _begin(self, claims: Mapping[str, Claim], now: float) -> Inquiry:
+    def _start_poll(self, claims: Mapping[str, Claim], now: float) -> VoterPoll:
         self._number += 1
         self._asked_at = now
         self._tokens = {name: claim.fencing_token for name, claim in claims.items()}
-        self._agreed = {name: {self._own_name} for name in claims}
+        self._agreed = {name: {self._local_name} for name in claims}
         voters = {voter for claim in claims.values() for voter in claim.voters}
-        question = ConfirmationQuestion(self._own_name, self._number, self._tokens)
-        return Inquiry(question, tuple(sorted(voters - {self._own_name})))
+        question = ConfirmationQuestion(self._local_name, self._number, self._tokens)
+        return VoterPoll(question, tuple(sorted(voters - {self._local_name})))
 
     def answer(
         self,
@@ -95,7 +97,7 @@
         if question.asker not in registered:
             return None
         known = {name: leases[name].fencing_token for name in question.tokens if name in leases}
-        return ConfirmationAnswer(self._own_name, question.number, known)
+        return ConfirmationAnswer(self._local_name, question.number, known)
 
     def take(self, answer: ConfirmationAnswer, leases: Mapping[str, PrimaryLease]) -> Sequence[str]:
         """Takes an answer; returns the groups whose leases it confirms."""
@@ -108,12 +110,12 @@
                 continue
             agreed = self._agreed[name]
             agreed.add(answer.voter)
-            if self._is_confirmed(lease, token, agreed):
+            if self._has_majority(lease, token, agreed):
                 lease.confirm(self._asked_at)
                 confirmed.append(name)
         return confirmed
 
-    def _is_confirmed(self, lease: PrimaryLease, token: int, agreed: Collection[str]) -> bool:
+    def _has_majority(self, lease: PrimaryLease, token: int, agreed: Collection[str]) -> bool:
         claim = lease.claim
         if claim is None or claim.fencing_token != token:
             return False
--- a/src/dewledge/core/pooler/failover/reach_limit.py
+++ b/src/dewledge/core/pooler/failover/reach_limit.py
@@ -7,16 +7,16 @@
 lost, so the least is some round trips between regions.
 """
 
-LEAST_SECONDS = 0.15
+MIN_TIMEOUT_SECONDS = 0.15
 """The shortest timeout in seconds: some round trips between regions."""
-MOST_SECONDS = 0.3
+MAX_TIMEOUT_SECONDS = 0.3
 """The longest timeout in seconds, used until a connection was accepted: the fixed timeout that was
 used before times were observed."""
-DEVIATIONS = 4.0
+DEVIATION_FACTOR = 4.0
 """Deviations above the mean: K of RFC 6298."""
-MEAN_SHARE = 0.125
+MEAN_GAIN_RATIO = 0.125
 """Ratio; share of a new observation in the mean: alpha of RFC 6298."""
-DEVIATION_SHARE = 0.25
+DEVIATION_GAIN_RATIO = 0.25
 """Ratio; share of a new observation in the mean deviation: beta of RFC 6298."""
 
 
@@ -33,12 +33,15 @@
             self._mean, self._deviation = seconds, seconds / 2
             return
         error = seconds - self._mean
-        self._mean += MEAN_SHARE * error
-        self._deviation += DEVIATION_SHARE * (abs(error) - self._deviation)
+        self._mean += MEAN_GAIN_RATIO * error
+        self._deviation += DEVIATION_GAIN_RATIO * (abs(error) - self._deviation)
 
     @property
     def seconds(self) -> float:
         """The limit; the longest one before anything was observed."""
         if self._mean is None:
-            return MOST_SECONDS
-        return min(max(self._mean + DEVIATIONS * self._deviation, LEAST_SECONDS), MOST_SECONDS)
+            return MAX_TIMEOUT_SECONDS
+        return min(
+            max(self._mean + DEVIATION_FACTOR * self._deviation, MIN_TIMEOUT_SECONDS),
+            MAX_TIMEOUT_SECONDS,
+        )
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -11,14 +11,14 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.candidates import choose, eligible
+from dewledge.core.pooler.failover.candidates import choose_candidate, eligible_databases
 from dewledge.core.pooler.failover.claim_writing import (
     last_order,
     order_claim,
     replacement_claim,
-    withdrawn_claim,
+    withdrawal_claim,
 )
-from dewledge.core.pooler.failover.lease_release import STEP_DOWN_AGAIN_SECONDS, LeaseRelease
+from dewledge.core.pooler.failover.lease_release import STEP_DOWN_INTERVAL_SECONDS, LeaseRelease
 from dewledge.core.pooler.failover.loss_watch import Loss
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
@@ -45,19 +45,19 @@
 from dewledge.core.pooler.failover.situation import Situation, Step
 from dewledge.core.pooler.failover.survey import StatusSurvey
 
-CHOICE_WAIT_SECONDS = 0.3
+STATUS_WAIT_SECONDS = 0.3
 """Seconds that the choice waits for the statuses of all databases, and twice as long for any."""
-CATCH_UP_LIMIT_SECONDS = 2.0
+CATCH_UP_TIMEOUT_SECONDS = 2.0
 """Seconds that the successor of a primary that leaves, and still serves, has to receive all it
 has."""
-LAST_RECEIVED_LIMIT_SECONDS = 0.6
+FINAL_CATCH_UP_TIMEOUT_SECONDS = 0.6
 """Seconds that the successor has for the last commits of a primary that stepped down: nobody is
 served meanwhile."""
-WRITE_AGAIN_SECONDS = 1.5
+ORDER_WRITE_INTERVAL_SECONDS = 1.5
 """Seconds until the order is written to the store again: longer than a call to the store."""
-PROMOTE_AGAIN_SECONDS = 0.7
+PROMOTE_INTERVAL_SECONDS = 0.7
 """Seconds until the platform is asked again, under the same fencing token."""
-PROMOTION_LIMIT_SECONDS = 6.0
+PHASE_TIMEOUT_SECONDS = 6.0
 """Seconds that choosing, releasing and promoting may last, each; then the replacement is given
 up."""
 
@@ -65,22 +65,22 @@
 class PrimaryReplacement:
     """One process's replacement of one primary; asked for a step in each of its three phases."""
 
-    def __init__(self, own_name: str, lease: PrimaryLease, loss: Loss) -> None:
+    def __init__(self, local_name: str, lease: PrimaryLease, loss: Loss) -> None:
         self.candidate = ""
         self.fencing_token = 0
         """Of the claim under which this process acts, 0 before it stands."""
         self._lease = lease
         self._loss = loss
         self._survey = StatusSurvey()
-        self._release = LeaseRelease(own_name, loss.replaced, self.is_planned)
-        self._phase_since = 0.0
-        self._write_at = LONG_AGO
+        self._release = LeaseRelease(local_name, loss.replaced, self.is_planned)
+        self._phase_started_at = 0.0
+        self._next_order_write_at = LONG_AGO
         self._promoted_at = LONG_AGO
         self._has_promoted = False
-        self._ended_leads_at = LONG_AGO
-        self._least_term = 0
+        self._step_down_sent_at = LONG_AGO
+        self._min_leader_term = 0
         """The least term in which the candidate leads by this order."""
-        self.is_done = False
+        self.is_new_primary_confirmed = False
         """Whether the new primary has said that it leads."""
         self._stepped_down_at: float | None = None
 
@@ -93,38 +93,40 @@
     def _is_unfenced(self) -> bool:
         return self._lease.fencing is Fencing.PROCESSES
 
-    def take_claim(self, claim: Claim, now: float) -> None:
+    def on_claim_stored(self, claim: Claim, now: float) -> None:
         """The own claim stands in the store."""
         self.fencing_token = claim.fencing_token
-        self._write_at = now
-        self._release.take_claim(claim, now)
+        self._next_order_write_at = now
+        self._release.on_claim_stored(claim, now)
 
-    def take(self, event: StatusRead | ClaimKnown | SteppedDown, now: float) -> None:
+    def on_answer(self, event: StatusRead | ClaimKnown | SteppedDown, now: float) -> None:
         """Takes the answer of a database, or an acknowledgement."""
         if isinstance(event, StatusRead):
-            self._survey.take(event)
+            self._survey.add(event)
             return
         if isinstance(event, SteppedDown):
-            self._survey.take(StatusRead(event.database, event.status))
-        self._release.take(event, now)
+            self._survey.add(StatusRead(event.database, event.status))
+        self._release.on_answer(event, now)
 
-    def enter(self, now: float) -> None:
+    def start_phase(self, now: float) -> None:
         """A phase begins."""
-        self._phase_since = now
+        self._phase_started_at = now
 
-    def claim(self, situation: Situation) -> WriteClaim:
+    def first_claim(self, situation: Situation) -> WriteClaim:
         """Returns the claim to write first."""
         replaced = self._loss.replaced
         return replacement_claim(self._lease, situation.members, replaced, self.is_planned)
 
-    def announce(self, event: StatusRead) -> Sequence[FailoverEffect]:
+    def announce_if_leading(self, event: StatusRead) -> Sequence[FailoverEffect]:
         """The chosen database says that it leads: others learn that without the store too."""
         if event.database != self.candidate or event.status is None:
             return []
-        self.is_done = event.status.is_primary and event.status.term >= self._least_term
-        return [AnnounceLeader(event.database)] if self.is_done else []
+        self.is_new_primary_confirmed = (
+            event.status.is_primary and event.status.term >= self._min_leader_term
+        )
+        return [AnnounceLeader(event.database)] if self.is_new_primary_confirmed else []
 
-    def take_promotion(self, event: PromotionAnswered) -> Step:
+    def on_promotion_answer(self, event: PromotionAnswered) -> Step:
         """Takes the platform's answer to the order."""
         if event.database != self.candidate or not event.fenced:
             return Step()
@@ -134,55 +136,57 @@
             # Two databases were refused: more likely another process holds a newer claim, not
             # known here yet.
             return Step((), PhaseEnd.TOKEN_REFUSED)
-        self._survey.refuse(event.database)
+        self._survey.mark_refused(event.database)
         return Step((), PhaseEnd.CANDIDATE_REFUSED)
 
     def step(self, phase: Phase, situation: Situation) -> Step:
         """Returns what is to be done in one of the three phases."""
         if phase is Phase.CHOOSING:
-            return self._choose(situation)
+            return self._choose_candidate(situation)
         if phase is Phase.RELEASING:
-            return self._release_old(situation)
-        return self._promote_again(situation)
+            return self._release_old_primary(situation)
+        return self._continue_promotion(situation)
 
     # Choosing.
 
-    def _choose(self, situation: Situation) -> Step:
+    def _choose_candidate(self, situation: Situation) -> Step:
         survey, now = self._survey, situation.now
-        names = self._eligible(situation)
+        names = self._eligible_databases(situation)
         wanted = [*names, self._loss.replaced] if self.is_planned else names
-        effects: list[FailoverEffect] = [*survey.ask(wanted)]
-        effects += self._release.send(situation.registered, now)
+        effects: list[FailoverEffect] = [*survey.requests(wanted)]
+        effects += self._release.claims_to_send(situation.registered, now)
         missing = [name for name in wanted if name not in survey.statuses]
-        if missing and now < self._phase_since + CHOICE_WAIT_SECONDS:
+        if missing and now < self._phase_started_at + STATUS_WAIT_SECONDS:
             return Step(effects)
         if self._is_unfenced:
-            effects += self._end_false_leads(names, now)
+            effects += self._stop_unordered_leaders(names, now)
             names = [name for name in names if survey.follows(name)]
-        chosen = self._ordered_before or choose(names, survey.statuses)
-        if chosen is None or (chosen not in survey.statuses and not self._waited_for_status(now)):
-            if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
+        chosen = self._previously_ordered or choose_candidate(names, survey.statuses)
+        if chosen is None or (
+            chosen not in survey.statuses and not self._has_status_wait_ended(now)
+        ):
+            if now > self._phase_started_at + PHASE_TIMEOUT_SECONDS:
                 return self._give_up(effects, situation, PhaseEnd.NO_CANDIDATE)
             return Step(effects)
         is_behind = self.is_planned and survey.is_behind(chosen, self._loss.replaced)
-        if is_behind and now < self._phase_since + CATCH_UP_LIMIT_SECONDS:
-            if survey.is_time_to_ask_again(now):
-                survey.forget_asked()
+        if is_behind and now < self._phase_started_at + CATCH_UP_TIMEOUT_SECONDS:
+            if survey.try_start_retry(now):
+                survey.reset_asked()
             return Step(effects)
         self.candidate = chosen
         if self._is_unfenced:
-            self._least_term = survey.least_term_after(chosen)
+            self._min_leader_term = survey.min_leader_term(chosen)
             return Step(effects, PhaseEnd.CHOSEN_OLD_IN_USE)
-        return Step([*effects, *self._order(now)], PhaseEnd.CHOSEN)
+        return Step([*effects, *self._order_promotion(now)], PhaseEnd.CHOSEN)
 
-    def _eligible(self, situation: Situation) -> Sequence[str]:
+    def _eligible_databases(self, situation: Situation) -> Sequence[str]:
         """The databases that may lead; after an unfinished claim the old primary is among them."""
         is_unfinished = self._loss.cause is LossCause.UNFINISHED
         replaced = "" if is_unfinished else self._loss.replaced
-        return eligible(situation.view, replaced, self._survey.refused)
+        return eligible_databases(situation.view, replaced, self._survey.refused)
 
     @property
-    def _ordered_before(self) -> str | None:
+    def _previously_ordered(self) -> str | None:
         """The database whose promotion an earlier holder ordered: it leads, or may at any moment.
 
         Another one promoted beside it would be replaced by it unnoticed.
@@ -191,55 +195,55 @@
         is_known = ordered in self._survey.statuses and ordered not in self._survey.refused
         return ordered if is_known and self._is_unfenced else None
 
-    def _end_false_leads(self, names: Sequence[str], now: float) -> Sequence[FailoverEffect]:
+    def _stop_unordered_leaders(self, names: Sequence[str], now: float) -> Sequence[FailoverEffect]:
         """Asks databases that lead by no claim to step down: they would serve once named leader."""
-        ordered = self._ordered_before
+        ordered = self._previously_ordered
         false = [name for name in names if self._survey.leads(name) and name != ordered]
-        if not false or now < self._ended_leads_at + STEP_DOWN_AGAIN_SECONDS:
+        if not false or now < self._step_down_sent_at + STEP_DOWN_INTERVAL_SECONDS:
             return []
-        self._ended_leads_at = now
+        self._step_down_sent_at = now
         return [StepDown(name, self._survey.next_term) for name in false]
 
-    def _waited_for_status(self, now: float) -> bool:
-        return now > self._phase_since + 2 * CHOICE_WAIT_SECONDS
+    def _has_status_wait_ended(self, now: float) -> bool:
+        return now > self._phase_started_at + 2 * STATUS_WAIT_SECONDS
 
     # Releasing the old primary.
 
-    def _release_old(self, situation: Situation) -> Step:
+    def _release_old_primary(self, situation: Situation) -> Step:
         """Orders the promotion once no process may use the old primary any more."""
         release, now = self._release, situation.now
         effects: list[FailoverEffect] = [
-            *release.step_down(self._survey.next_term, situation.registered, now)
+            *release.step_down_requests(self._survey.next_term, situation.registered, now)
         ]
-        if not self._is_order_noted:
-            effects += self._note(situation)
-        effects += release.send(situation.registered, now)
-        is_over = self._is_order_noted and release.is_over(situation.registered, now)
-        if is_over and self._has_received_all(effects, now):
-            return Step([*effects, *self._order(now)], PhaseEnd.RELEASED)
-        if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
+        if not self._is_order_stored:
+            effects += self._store_order(situation)
+        effects += release.claims_to_send(situation.registered, now)
+        is_over = self._is_order_stored and release.is_complete(situation.registered, now)
+        if is_over and self._has_caught_up(effects, now):
+            return Step([*effects, *self._order_promotion(now)], PhaseEnd.RELEASED)
+        if now > self._phase_started_at + PHASE_TIMEOUT_SECONDS:
             return self._give_up(effects, situation, PhaseEnd.NOT_RELEASED)
         return Step(effects)
 
     @property
-    def _is_order_noted(self) -> bool:
+    def _is_order_stored(self) -> bool:
         """Whether the store holds the order under the own claim."""
         claim = self._lease.claim
         if claim is None or claim.fencing_token != self.fencing_token:
             return False
         return claim.leader == self.candidate and claim.ordered == self.candidate
 
-    def _note(self, situation: Situation) -> Sequence[FailoverEffect]:
+    def _store_order(self, situation: Situation) -> Sequence[FailoverEffect]:
         """Writes the order to the store before it is given: the next holder must know of it."""
-        if situation.now < self._write_at:
+        if situation.now < self._next_order_write_at:
             return []
-        self._write_at = situation.now + WRITE_AGAIN_SECONDS
+        self._next_order_write_at = situation.now + ORDER_WRITE_INTERVAL_SECONDS
         replaced = self._loss.replaced
         return [order_claim(self._lease, situation.members, replaced, self.candidate)]
 
-    def _has_received_all(self, effects: list[FailoverEffect], now: float) -> bool:
+    def _has_caught_up(self, effects: list[FailoverEffect], now: float) -> bool:
         """Tells whether the candidate has what the old primary held when it stepped down."""
-        held = self._release.stepped_down
+        held = self._release.final_status
         if held is None:
             return True
         if self._stepped_down_at is None:
@@ -247,13 +251,13 @@
         status = self._survey.statuses.get(self.candidate)
         if status is None or status.received >= held.received:
             return True
-        if self._survey.is_time_to_ask_again(now):
+        if self._survey.try_start_retry(now):
             effects.append(ReadStatus(self.candidate))
-        return now >= self._stepped_down_at + LAST_RECEIVED_LIMIT_SECONDS
+        return now >= self._stepped_down_at + FINAL_CATCH_UP_TIMEOUT_SECONDS
 
     # Promoting.
 
-    def _order(self, now: float) -> Sequence[FailoverEffect]:
+    def _order_promotion(self, now: float) -> Sequence[FailoverEffect]:
         """Orders the promotion, unless another process may hold a newer claim by now."""
         if not self._is_unfenced:
             self._promoted_at = now
@@ -266,15 +270,15 @@
             Promote(self.candidate, self.fencing_token, self._lease.confirmed_at + LEASE_SECONDS)
         ]
 
-    def _promote_again(self, situation: Situation) -> Step:
+    def _continue_promotion(self, situation: Situation) -> Step:
         now = situation.now
-        if now > self._phase_since + PROMOTION_LIMIT_SECONDS:
+        if now > self._phase_started_at + PHASE_TIMEOUT_SECONDS:
             return Step((), PhaseEnd.PROMOTION_WITHOUT_EFFECT)
         effects: list[FailoverEffect] = []
-        if self._survey.is_time_to_ask_again(now):
+        if self._survey.try_start_retry(now):
             effects.append(ReadStatus(self.candidate))
-        if now >= self._promoted_at + PROMOTE_AGAIN_SECONDS:
-            effects += self._order(now)
+        if now >= self._promoted_at + PROMOTE_INTERVAL_SECONDS:
+            effects += self._order_promotion(now)
         return Step(effects)
 
     def _give_up(self, effects: list[FailoverEffect], situation: Situation, end: PhaseEnd) -> Step:
@@ -282,5 +286,5 @@
         kept = self._loss.replaced
         may_lead_on = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
         if self._is_unfenced and may_lead_on and self.fencing_token:
-            effects.append(withdrawn_claim(self._lease, situation.members, kept))
+            effects.append(withdrawal_claim(self._lease, situation.members, kept))
         return Step(effects, end)
--- a/src/dewledge/core/pooler/failover/survey.py
+++ b/src/dewledge/core/pooler/failover/survey.py
@@ -9,7 +9,7 @@
 
 from dewledge.core.pooler.failover.messages import DatabaseStatus, ReadStatus, StatusRead
 
-STATUS_AGAIN_SECONDS = 0.15
+STATUS_RETRY_INTERVAL_SECONDS = 0.15
 """Seconds between two questions for a status that is awaited."""
 
 
@@ -21,31 +21,31 @@
         self.refused: frozenset[str] = frozenset()
         """Databases that the platform did not promote."""
         self._asked: set[str] = set()
-        self._asked_at = 0.0
+        self._retried_at = 0.0
 
-    def take(self, event: StatusRead) -> None:
+    def add(self, event: StatusRead) -> None:
         """Takes an answer; a database that gave none is asked again."""
         if event.status is None:
             self._asked.discard(event.database)
         else:
             self.statuses[event.database] = event.status
 
-    def refuse(self, database: str) -> None:
+    def mark_refused(self, database: str) -> None:
         """The platform did not promote a database."""
         self.refused = self.refused | {database}
         self.statuses.pop(database, None)
 
-    def ask(self, names: Sequence[str]) -> list[ReadStatus]:
+    def requests(self, names: Sequence[str]) -> list[ReadStatus]:
         """Returns the questions to those that have not been asked."""
         unasked = [name for name in names if name not in self._asked]
         self._asked.update(unasked)
         return [ReadStatus(name) for name in unasked]
 
-    def is_time_to_ask_again(self, now: float) -> bool:
+    def try_start_retry(self, now: float) -> bool:
         """Tells whether the last questions are old enough, and counts as asking if so."""
-        if now < self._asked_at + STATUS_AGAIN_SECONDS:
+        if now < self._retried_at + STATUS_RETRY_INTERVAL_SECONDS:
             return False
-        self._asked_at = now
+        self._retried_at = now
         return True
 
     @property
@@ -63,14 +63,14 @@
         status = self.statuses.get(name)
         return status is not None and not status.is_primary
 
-    def least_term_after(self, chosen: str) -> int:
+    def min_leader_term(self, chosen: str) -> int:
         """Returns the least term in which `chosen` can lead by an order that is given now."""
         status = self.statuses.get(chosen)
         if status is not None and status.is_primary:
             return status.term
         return self.next_term
 
-    def forget_asked(self) -> None:
+    def reset_asked(self) -> None:
         """Makes `ask` return all databases once more."""
         self._asked = set()
 
--- a/tests/core/pooler/failover/test_claim_turn.py
+++ b/tests/core/pooler/failover/test_claim_turn.py
@@ -3,11 +3,11 @@
 import unittest
 
 from dewledge.core.pooler.failover.claim_turn import (
-    CLAIM_AGAIN_SECONDS,
-    CLAIM_LIMIT_SECONDS,
-    CLAIM_STEP_SECONDS,
-    FOLLOW_LIMIT_SECONDS,
-    OTHER_HOLDER_SECONDS,
+    CLAIM_HOLDER_TIMEOUT_SECONDS,
+    CLAIM_RANK_DELAY_SECONDS,
+    CLAIM_RETRY_SECONDS,
+    CLAIM_WRITE_TIMEOUT_SECONDS,
+    LAST_HOLDER_HEAD_START_SECONDS,
     ClaimTurn,
 )
 from dewledge.core.pooler.failover.messages import Claim
@@ -25,58 +25,60 @@
         if claim is not None:
             lease.take_claim(claim)
         turn = ClaimTurn(own_name, lease)
-        turn.see_claim(NOW)
+        turn.on_newer_claim(NOW)
         return turn
 
     def delay(self, own_name: str, claim: Claim | None = None) -> float:
         """The seconds until the first write."""
         turn = self.turn(own_name, claim)
-        turn.begin(JUDGES, NOW)
-        steps = (step for step in range(2000) if turn.is_due(NOW + step * 0.01))
+        turn.schedule_first_write(JUDGES, NOW)
+        steps = (step for step in range(2000) if turn.may_write(NOW + step * 0.01))
         return next(steps) * 0.01
 
     def test_without_a_claim_the_judges_go_by_rank(self) -> None:
         for rank, name in enumerate((*JUDGES, "outsider")):
-            self.assertAlmostEqual(self.delay(name), rank * CLAIM_STEP_SECONDS, msg=name)
+            self.assertAlmostEqual(self.delay(name), rank * CLAIM_RANK_DELAY_SECONDS, msg=name)
 
     def test_the_last_holder_goes_first(self) -> None:
         claim = Claim("c", "", 5)
         self.assertAlmostEqual(self.delay("c", claim), 0.0)
-        self.assertAlmostEqual(self.delay("a", claim), OTHER_HOLDER_SECONDS)
-        self.assertAlmostEqual(self.delay("b", claim), OTHER_HOLDER_SECONDS + CLAIM_STEP_SECONDS)
+        self.assertAlmostEqual(self.delay("a", claim), LAST_HOLDER_HEAD_START_SECONDS)
+        self.assertAlmostEqual(
+            self.delay("b", claim), LAST_HOLDER_HEAD_START_SECONDS + CLAIM_RANK_DELAY_SECONDS
+        )
 
     def test_a_last_holder_that_is_no_judge_any_more_is_not_waited_for(self) -> None:
         self.assertAlmostEqual(self.delay("a", Claim("gone", "", 5)), 0.0)
 
     def test_a_write_is_repeated_after_its_limit_and_sooner_after_a_refusal(self) -> None:
         turn = self.turn("a")
-        turn.begin(JUDGES, NOW)
-        turn.note_write(NOW)
-        self.assertFalse(turn.is_due(NOW + CLAIM_LIMIT_SECONDS - 0.01))
-        self.assertTrue(turn.is_due(NOW + CLAIM_LIMIT_SECONDS))
-        turn.note_refusal(NOW)
-        self.assertFalse(turn.is_due(NOW + CLAIM_AGAIN_SECONDS - 0.01))
-        self.assertTrue(turn.is_due(NOW + CLAIM_AGAIN_SECONDS))
+        turn.schedule_first_write(JUDGES, NOW)
+        turn.record_write(NOW)
+        self.assertFalse(turn.may_write(NOW + CLAIM_WRITE_TIMEOUT_SECONDS - 0.01))
+        self.assertTrue(turn.may_write(NOW + CLAIM_WRITE_TIMEOUT_SECONDS))
+        turn.record_refusal(NOW)
+        self.assertFalse(turn.may_write(NOW + CLAIM_RETRY_SECONDS - 0.01))
+        self.assertTrue(turn.may_write(NOW + CLAIM_RETRY_SECONDS))
 
     def test_an_earlier_own_claim_is_good_where_the_platform_fences(self) -> None:
         claim = Claim("a", "", 5)
-        self.assertEqual(self.turn("a", claim).held_fencing_token, 5)
-        self.assertEqual(self.turn("b", claim).held_fencing_token, 0)
-        self.assertEqual(self.turn("a", claim, Fencing.PROCESSES).held_fencing_token, 0)
+        self.assertEqual(self.turn("a", claim).usable_fencing_token, 5)
+        self.assertEqual(self.turn("b", claim).usable_fencing_token, 0)
+        self.assertEqual(self.turn("a", claim, Fencing.PROCESSES).usable_fencing_token, 0)
 
     def test_a_token_that_the_platform_refused_is_not_good_again(self) -> None:
         turn = self.turn("a", Claim("a", "", 5))
-        turn.spend(5)
-        self.assertEqual(turn.held_fencing_token, 0)
+        turn.on_token_refused(5)
+        self.assertEqual(turn.usable_fencing_token, 0)
 
     def test_another_holder_is_left_to_it_for_a_while_where_nothing_fences(self) -> None:
         claim = Claim("b", "p", 5, "")
         turn = self.turn("a", claim, Fencing.PROCESSES)
-        self.assertEqual(turn.holder_at_work("p", NOW), "b")
-        self.assertIsNone(turn.holder_at_work("other", NOW))
-        self.assertIsNone(turn.holder_at_work("p", NOW + FOLLOW_LIMIT_SECONDS))
-        self.assertIsNone(self.turn("b", claim, Fencing.PROCESSES).holder_at_work("p", NOW))
-        self.assertIsNone(self.turn("a", claim).holder_at_work("p", NOW))
+        self.assertEqual(turn.active_holder("p", NOW), "b")
+        self.assertIsNone(turn.active_holder("other", NOW))
+        self.assertIsNone(turn.active_holder("p", NOW + CLAIM_HOLDER_TIMEOUT_SECONDS))
+        self.assertIsNone(self.turn("b", claim, Fencing.PROCESSES).active_holder("p", NOW))
+        self.assertIsNone(self.turn("a", claim).active_holder("p", NOW))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -5,7 +5,8 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooler.failover.candidates import panel
-from dewledge.core.pooler.failover.group_failover import NONE_REGISTERED, GroupFailover
+from dewledge.core.pooler.failover.claim_maintenance import STABLE_JUDGES_SECONDS
+from dewledge.core.pooler.failover.group_failover import NO_REGISTERED_PROCESSES, GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
@@ -29,7 +30,6 @@
     Ticked,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
 from dewledge.core.shared.positions import LogPosition
 from tests.core.pooler.failover.test_phases import outside_table, undeclared
 
@@ -59,7 +59,7 @@
     def handle(
         self, event: FailoverEvent, members: Sequence[str] = MEMBERS
     ) -> Sequence[FailoverEffect]:
-        return self.take(event, members, NONE_REGISTERED)
+        return self.take(event, members, NO_REGISTERED_PROCESSES)
 
     def take(
         self, event: FailoverEvent, members: Sequence[str], registered: RegisteredProcesses
@@ -285,7 +285,7 @@
         writers = []
         for name in MEMBERS:
             failover = GroupFailover("menus", name, self.events.append)
-            for now in (self.now, self.now + SETTLED_SECONDS):
+            for now in (self.now, self.now + STABLE_JUDGES_SECONDS):
                 effects = failover.handle(Ticked(), self.view, MEMBERS, now)
                 writers += [name for effect in effects if isinstance(effect, WriteClaim)]
         self.assertEqual(len(writers), 1)
@@ -295,7 +295,7 @@
             (0.0, ["c"]),
             (0.1, ["b", "c"]),
             (0.2, MEMBERS),
-            (0.2 + 2 * SETTLED_SECONDS, MEMBERS),
+            (0.2 + 2 * STABLE_JUDGES_SECONDS, MEMBERS),
         )
         for name in MEMBERS[1:]:
             failover = GroupFailover("menus", name, self.events.append)
--- a/tests/core/pooler/failover/test_primary_lease.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -4,10 +4,10 @@
 
 from dewledge.core.pooler.failover.claim_acknowledgements import ClaimAcknowledgements, is_majority
 from dewledge.core.pooler.failover.claim_writing import (
+    maintenance_claim,
     order_claim,
     replacement_claim,
-    standing_claim,
-    withdrawn_claim,
+    withdrawal_claim,
 )
 from dewledge.core.pooler.failover.messages import Claim, RegisteredProcesses, WriteClaim
 from dewledge.core.pooler.failover.primary_lease import (
@@ -78,33 +78,33 @@
 
     def test_it_is_over_at_once_when_all_know(self) -> None:
         for name in VOTERS[:-1]:
-            self.acknowledgements.take(name, NOW)
+            self.acknowledgements.add(name, NOW)
         self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + 0.1))
         self.assertEqual(self.acknowledgements.missing(self.registered.names), ["e"])
-        self.acknowledgements.take("e", NOW)
+        self.acknowledgements.add("e", NOW)
         self.assertTrue(self.acknowledgements.is_over(self.registered, NOW + 0.1))
 
     def test_a_table_older_than_the_claim_may_lack_a_process(self) -> None:
         for name in VOTERS:
-            self.acknowledgements.take(name, NOW)
+            self.acknowledgements.add(name, NOW)
         older = RegisteredProcesses(self.registered.names, 6)
         self.assertFalse(self.acknowledgements.is_over(older, NOW + 0.1))
 
     def test_a_process_that_is_no_voter_is_waited_for_too(self) -> None:
         for name in VOTERS:
-            self.acknowledgements.take(name, NOW)
+            self.acknowledgements.add(name, NOW)
         more = RegisteredProcesses(frozenset((*VOTERS, "f")), 7)
         self.assertFalse(self.acknowledgements.is_over(more, NOW + 0.1))
 
     def test_with_a_majority_the_others_are_outwaited(self) -> None:
         for name in VOTERS[:3]:
-            self.acknowledgements.take(name, NOW + 0.2)
+            self.acknowledgements.add(name, NOW + 0.2)
         self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + LEASE_SECONDS))
         self.assertTrue(self.acknowledgements.is_over(self.registered, NOW + 0.2 + LEASE_SECONDS))
 
     def test_without_a_majority_it_is_never_over(self) -> None:
         for name in VOTERS[:2]:
-            self.acknowledgements.take(name, NOW)
+            self.acknowledgements.add(name, NOW)
         self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + 3600))
 
     def test_every_earlier_set_of_voters_counts(self) -> None:
@@ -112,9 +112,9 @@
             claim(7, "", quorums=(VOTERS, ("x", "y", "z"))), NOW
         )
         for name in (*VOTERS, "x"):
-            acknowledgements.take(name, NOW)
+            acknowledgements.add(name, NOW)
         self.assertFalse(acknowledgements.is_over(RegisteredProcesses(), NOW + 3600))
-        acknowledgements.take("y", NOW)
+        acknowledgements.add("y", NOW)
         more = RegisteredProcesses(frozenset(("z",)), 7)
         self.assertTrue(acknowledgements.is_over(more, NOW + LEASE_SECONDS))
 
@@ -161,7 +161,7 @@
     def test_the_last_order_stays_noted(self) -> None:
         self.lease.take_claim(claim(7, "r", ordered="r"))
         self.assertEqual(replacement_claim(self.lease, VOTERS, "p", False).ordered, "r")
-        self.assertEqual(standing_claim(self.lease, VOTERS, False).ordered, "r")
+        self.assertEqual(maintenance_claim(self.lease, VOTERS, False).ordered, "r")
 
     def test_the_order_of_the_database_that_is_lost_now_is_over(self) -> None:
         self.lease.take_claim(claim(7, "r", ordered="r"))
@@ -169,21 +169,21 @@
 
     def test_where_nothing_was_ordered_the_old_primary_leads_on(self) -> None:
         self.lease.take_claim(claim(7, ""))
-        self.assertEqual(withdrawn_claim(self.lease, VOTERS, "p").leader, "p")
+        self.assertEqual(withdrawal_claim(self.lease, VOTERS, "p").leader, "p")
 
     def test_a_standing_claim_leaves_the_leader(self) -> None:
         for leader in (None, "", "p"):
             self.lease = PrimaryLease(Fencing.PROCESSES)
             self.lease.take_claim(claim(7, leader))
-            write = standing_claim(self.lease, VOTERS, False)
+            write = maintenance_claim(self.lease, VOTERS, False)
             self.assertEqual(write.leader, leader)
 
     def test_the_voters_of_earlier_claims_are_kept_until_all_is_settled(self) -> None:
         self.lease.take_claim(claim(7, quorums=(("x", "y"),)))
-        first = standing_claim(self.lease, ("a", "f"), False)
+        first = maintenance_claim(self.lease, ("a", "f"), False)
         self.assertEqual(first.voters, ("a", "f"))
         self.assertEqual(first.quorums, (VOTERS, ("x", "y")))
-        settled = standing_claim(self.lease, ("a", "f"), True)
+        settled = maintenance_claim(self.lease, ("a", "f"), True)
         self.assertEqual(settled.quorums, (VOTERS,))
 
 
--- a/tests/core/pooler/failover/test_reach_check.py
+++ b/tests/core/pooler/failover/test_reach_check.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.evidence import CHECK_LIMIT_SECONDS, LONE_CHECK_LIMIT_SECONDS
+from dewledge.core.pooler.failover.evidence import MAJORITY_DECISION_SECONDS, SOLE_DECISION_SECONDS
 from dewledge.core.pooler.failover.messages import (
     AskIndirectProbes,
     IndirectProbeReported,
@@ -12,9 +12,9 @@
 )
 from dewledge.core.pooler.failover.phases import PhaseEnd
 from dewledge.core.pooler.failover.reach_check import (
-    CHECK_AGAIN_SECONDS,
-    MOST_CHECK_LIMITS,
-    PROBES_AFTER_SECONDS,
+    CHECK_INTERVAL_SECONDS,
+    INDIRECT_PROBE_DELAY_SECONDS,
+    MAX_CHECK_DURATION_FACTOR,
     ReachCheck,
 )
 from dewledge.core.pooler.failover.situation import Step
@@ -26,15 +26,15 @@
 class ReachCheckTest(unittest.TestCase):
     def setUp(self) -> None:
         self.check = ReachCheck()
-        self.assertEqual(self.check.begin("p", NOW), [TestReach("p")])
+        self.assertEqual(self.check.start("p", NOW), [TestReach("p")])
 
     def judge(self, waited: float = 0.0, may_act_alone: bool = True) -> Step:
-        return self.check.judge(JUDGES, waited, may_act_alone)
+        return self.check.evaluate(JUDGES, waited, may_act_alone)
 
     def miss(self, *others: str) -> None:
-        self.check.take(ReachTested("p", False))
+        self.check.add_evidence(ReachTested("p", False))
         for name in others:
-            self.check.take(IndirectProbeReported(name, "p", False))
+            self.check.add_evidence(IndirectProbeReported(name, "p", False))
 
     def effects(self, step: Step) -> Sequence[object]:
         self.assertIsNone(step.end)
@@ -43,56 +43,56 @@
     def test_a_primary_that_is_reached_is_doubted_no_more(self) -> None:
         self.miss()
         self.judge()
-        self.assertEqual(self.check.doubted, "p")
-        self.check.take(ReachTested("p", True))
+        self.assertEqual(self.check.suspected, "p")
+        self.check.add_evidence(ReachTested("p", True))
         self.assertIs(self.judge().end, PhaseEnd.REACHABLE)
-        self.assertIsNone(self.check.doubted)
+        self.assertIsNone(self.check.suspected)
 
     def test_others_are_asked_once_at_a_miss_or_without_a_result(self) -> None:
-        self.assertEqual(self.effects(self.judge(PROBES_AFTER_SECONDS - 0.01)), [])
-        asked = self.effects(self.judge(PROBES_AFTER_SECONDS))
+        self.assertEqual(self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS - 0.01)), [])
+        asked = self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS))
         self.assertEqual(asked, [AskIndirectProbes("p")])
         self.miss()
-        self.assertEqual(self.effects(self.judge(PROBES_AFTER_SECONDS + 0.01)), [])
+        self.assertEqual(self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS + 0.01)), [])
 
     def test_one_that_another_process_reaches_is_kept_and_used_through_it(self) -> None:
         self.miss("b")
-        self.check.take(IndirectProbeReported("d", "p", True))
-        self.check.take(IndirectProbeReported("c", "p", True))
+        self.check.add_evidence(IndirectProbeReported("d", "p", True))
+        self.check.add_evidence(IndirectProbeReported("c", "p", True))
         step = self.judge()
         self.assertEqual((step.end, step.detail), (PhaseEnd.REACHED_BY_OTHER, "c"))
         self.assertEqual(self.check.reached_by, "c")
 
     def test_all_judges_decide_at_once_and_a_majority_after_a_while(self) -> None:
         self.miss("b", "c")
-        self.assertIsNone(self.judge(CHECK_LIMIT_SECONDS - 0.01).end)
-        self.assertIs(self.judge(CHECK_LIMIT_SECONDS).end, PhaseEnd.LOST)
+        self.assertIsNone(self.judge(MAJORITY_DECISION_SECONDS - 0.01).end)
+        self.assertIs(self.judge(MAJORITY_DECISION_SECONDS).end, PhaseEnd.LOST)
         self.miss("d")
         self.assertIs(self.judge().end, PhaseEnd.LOST)
 
     def test_half_of_the_judges_is_no_majority(self) -> None:
         self.miss("b")
-        self.assertIsNone(self.judge(LONE_CHECK_LIMIT_SECONDS, may_act_alone=False).end)
+        self.assertIsNone(self.judge(SOLE_DECISION_SECONDS, may_act_alone=False).end)
 
     def test_alone_it_decides_late_and_only_where_the_platform_fences(self) -> None:
         self.miss()
-        self.assertIsNone(self.judge(LONE_CHECK_LIMIT_SECONDS - 0.01).end)
-        self.assertIs(self.judge(LONE_CHECK_LIMIT_SECONDS).end, PhaseEnd.LOST)
-        self.assertIsNone(self.judge(LONE_CHECK_LIMIT_SECONDS, may_act_alone=False).end)
+        self.assertIsNone(self.judge(SOLE_DECISION_SECONDS - 0.01).end)
+        self.assertIs(self.judge(SOLE_DECISION_SECONDS).end, PhaseEnd.LOST)
+        self.assertIsNone(self.judge(SOLE_DECISION_SECONDS, may_act_alone=False).end)
 
     def test_a_check_without_a_decision_ends(self) -> None:
-        limit = CHECK_LIMIT_SECONDS * MOST_CHECK_LIMITS
+        limit = MAJORITY_DECISION_SECONDS * MAX_CHECK_DURATION_FACTOR
         self.assertIsNone(self.judge(limit - 0.01).end)
         self.assertIs(self.judge(limit).end, PhaseEnd.NOT_CONFIRMED)
 
     def test_results_on_another_database_do_not_count(self) -> None:
-        self.check.take(ReachTested("r1", False))
-        self.check.take(IndirectProbeReported("b", "r1", True))
+        self.check.add_evidence(ReachTested("r1", False))
+        self.check.add_evidence(IndirectProbeReported("b", "r1", True))
         self.assertEqual(self.effects(self.judge()), [])
 
     def test_checks_have_a_pause_between_them(self) -> None:
-        self.assertFalse(self.check.is_due(NOW + CHECK_AGAIN_SECONDS - 0.01))
-        self.assertTrue(self.check.is_due(NOW + CHECK_AGAIN_SECONDS))
+        self.assertFalse(self.check.may_start(NOW + CHECK_INTERVAL_SECONDS - 0.01))
+        self.assertTrue(self.check.may_start(NOW + CHECK_INTERVAL_SECONDS))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/failover/test_reach_limit.py
+++ b/tests/core/pooler/failover/test_reach_limit.py
@@ -2,17 +2,21 @@
 
 import unittest
 
-from dewledge.core.pooler.failover.reach_limit import LEAST_SECONDS, MOST_SECONDS, ReachLimit
+from dewledge.core.pooler.failover.reach_limit import (
+    MAX_TIMEOUT_SECONDS,
+    MIN_TIMEOUT_SECONDS,
+    ReachLimit,
+)
 
 
 class ReachLimitTest(unittest.TestCase):
     def test_what_was_observed_decides_within_bounds(self) -> None:
         cases = (
-            ("nothing yet", [], MOST_SECONDS, MOST_SECONDS),
-            ("near ones", [0.001] * 30, LEAST_SECONDS, LEAST_SECONDS),
-            ("regions mixed", [0.001, 0.024] * 30, LEAST_SECONDS, LEAST_SECONDS),
+            ("nothing yet", [], MAX_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS),
+            ("near ones", [0.001] * 30, MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS),
+            ("regions mixed", [0.001, 0.024] * 30, MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS),
             ("far ones", [0.18, 0.2] * 30, 0.2, 0.28),
-            ("very slow ones", [0.5] * 30, MOST_SECONDS, MOST_SECONDS),
+            ("very slow ones", [0.5] * 30, MAX_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS),
         )
         for name, observed, least, most in cases:
             with self.subTest(name):
