--- a/src/dewledge/core/pooler/failover/__init__.py
+++ b/src/dewledge/core/pooler/failover/__init__.py
@@ -1,12 +1,12 @@
-"""The replacement of a group's lost primary, and the lease under which a process uses a primary.
+"""Failover of a group's primary, and the lease under which a process uses a primary.
 
-- The rule of the lease: primary_lease. What adds to it: quorum_confirmation (keeps a lease while
-  the store is away), claim_acknowledgements and lease_release (when all leases on an old primary
-  ended).
-- Judgement, whether a primary is lost: loss_watch, reach_check with evidence, reach_limit.
-- Action: group_failover (the state machine) with the table in phases, claim_turn, claim_writing,
-  replacement with survey and candidates, standing_claim.
+- Lease: primary_lease decides who may use a primary. quorum_confirmation renews leases while the
+  store is unreachable; claim_acknowledgements and lease_release find out when all leases on an old
+  primary have ended.
+- Loss detection: loss_watch, reach_check with evidence, reach_limit.
+- Replacement: group_failover (the state machine) with its transitions in phases, claim_turn,
+  claim_writing, replacement with survey and candidates, claim_maintenance.
 - Values: messages, situation.
 
-No sockets, timers or threads: shell/pooler/failover drives it.
+The package opens no sockets and starts no timers or threads: shell/pooler/failover drives it.
 """
--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -1,7 +1,6 @@
-"""Which processes judge a group's primary, and which replica becomes the next one. Pure functions.
+"""Selects the processes that judge a group's primary, and the replica to promote. Pure functions.
 
-Inputs: names of processes; the group's databases as the store has them; statuses, at most as old as
-the survey under way. Decision: the judges by rank; the candidate. Reason: a replica that received
+The candidate is the replica with the highest received log position: promoting one that received
 less than another would lose acknowledged commits.
 """
 
@@ -13,14 +12,14 @@
 from dewledge.core.shared.positions import LogPosition
 
 MAX_JUDGES = 15
-"""Processes that judge a group's primary, at most: bounds the indirect probes of a check where
-there are hundreds of processes."""
+"""Processes: bounds the indirect probes of one check where there are hundreds of processes."""
 
 
 def panel(group: str, processes: Iterable[str]) -> Sequence[str]:
-    """Returns the processes that judge a group's primary and may replace it, in order of rank.
+    """Returns the judges of a group in order of rank.
 
-    Chosen by rendezvous hashing: the same on every process that knows the same members.
+    Judges decide whether the group's primary is lost, and may replace it.
+    Uses rendezvous hashing, so that all processes with the same list of processes agree.
     """
 
     def weight(name: str) -> tuple[int, str]:
@@ -30,7 +29,10 @@
 
 
 def eligible_databases(view: GroupView, replaced: str, refused: frozenset[str]) -> Sequence[str]:
-    """Returns the databases that may become primary: in service, and not the replaced one."""
+    """Returns the databases that may become primary.
+
+    Excludes draining databases, the replaced primary and the `refused` candidates.
+    """
     return sorted(
         record.id
         for record in view.databases.values()
@@ -39,9 +41,9 @@
 
 
 def choose_candidate(names: Sequence[str], statuses: Mapping[str, DatabaseStatus]) -> str | None:
-    """Returns the database that received most; among equals the last by name.
+    """Returns the database with the highest received log position; on a tie, the last by name.
 
-    One whose state is not known is chosen only if none is known: what it has received may be less.
+    A database without a status is returned only if none has one: it may have received less.
     """
     if not names:
         return None
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -1,10 +1,10 @@
-"""When one process may write the claim to replace a primary, and under which claim it acts already.
+"""Decides when a process may write its claim to replace a primary.
 
-Inputs: the newest claim known and when it was seen, the processes that judge the group in order of
-rank, refusals of the store. Decision: the moment of the next write; whether another process is left
-to replace the primary; the fencing token of an earlier own claim that is good enough. Reason: two
-processes that write together cost a conflict at the store and a second replacement, so processes
-take turns by rank; the conditional write lets one through whatever they decide here.
+Processes write in order of rank, the last claim holder first: two simultaneous writes cost a
+conflict at the store and a second replacement attempt. Correctness does not depend on this order,
+since the store's conditional write accepts only one of them. The module also decides whether to
+wait for another process that is replacing the primary, and whether an earlier claim of this process
+can be reused.
 """
 
 from collections.abc import Sequence
@@ -12,23 +12,23 @@
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, Fencing, PrimaryLease
 
 CLAIM_RETRY_SECONDS = 0.3
-"""Seconds until a claim that the store refused is written again."""
+"""Seconds before a claim that the store refused is written again."""
 CLAIM_WRITE_TIMEOUT_SECONDS = 1.5
-"""Seconds until a claim whose write brought no answer is written again: longer than a call to the
-store may take (CALL_LIMIT_SECONDS, 1 s)."""
+"""Seconds before a claim whose write got no answer is written again: longer than the timeout of a
+call to the store (CALL_LIMIT_SECONDS, 1 s)."""
 CLAIM_HOLDER_TIMEOUT_SECONDS = 3.0
-"""Seconds that the holder of a claim has before another process acts: what a holder that is killed
-or frozen costs (docs/design/primary-lease.md, the cases)."""
+"""Seconds that a claim holder has before another process acts: the delay that a killed or frozen
+holder adds to a failover (docs/design/primary-lease.md, the cases)."""
 CLAIM_RANK_DELAY_SECONDS = 0.08
-"""Seconds between the writes of two processes next to each other in rank, so that the second can
-see the claim of the first before it writes."""
+"""Seconds between the writes of two processes with consecutive ranks, so that the second can learn
+of the first one's claim before it writes."""
 LAST_HOLDER_HEAD_START_SECONDS = 0.5
-"""Seconds that the last holder of the claim has before others while it is a judge: turns between
-holders stay rare."""
+"""Seconds that other processes wait for the last claim holder while it is a judge, so that the
+holder rarely changes."""
 
 
 class ClaimTurn:
-    """The turns of one process at the claim on one group."""
+    """Schedules one process's writes of the claim on one group."""
 
     def __init__(self, local_name: str, lease: PrimaryLease) -> None:
         self._local_name = local_name
@@ -36,22 +36,25 @@
         self._claim_learned_at = LONG_AGO
         self._next_write_at = 0.0
         self._refused_fencing_token = 0
-        """A token that the platform refused; this process acts again only under a later one."""
+        """Last token that the platform refused; this process acts again only under a newer one."""
 
     @property
     def _is_unfenced(self) -> bool:
         return self._lease.fencing is Fencing.PROCESSES
 
     def on_newer_claim(self, now: float) -> None:
-        """The newest claim known is another one now."""
+        """Records when this process learned of the newest claim."""
         self._claim_learned_at = now
 
     def on_token_refused(self, fencing_token: int) -> None:
-        """The platform refused a fencing token."""
+        """Records that the platform refused a fencing token."""
         self._refused_fencing_token = fencing_token
 
     def active_holder(self, replaced: str, now: float) -> str | None:
-        """Returns the process that may be replacing the same primary just now, None for none."""
+        """Returns the other process that may be replacing the same primary now, None for none.
+
+        Always None where the platform fences: then no claim holder is waited for.
+        """
         claim = self._lease.claim
         if not self._is_unfenced or claim is None or claim.holder == self._local_name:
             return None
@@ -60,7 +63,7 @@
         return claim.holder if claim.replaced and claim.replaced == replaced else None
 
     def schedule_first_write(self, judges: Sequence[str], now: float) -> None:
-        """Sets the moment of the first write: by rank, and after the last holder."""
+        """Schedules the first write: by rank, and after the last claim holder's."""
         claim = self._lease.claim
         names = list(judges)
         rank = names.index(self._local_name) if self._local_name in names else len(names)
@@ -72,20 +75,23 @@
         self._next_write_at = now + delay
 
     def may_write(self, now: float) -> bool:
-        """Tells whether the claim may be written."""
+        """Returns whether the claim may be written now."""
         return now >= self._next_write_at
 
     def record_write(self, now: float) -> None:
-        """The claim is being written."""
+        """Records that the claim is being written; it may be written again after the timeout."""
         self._next_write_at = now + CLAIM_WRITE_TIMEOUT_SECONDS
 
     def record_refusal(self, now: float) -> None:
-        """The claim was not written, or it is not known whether it was."""
+        """Records that the store refused the claim or did not answer; schedules a retry."""
         self._next_write_at = now + CLAIM_RETRY_SECONDS
 
     @property
     def usable_fencing_token(self) -> int:
-        """Of an earlier own claim under which this process may act, 0 for none."""
+        """Fencing token of an earlier claim of this process that it can reuse, 0 for none.
+
+        Only where the platform fences: it refuses the token if a newer one exists.
+        """
         claim = self._lease.claim
         if self._is_unfenced or claim is None or claim.holder != self._local_name:
             return 0
--- a/src/dewledge/core/pooler/failover/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -1,8 +1,6 @@
-"""What a new claim row holds, worked out from the one before it. Pure functions.
+"""Builds each new claim row from the newest known claim. Pure functions.
 
-Inputs: the newest claim known, the judges of the group, the replaced and the chosen database.
-Decision: the fields of the row to write. Relies on the store's conditional write, which refuses a
-row that was worked out from an older one.
+Relies on the store's conditional write, which refuses a row that was built from an outdated claim.
 """
 
 from collections.abc import Sequence
@@ -11,15 +9,15 @@
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
 
 NO_LEADER = ""
-"""The leader of a claim under which no database may be used as primary."""
+"""Value of `Claim.leader` when no database may be used as primary."""
 
 
 def maintenance_claim(
     lease: PrimaryLease, voters: Sequence[str], drops_earlier_voters: bool
 ) -> WriteClaim:
-    """Returns the claim that changes nothing but the voters.
+    """Returns a claim that replaces no primary and only updates the voters.
 
-    is_settled: no voter confirms claims before the newest one any more.
+    drops_earlier_voters: whether no voter can still confirm claims older than the newest one.
     """
     leader = None if lease.claim is None else lease.claim.leader
     return _next_claim(lease, voters, "", leader, drops_earlier_voters=drops_earlier_voters)
@@ -28,7 +26,10 @@
 def replacement_claim(
     lease: PrimaryLease, voters: Sequence[str], replaced: str, still_serves: bool
 ) -> WriteClaim:
-    """Returns the claim to replace a primary. serves_on: it may be used until the order."""
+    """Returns the claim to replace a primary.
+
+    still_serves: whether the old primary may be used until the promotion is ordered.
+    """
     if not still_serves:
         return _next_claim(lease, voters, replaced, NO_LEADER)
     leader = None if lease.claim is None else lease.claim.leader
@@ -38,17 +39,20 @@
 def order_claim(
     lease: PrimaryLease, voters: Sequence[str], replaced: str, ordered: str
 ) -> WriteClaim:
-    """Returns the claim under which the promotion of `ordered` is ordered."""
+    """Returns the claim that names `ordered` as the only leader before its promotion."""
     return _next_claim(lease, voters, replaced, ordered, ordered)
 
 
 def withdrawal_claim(lease: PrimaryLease, voters: Sequence[str], primary: str) -> WriteClaim:
-    """Returns the claim after a replacement without an order: `kept` stays primary."""
+    """Returns the claim that ends a replacement before any promotion: `primary` stays primary."""
     return _next_claim(lease, voters, "", primary, primary)
 
 
 def last_order(lease: PrimaryLease, replaced: str) -> str:
-    """Returns the database whose promotion was ordered last, "" for none or the replaced one."""
+    """Returns the database whose promotion was ordered last.
+
+    Returns "" if there was no order, or if the ordered database is the one now being replaced.
+    """
     claim = lease.claim
     return "" if claim is None or claim.ordered == replaced else claim.ordered
 
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -1,7 +1,6 @@
-"""The evidence of one check of a primary: the own test of its address, and the answers of others.
+"""Evidence of one reachability check: the local test of an address and other processes' results.
 
-Inputs: results of tests since the check began. Decision: whether enough processes miss the
-database to take it for lost. Used by reach_check.py only.
+Decides whether enough judges cannot reach the database to consider it lost. Used by reach_check.py.
 """
 
 from collections.abc import Sequence
@@ -9,15 +8,15 @@
 from dewledge.core.pooler.failover.messages import IndirectProbeReported, ReachTested
 
 MAJORITY_DECISION_SECONDS = 0.45
-"""Seconds from the start of a check until a majority of the judges decides without the others: two
-tests of 0.3 s at most, the second begun 0.1 s after the first, and a datagram each way."""
+"""Seconds from the start of a check until a majority of the judges is enough: two tests of at most
+0.3 s, the second started 0.1 s after the first, and a datagram each way."""
 SOLE_DECISION_SECONDS = 2.5
-"""Seconds until the own test decides alone, where the platform fences: no majority answers after
-many processes died."""
+"""Seconds until the local test is enough, where the platform fences: after many processes died, no
+majority can answer."""
 
 
 class ReachEvidence:
-    """The evidence on one database."""
+    """Test results for one database, from this process and from other judges."""
 
     def __init__(self, database: str) -> None:
         self._database = database
@@ -25,7 +24,7 @@
         self._probe_results: dict[str, bool] = {}
 
     def add(self, event: ReachTested | IndirectProbeReported) -> None:
-        """Takes a test or an answer; one about another database is ignored."""
+        """Adds a test result; results for other databases are ignored."""
         if event.database != self._database:
             return
         if isinstance(event, ReachTested):
@@ -35,29 +34,31 @@
 
     @property
     def is_reached_locally(self) -> bool:
-        """Whether this process reaches the database."""
+        """Whether this process can reach the database."""
         return self._local_test is not None and self._local_test.reachable
 
     @property
     def is_missed_locally(self) -> bool:
-        """Whether this process has tried and does not reach it."""
+        """Whether this process has tested the database and cannot reach it."""
         return self._local_test is not None and not self._local_test.reachable
 
     @property
     def reached_by(self) -> Sequence[str]:
-        """The processes that reach it, by name."""
+        """Names of the other processes that can reach the database, sorted."""
         return sorted(name for name, reaches in self._probe_results.items() if reaches)
 
     def is_loss_confirmed(
         self, judges: Sequence[str], elapsed: float, may_decide_alone: bool = True
     ) -> bool:
-        """Tells whether enough processes miss the database. `waited`: since the check began.
+        """Returns whether enough judges cannot reach the database.
 
-        may_act_alone: whether the own test is enough after LONE_CHECK_LIMIT_SECONDS.
+        Counts this process among them, so the result is valid only if `is_missed_locally`.
+        elapsed: seconds since the check began.
+        may_decide_alone: whether the local test is enough after SOLE_DECISION_SECONDS.
         """
-        against = 1 + sum(not reaches for reaches in self._probe_results.values())
-        if against >= len(judges):
+        unreachable_count = 1 + sum(not reaches for reaches in self._probe_results.values())
+        if unreachable_count >= len(judges):
             return True
-        if elapsed >= MAJORITY_DECISION_SECONDS and against * 2 > len(judges):
+        if elapsed >= MAJORITY_DECISION_SECONDS and unreachable_count * 2 > len(judges):
             return True
         return may_decide_alone and elapsed >= SOLE_DECISION_SECONDS
