--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -1,15 +1,11 @@
-"""The failover of one group's primary, as one process takes part in it: the state machine.
+"""State machine of one process's part in the failover of one group's primary.
 
-Inputs: events (tests, answers, claims, statuses, ticks), the group and the processes as known now
-(situation.py). Decision: effects, and the next phase by the table of phases.py. Owns the phase.
+Turns events (test results, claims, statuses, ticks) into effects, and moves between phases by the
+table in phases.py. loss_watch.py and reach_check.py decide whether the primary is lost,
+replacement.py replaces it, and claim_maintenance.py keeps the claim while the primary is healthy.
 
-Whether the primary is lost is judged elsewhere: loss_watch.py by what the group's view shows
-(the primary leaves, its entry is gone, no primary is known, the newest claim forbids it), and
-reach_check.py by tests of its address. What is done about a lost one is replacement.py's, and what
-is done while nothing is lost claim_maintenance.py's.
-
-Two processes may both decide to replace a primary. The conditional write of the claim lets one
-through, and the others follow it.
+Several processes may decide to replace the same primary. The store's conditional write accepts the
+claim of one of them, and the others follow that claim.
 """
 
 from collections.abc import Callable, Sequence
@@ -54,7 +50,7 @@
 
 
 class GroupFailover:
-    """The state machine of one group. `handle` takes an event and returns effects."""
+    """State machine of one group's failover: `handle` applies an event and returns effects."""
 
     def __init__(
         self,
@@ -63,7 +59,10 @@
         record: Callable[[PhaseChanged], None],
         lease: PrimaryLease | None = None,
     ) -> None:
-        """`lease`: shared with those who use the primary; by default the platform fences."""
+        """lease: shared with the code that uses the primary; by default the platform fences.
+
+        record: called with each change of phase.
+        """
         self._group = group
         self._local_name = local_name
         self._record = record
@@ -80,12 +79,12 @@
 
     @property
     def doubted(self) -> str | None:
-        """The primary that this process does not reach, None for none."""
+        """Primary that this process cannot reach, None for none."""
         return self._reach_check.suspected
 
     @property
     def reached_by(self) -> str | None:
-        """The process through which the doubted primary is reached, None for none."""
+        """Process through which the suspected primary can be reached, None for none."""
         return self._reach_check.reached_by
 
     @property
@@ -100,7 +99,7 @@
         now: float,
         registered: RegisteredProcesses = NO_REGISTERED_PROCESSES,
     ) -> Sequence[FailoverEffect]:
-        """Takes an event; for the others see Situation."""
+        """Applies an event and returns the effects; the other parameters are those of Situation."""
         situation = Situation(view, members, registered, now)
         self._apply_event(event, now)
         effects: list[FailoverEffect] = []
@@ -111,7 +110,7 @@
         effects += self._advance(situation)
         return effects
 
-    # Taking events.
+    # Applying events.
 
     def _apply_event(self, event: FailoverEvent, now: float) -> None:
         if isinstance(event, ReachTested | IndirectProbeReported):
@@ -168,7 +167,7 @@
         return self._continue_following(situation.now)
 
     def _is_finished(self, view: GroupView) -> bool:
-        """Tells whether the group has a primary that needs no replacement."""
+        """Returns whether the failover can end, with a primary that needs no replacement."""
         primary = view.primary
         if self.phase is Phase.STEADY or primary is None or primary.draining:
             return False
@@ -183,7 +182,7 @@
         view, now = situation.view, situation.now
         loss = self._loss_watch.find_loss(view, now)
         if loss is not None:
-            self._start_replacement(loss, now)
+            self._prepare_replacement(loss, now)
             self._start_claim(situation)
             return []
         primary = view.primary
@@ -196,7 +195,7 @@
             return self._start_check(primary.id, now)
         return self._claim_maintenance.maintain(situation)
 
-    def _start_replacement(self, loss: Loss, now: float) -> None:
+    def _prepare_replacement(self, loss: Loss, now: float) -> None:
         self._loss = loss
         self._started_at = now
         self._replacement = PrimaryReplacement(self._local_name, self._lease, loss)
@@ -213,13 +212,13 @@
 
     def _start_check(self, database: str, now: float) -> Sequence[FailoverEffect]:
         effects = self._reach_check.start(database, now)
-        self._start_replacement(Loss(LossCause.UNREACHABLE, database), now)
+        self._prepare_replacement(Loss(LossCause.UNREACHABLE, database), now)
         self._end_phase(PhaseEnd.NO_ANSWER, now)
         return effects
 
     def _continue_check(self, situation: Situation) -> Sequence[FailoverEffect]:
-        waited = situation.now - self._phase_started_at
-        step = self._reach_check.evaluate(situation.members, waited, not self._is_unfenced)
+        elapsed = situation.now - self._phase_started_at
+        step = self._reach_check.evaluate(situation.members, elapsed, not self._is_unfenced)
         if step.end is PhaseEnd.LOST:
             self._start_claim(situation)
             return self._advance(situation)
@@ -246,15 +245,16 @@
             return []
         self._claim_turn.record_write(now)
         write = self._replacement.first_claim(situation)
-        held = self._claim_turn.usable_fencing_token
-        if not held:
+        usable_token = self._claim_turn.usable_fencing_token
+        if not usable_token:
             return [write]
-        # The last holder need not wait for the row, which tells the others to follow.
-        self._replacement.fencing_token = held
+        # The last holder acts under its earlier claim at once. It still writes the row, so that the
+        # other processes follow it.
+        self._replacement.fencing_token = usable_token
         self._end_phase(PhaseEnd.HELD_BEFORE, now)
         return [write, *self._continue_replacement(situation)]
 
-    # Replacing, or following the process that does.
+    # Replacing the primary, or following the process that replaces it.
 
     def _continue_replacement(self, situation: Situation) -> Sequence[FailoverEffect]:
         effects: list[FailoverEffect] = []
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -1,11 +1,8 @@
 """Ends the use of the old primary before a new one is promoted, where the platform does not fence.
 
-Adds to the lease's rule (primary_lease.py) what the holder of the claim does and waits for; it
-does not say who may use a primary now. Inputs: the own claims as they stand in the store,
-acknowledgements of processes, the old primary's answer to the request to step down. Decision: what
-to send to whom, and whether the use has ended. Reason: a primary that leaves answers, and its
-answer is proof at once; the pause for writes begins only then. For one that cannot be reached or
-does not answer, every process has to know a claim that forbids it, or its lease has to lapse.
+The claim holder asks a draining primary to step down: its answer proves at once that its use has
+ended, and writes pause only from then on. If the primary is unreachable or does not answer, every
+process must acknowledge a claim that forbids the primary, or let its lease on it expire.
 """
 
 from collections.abc import Sequence
@@ -23,34 +20,38 @@
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO
 
 CLAIM_SEND_INTERVAL_SECONDS = 0.1
-"""Seconds between two sendings of the claim to processes that have not acknowledged it: a datagram
-may be lost."""
+"""Seconds between sends of the claim to processes that have not acknowledged it: a datagram may be
+lost."""
 STEP_DOWN_INTERVAL_SECONDS = 0.2
-"""Seconds between two requests to step down to one database."""
+"""Seconds between requests to the same database to step down."""
 STEP_DOWN_TIMEOUT_SECONDS = 1.0
-"""Seconds that the old primary has to step down; after that its leases have to end."""
+"""Seconds that the old primary has to step down; after that, the leases on it have to end."""
 
 
 class LeaseRelease:
-    """The release of one primary, in one failover."""
+    """Ends the leases on one primary during one failover."""
 
     def __init__(self, local_name: str, replaced: str, may_step_down: bool) -> None:
-        """`may_step_down`: whether the old primary is expected to answer."""
+        """may_step_down: whether the old primary is expected to answer a request to step down."""
         self._local_name = local_name
         self._replaced = replaced
         self._may_step_down = may_step_down
         self._first_claim: ClaimAcknowledgements | None = None
-        """Of the first own claim: who knows it has each read prove the lead, or uses none."""
+        """Acknowledgements of this process's first claim.
+
+        A process that knows that claim makes each read prove that the old primary still leads, or
+        does not use it at all.
+        """
         self._first_ban: ClaimAcknowledgements | None = None
-        """Of the first own claim under which the old primary may not be used."""
+        """Acknowledgements of this process's first claim that forbids the old primary."""
         self._claim_sent_at = LONG_AGO
         self._step_down_sent_at = LONG_AGO
         self._first_step_down_sent_at: float | None = None
         self.final_status: DatabaseStatus | None = None
-        """What the old primary held when it had stepped down."""
+        """Status of the old primary after it stepped down, None before."""
 
     def on_claim_stored(self, claim: Claim, now: float) -> None:
-        """The own claim stands in the store."""
+        """Starts to count acknowledgements of a claim of this process that the store holds."""
         if self._first_claim is None:
             self._first_claim = self._start_acknowledgements(claim, now)
         if self._first_ban is None and not claim.allows(self._replaced):
@@ -65,18 +66,18 @@
         return acknowledgements
 
     def on_answer(self, event: ClaimKnown | SteppedDown, now: float) -> None:
-        """Takes an acknowledgement of a process, or the old primary's answer."""
+        """Applies an acknowledgement, or the old primary's answer to a step-down request."""
         if isinstance(event, SteppedDown):
             is_down = event.status is not None and not event.status.is_primary
             if event.database == self._replaced and is_down:
                 self.final_status = event.status
             return
-        for known in (self._first_claim, self._first_ban):
-            if known is not None and event.fencing_token >= known.claim.fencing_token:
-                known.add(event.process, now)
+        for pending in (self._first_claim, self._first_ban):
+            if pending is not None and event.fencing_token >= pending.claim.fencing_token:
+                pending.add(event.process, now)
 
     def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
-        """Returns to whom the claim is to be sent, again until all have acknowledged it."""
+        """Returns the next send of the claim to all processes that have not acknowledged it."""
         acknowledgements = self._first_ban or self._first_claim
         if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
@@ -87,10 +88,9 @@
     def step_down_requests(
         self, term: int, registered: RegisteredProcesses, now: float
     ) -> Sequence[StepDown]:
-        """Returns the request to the old primary to step down, none any more after a second.
+        """Returns the request to the old primary to step down, until STEP_DOWN_TIMEOUT_SECONDS.
 
-        It is sent once all processes know that the primary leaves: it serves until then, and
-        single reads afterwards.
+        The first request waits until every process knows that the primary is being replaced.
         """
         if not self._may_step_down or self.final_status is not None:
             return []
@@ -107,7 +107,7 @@
         return [StepDown(self._replaced, term)]
 
     def is_complete(self, registered: RegisteredProcesses, now: float) -> bool:
-        """Tells whether no process uses the old primary any more."""
+        """Returns whether no process can still use the old primary."""
         if self.final_status is not None:
             return True
         if self._may_step_down or self._first_ban is None:
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -1,11 +1,10 @@
-"""Judges by a group's view whether its primary is to be replaced, without any test of its address.
+"""Detects from a group's view, without a connection test, that its primary has to be replaced.
 
-Inputs: the group's view (the store's table, as old as its last feed), the newest claim known, the
-seconds since each was first so. Decision: the loss to act upon. The primary leaves and a successor
-is there (draining); its entry has been gone for ENTRY_GONE_SECONDS (entry_gone); no primary has
-been known for NONE_KNOWN_SECONDS (none_known); the newest claim has forbidden the primary for
-UNFINISHED_SECONDS and brought no other (unfinished). Reason: these need no test of the primary.
-One that merely does not answer is judged by reach_check.py.
+The causes are: the primary is draining and a successor is available (draining); its entry has been
+missing for REMOVED_ENTRY_TIMEOUT_SECONDS (entry_gone); no primary has been known for
+NO_PRIMARY_TIMEOUT_SECONDS (none_known); the newest claim has forbidden the primary for
+UNFINISHED_CLAIM_TIMEOUT_SECONDS without leading to another one (unfinished). A primary that only
+does not answer is handled by reach_check.py.
 """
 
 import msgspec
@@ -16,27 +15,28 @@
 from dewledge.core.pooler.failover.primary_lease import PrimaryLease
 
 REMOVED_ENTRY_TIMEOUT_SECONDS = 1.5
-"""Seconds since the primary's entry left the store's table until it is replaced; one that returns
-within them is kept."""
+"""Seconds from the removal of the primary's entry from the store's table to its replacement. If the
+entry returns in that time, the primary stays."""
 NO_PRIMARY_TIMEOUT_SECONDS = 2.5
-"""Seconds without any known primary until one is chosen; longer than ENTRY_GONE_SECONDS."""
+"""Seconds without a known primary before one is selected; longer than
+REMOVED_ENTRY_TIMEOUT_SECONDS."""
 CLAIMED_LEADER_DELAY_SECONDS = 1.0
-"""Seconds until the database that the newest claim names is tried as primary: it has said so itself
-by then if it can."""
+"""Seconds before the database that the newest claim names is tried as primary: a database that can
+report its role has done so in that time."""
 UNFINISHED_CLAIM_TIMEOUT_SECONDS = 3.0
-"""Seconds that a claim may be without effect before its holder is taken for lost; as long as
-FOLLOW_LIMIT_SECONDS of claim_turn.py."""
+"""Seconds that a claim may have no effect before its holder is considered lost; the same as
+CLAIM_HOLDER_TIMEOUT_SECONDS of claim_turn.py."""
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """Why a primary is to be replaced, and which; no name where none is known."""
+    """Why a primary has to be replaced. `replaced`: its name, empty if no primary is known."""
 
     cause: LossCause
     replaced: str
 
 
 class LossWatch:
-    """Remembers since when the view has shown no primary, or one that the claim forbids."""
+    """Tracks since when the view has had no primary, or one that the newest claim forbids."""
 
     def __init__(self, lease: PrimaryLease) -> None:
         self._lease = lease
@@ -44,7 +44,7 @@
         self._banned_since: float | None = None
 
     def find_loss(self, view: GroupView, now: float) -> Loss | None:
-        """Returns the loss to act upon now, None for none."""
+        """Returns the loss that requires a replacement now, None for none."""
         primary = view.primary
         if primary is None:
             return self._find_missing_primary(view, now)
@@ -54,16 +54,20 @@
         self._banned_since = None
         if not primary.draining:
             return None
-        gone = primary.id in view.departed
+        is_entry_removed = primary.id in view.departed
         since = view.draining_since.get(primary.id, now)
-        if gone and now < since + REMOVED_ENTRY_TIMEOUT_SECONDS:
+        if is_entry_removed and now < since + REMOVED_ENTRY_TIMEOUT_SECONDS:
             return None
         if not eligible_databases(view, primary.id, frozenset()):
             return None
-        return Loss(LossCause.ENTRY_GONE if gone else LossCause.DRAINING, primary.id)
+        return Loss(LossCause.ENTRY_GONE if is_entry_removed else LossCause.DRAINING, primary.id)
 
     def leader_to_try(self, view: GroupView, now: float) -> str | None:
-        """Returns the database that the newest claim names, once it is to be tried as primary."""
+        """Returns the leader named by the newest claim once it should be tried as primary, or None.
+
+        None while the claim allows the current primary, and if the named database already calls
+        itself primary.
+        """
         claim = self._lease.claim
         if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_DELAY_SECONDS:
             return None
@@ -81,7 +85,7 @@
         return Loss(LossCause.NONE_KNOWN, "")
 
     def _find_unfinished_claim(self, primary: str, now: float) -> Loss | None:
-        """The newest claim does not allow the primary and has brought no other."""
+        """Returns the loss if the newest claim has forbidden the primary for too long."""
         if self._banned_since is None:
             self._banned_since = now
         if now < self._banned_since + UNFINISHED_CLAIM_TIMEOUT_SECONDS:
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -1,8 +1,8 @@
-"""Values of a failover: the lock row, events for the state machine, effects that it asks for.
+"""Values of a failover: the claim row, events for the state machine, and the effects it requests.
 
-All immutable. Claim is in datagrams, and its fields but the fencing token in the store's rows;
-PhaseChanged is in the log: the names of their fields are forms that other releases read. The other
-values stay within the process.
+All are immutable. Other releases read the field names of Claim and PhaseChanged: Claim is sent in
+datagrams and, without its fencing token, stored in rows; PhaseChanged is written to the log. The
+other values stay within the process.
 """
 
 import math
@@ -14,7 +14,7 @@
 
 
 class DatabaseStatus(msgspec.Struct, frozen=True):
-    """What a database reports: its role, its term and the last position that it received."""
+    """State that a database reports: its role, its term and the last log position it received."""
 
     is_primary: bool
     term: int
@@ -22,14 +22,15 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """The lock row by which one process at a time may replace a group's primary.
-
-    fencing_token: the store's version of the row, which rises with each claim; `token` in a notice.
-    leader: the only database that may be used as primary, empty for none; None for any, as long
-    as none was ever promoted.
-    voters: the processes of which a majority confirms that no newer claim exists.
-    quorums: voters of earlier claims that may still confirm those, a set for each.
-    ordered: the database whose promotion was ordered last: it leads, or may begin to at any moment.
+    """Lock row of a group: its holder is the only process that may replace the group's primary.
+
+    replaced: the primary that the holder replaces, empty if it replaces none.
+    fencing_token: the store's version of the row, higher for each new claim; encoded as `token`.
+    leader: the only database that may be used as primary, empty for none; None allows any and is
+    used until the first promotion.
+    voters: the processes of which a majority can confirm that no newer claim exists.
+    quorums: sets of voters of earlier claims that may still confirm those claims.
+    ordered: the database whose promotion was ordered last; it leads, or may start to at any time.
     """
 
     holder: str
@@ -41,32 +42,32 @@
     ordered: str = ""
 
     def allows(self, database_id: str) -> bool:
-        """Tells whether a database may be used as primary."""
+        """Returns whether a database may be used as primary."""
         return self.leader is None or (database_id != "" and self.leader == database_id)
 
 
 class RegisteredProcesses(msgspec.Struct, frozen=True):
-    """All processes with a row in the store, as known at a version of the store."""
+    """Names of all processes with a row in the store, read at `version` of the store."""
 
     names: frozenset[str] = frozenset()
     version: int = 0
 
 
 class PrimaryDoubted(msgspec.Struct, frozen=True):
-    """A statement to the primary got no answer, or no connection could be opened."""
+    """A statement to the primary got no answer, or no connection to it could be opened."""
 
     database: str
 
 
 class ReachTested(msgspec.Struct, frozen=True):
-    """The own test of a database's address ended."""
+    """This process finished a test connection to a database."""
 
     database: str
     reachable: bool
 
 
 class IndirectProbeReported(msgspec.Struct, frozen=True):
-    """Another process answered whether it reaches a database."""
+    """Another process reported whether it can reach a database."""
 
     process: str
     database: str
@@ -74,38 +75,38 @@
 
 
 class ClaimSeen(msgspec.Struct, frozen=True):
-    """The claim row as the store has it now."""
+    """A claim was read from the store or received from another process."""
 
     claim: Claim
 
 
 class ClaimRefused(msgspec.Struct, frozen=True):
-    """The store did not take the own claim, or gave no answer."""
+    """The store refused this process's claim, or did not answer."""
 
 
 class StatusRead(msgspec.Struct, frozen=True):
-    """A database answered what it has received; None if it did not."""
+    """A database answered a status request; `status` is None if it did not answer."""
 
     database: str
     status: DatabaseStatus | None
 
 
 class SteppedDown(msgspec.Struct, frozen=True):
-    """A database answered the request to step down; None if it did not."""
+    """A database answered a request to step down; `status` is None if it did not answer."""
 
     database: str
     status: DatabaseStatus | None
 
 
 class ClaimKnown(msgspec.Struct, frozen=True):
-    """A process acknowledged a claim: it uses no database as primary that the claim forbids."""
+    """A process acknowledged a claim: it uses only databases that the claim allows as primary."""
 
     process: str
     fencing_token: int
 
 
 class PromotionAnswered(msgspec.Struct, frozen=True):
-    """The platform's answer to a promotion."""
+    """The platform answered a promotion request. fenced: it refused the fencing token."""
 
     database: str
     accepted: bool
@@ -113,7 +114,7 @@
 
 
 class Ticked(msgspec.Struct, frozen=True):
-    """Time has passed, or the view of the group has changed."""
+    """Time passed, or the view of the group changed."""
 
 
 FailoverEvent = (
@@ -131,19 +132,19 @@
 
 
 class TestReach(msgspec.Struct, frozen=True):
-    """Test whether a database's address takes connections."""
+    """Open a test connection to a database."""
 
     database: str
 
 
 class AskIndirectProbes(msgspec.Struct, frozen=True):
-    """Ask the other judges whether they reach a database: an indirect probe."""
+    """Ask the other judges whether they can reach a database (indirect probe)."""
 
     database: str
 
 
 class WriteClaim(msgspec.Struct, frozen=True):
-    """Write the claim row if it still has the version `expected`. Other fields as in Claim."""
+    """Write the claim row if its version is still `expected`. The other fields are Claim's."""
 
     replaced: str
     expected: int
@@ -154,37 +155,37 @@
 
 
 class SendClaim(msgspec.Struct, frozen=True):
-    """Send the newest claim to these processes, which acknowledge it."""
+    """Send the newest claim to these processes for acknowledgement."""
 
     processes: tuple[str, ...]
 
 
 class TryLeader(msgspec.Struct, frozen=True):
-    """Take a database for the primary: the newest claim names it, though it has not said so yet.
+    """Use a database as primary because the newest claim names it, before it reports that role.
 
-    A hint only: whoever uses it still gets proof of the lead with each statement.
+    Only a hint: each statement still requires proof that the database leads.
     """
 
     database: str
 
 
 class StepDown(msgspec.Struct, frozen=True):
-    """Ask a primary of a lower term than `term` to step down."""
+    """Ask a primary whose term is lower than `term` to step down."""
 
     database: str
     term: int
 
 
 class ReadStatus(msgspec.Struct, frozen=True):
-    """Ask a database what it has received."""
+    """Ask a database for its status."""
 
     database: str
 
 
 class Promote(msgspec.Struct, frozen=True):
-    """Ask the platform to make a database the primary.
+    """Ask the platform to promote a database.
 
-    not_after: the call must not leave later than this (steady clock, seconds).
+    not_after: latest time at which the request may be sent (steady clock, seconds).
     """
 
     database: str
@@ -193,9 +194,9 @@
 
 
 class AnnounceLeader(msgspec.Struct, frozen=True):
-    """Tell every process that a database is the primary now.
+    """Notify all processes that a database is the primary now.
 
-    A hint only: whoever uses it still gets proof of the lead with each statement.
+    Only a hint: each statement still requires proof that the database leads.
     """
 
     database: str
@@ -215,7 +216,7 @@
 
 
 class Phase(StrEnum):
-    """Where the failover of a group stands; phases.py has what leads from one to the next."""
+    """Phase of a group's failover; phases.py defines the transitions."""
 
     STEADY = "steady"
     CHECKING = "checking"
@@ -227,7 +228,7 @@
 
 
 class LossCause(StrEnum):
-    """Why the primary is replaced."""
+    """Why a primary is replaced; loss_watch.py and reach_check.py define each cause."""
 
     UNREACHABLE = "unreachable"
     DRAINING = "draining"
@@ -237,7 +238,7 @@
 
 
 class PhaseChanged(msgspec.Struct, frozen=True):
-    """The failover of a group entered another phase; for the log."""
+    """Log record: the failover of a group entered another phase."""
 
     group: str
     database: str
--- a/src/dewledge/core/pooler/failover/phases.py
+++ b/src/dewledge/core/pooler/failover/phases.py
@@ -1,7 +1,7 @@
-"""The phases of a failover as a table: what ends a phase, which phase follows, what is asked for.
+"""Transition table of the failover phases, and the effects allowed in each phase. Pure data.
 
-Inputs: the phase and what happened, decided by group_failover.py and replacement.py. Decision: the
-next phase. Owns the `reason` of the log record `phase_changed`. Pure data.
+group_failover.py and replacement.py decide which event ends a phase; the table gives the next phase
+and the `reason` of the log record `phase_changed`.
 """
 
 from collections.abc import Mapping
@@ -25,52 +25,55 @@
 
 
 class PhaseEnd(Enum):
-    """What ends a phase. Where a detail follows, it completes the reason in the log."""
+    """Event that ends a phase. A detail, where there is one, is appended to the reason logged."""
 
     NO_ANSWER = auto()
-    """A statement to the primary got no answer, or a doubted primary is due to be tested again."""
+    """A statement to the primary got no answer, or a suspected primary is tested again."""
     REACHABLE = auto()
-    """This process reaches the primary after all."""
+    """This process can reach the primary."""
     REACHED_BY_OTHER = auto()
-    """Another process reaches the primary. Detail: its name."""
+    """Another process can reach the primary. Detail: the name of that process."""
     NOT_CONFIRMED = auto()
-    """The check took too long: answers were lost."""
+    """The check timed out without a decision, because answers were lost."""
     LOST = auto()
-    """The primary is to be replaced. Detail: the LossCause."""
+    """The primary has to be replaced. Detail: the LossCause."""
     CLAIMED_BY_OTHER = auto()
-    """Another process holds a claim to replace this primary. Detail: its name."""
+    """Another process holds a claim to replace this primary. Detail: the name of that process."""
     OVERTAKEN_BY_OTHER = auto()
-    """Another process wrote a newer claim that replaces nothing. Detail: its name."""
+    """Another process wrote a newer claim that replaces no primary. Detail: its name."""
     CLAIMED = auto()
-    """The own claim stands in the store."""
+    """The store holds this process's claim."""
     HELD_BEFORE = auto()
-    """The newest claim is an earlier one of this process, under which it may act."""
+    """The newest claim is an earlier claim of this process, under which it may act."""
     CHOSEN = auto()
-    """A candidate is chosen, and the platform takes the lead from the old primary."""
+    """A candidate is selected, and the platform fences the old primary."""
     CHOSEN_OLD_IN_USE = auto()
-    """A candidate is chosen, and the processes have to stop using the old primary first."""
+    """A candidate is selected, and the processes have to stop using the old primary first."""
     NO_CANDIDATE = auto()
-    """No database could be chosen in time."""
+    """No candidate was found in time."""
     RELEASED = auto()
-    """No process uses the old primary any more, and the candidate has received all it held."""
+    """No process can still use the old primary, and the candidate has received its log."""
     NOT_RELEASED = auto()
-    """A process may still use the old primary after the time for a promotion."""
+    """The phase timed out while a process might still use the old primary."""
     CANDIDATE_REFUSED = auto()
-    """The platform did not promote the first candidate."""
+    """The platform refused to promote the first candidate."""
     TOKEN_REFUSED = auto()
     """The platform refused a second candidate under the same fencing token."""
     TOKEN_TOO_OLD = auto()
     """The platform refused a fencing token, and a newer claim is known."""
     PROMOTION_WITHOUT_EFFECT = auto()
-    """No new primary within the time for a promotion."""
+    """The promotion timed out without a new primary."""
     HOLDER_WITHOUT_EFFECT = auto()
-    """No new primary within the time that the holder of the claim is given."""
+    """The other claim holder's time ran out without a new primary."""
     NEW_PRIMARY = auto()
     """The group has a primary that needs no replacement."""
 
 
 class Transition(msgspec.Struct, frozen=True):
-    """during: the phases that it may end. reason: in the log, completed by the detail."""
+    """Next phase after a PhaseEnd.
+
+    during: the phases that this transition may end. reason: prefix of the reason logged.
+    """
 
     during: frozenset[Phase]
     next_phase: Phase
@@ -82,7 +85,7 @@
 HOLDING = REPLACING | {Phase.CLAIMING}
 """This process holds the claim or is about to write it."""
 ACTING = HOLDING | {Phase.CHECKING}
-"""This process judges or replaces the primary."""
+"""This process checks or replaces the primary."""
 NOT_STEADY = ACTING | {Phase.FOLLOWING}
 """A failover is under way, here or at another process."""
 
@@ -128,5 +131,5 @@
     Phase.PROMOTING: (Promote, ReadStatus, AnnounceLeader),
     Phase.FOLLOWING: (),
 }
-"""What a process may ask for in a phase, its beginning and its end included. The tests of this
-folder hold the state machine to it."""
+"""Effects that a process may request in a phase, including those at its start and end. The tests
+check the state machine against this table."""
--- a/src/dewledge/core/pooler/failover/reach_check.py
+++ b/src/dewledge/core/pooler/failover/reach_check.py
@@ -1,10 +1,7 @@
-"""Judges whether a doubted primary is lost: nobody answers at its address.
+"""Decides whether a suspected primary is lost, from a local test and indirect probes.
 
-Inputs: the own test of the address and the answers of the processes asked (indirect probes), all of
-the check under way; the processes that judge this group; seconds since the check began. Decision:
-the primary is reachable, is reached by another process, is lost, or is not decided yet. Reason: a
-cut between this process and the primary is no loss, so a primary that any process reaches is kept,
-and is used through that process. What is done about a lost primary is replacement.py's.
+A network failure between this process and the primary is no loss: a primary that any judge can
+reach stays primary and is used through that judge. replacement.py replaces a lost primary.
 """
 
 from collections.abc import Sequence
@@ -22,34 +19,33 @@
 from dewledge.core.pooler.failover.situation import Step
 
 CHECK_INTERVAL_SECONDS = 0.4
-"""Seconds between the beginnings of two checks of one group."""
+"""Seconds between the starts of two checks of one group."""
 INDIRECT_PROBE_DELAY_SECONDS = 0.1
-"""Seconds without a result of the own test after which others are asked too."""
+"""Seconds without a result of the local test after which other judges are asked too."""
 MAX_CHECK_DURATION_FACTOR = 6
-"""Multiple of CHECK_LIMIT_SECONDS; a check that has not decided within so many times
-CHECK_LIMIT_SECONDS is given up, and begun anew at the next doubt: answers were lost, as days of
-tests/unfenced showed."""
+"""Multiple of MAJORITY_DECISION_SECONDS after which an undecided check ends, because answers were
+lost; a later suspicion starts a new check."""
 
 
 class ReachCheck:
-    """The checks of one group's primary by one process, one after the other."""
+    """One process's checks of one group's primary, at most one at a time."""
 
     def __init__(self) -> None:
         self.suspected: str | None = None
-        """The primary that this process does not reach, until a check or a new one ends that."""
+        """Primary that this process cannot reach; cleared when it is reached or replaced."""
         self.reached_by: str | None = None
-        """The process through which the doubted primary is reached."""
+        """Process through which the suspected primary can be reached."""
         self._database = ""
         self._evidence = ReachEvidence("")
         self._started_at = LONG_AGO
         self._has_requested_probes = False
 
     def may_start(self, now: float) -> bool:
-        """Tells whether the last check began long enough ago for another one."""
+        """Returns whether enough time has passed since the start of the last check."""
         return now >= self._started_at + CHECK_INTERVAL_SECONDS
 
     def start(self, database: str, now: float) -> Sequence[FailoverEffect]:
-        """Begins a check."""
+        """Starts a check; returns the local test to run."""
         self._database = database
         self._evidence = ReachEvidence(database)
         self._started_at = now
@@ -57,16 +53,19 @@
         return [TestReach(database)]
 
     def add_evidence(self, event: ReachTested | IndirectProbeReported) -> None:
-        """Takes a test or an answer."""
+        """Adds the result of the local test or of an indirect probe."""
         self._evidence.add(event)
 
     def clear_suspicion(self) -> None:
-        """The group has a primary without doubt."""
+        """Clears the suspicion: the group has a reachable primary."""
         self.suspected = None
         self.reached_by = None
 
     def evaluate(self, judges: Sequence[str], elapsed: float, may_decide_alone: bool) -> Step:
-        """Returns what the check has come to. `waited`: seconds since it began."""
+        """Returns the next effects of the check and, once it is decided, its result.
+
+        elapsed: seconds since the check started.
+        """
         evidence = self._evidence
         if evidence.is_reached_locally:
             self.clear_suspicion()
@@ -85,7 +84,7 @@
         return Step(effects)
 
     def _end_reached_by_other(self, processes: Sequence[str]) -> Step:
-        """Another process reaches the primary: it stays, and is reached through that one."""
+        """Ends the check: the primary stays and is used through a process that can reach it."""
         if not self._evidence.is_missed_locally:
             return Step()
         reached_by = self.reached_by if self.reached_by in processes else processes[0]
--- a/src/dewledge/core/pooler/failover/reach_limit.py
+++ b/src/dewledge/core/pooler/failover/reach_limit.py
@@ -1,34 +1,32 @@
-"""How long a database's address may take to accept a connection before it counts as missed.
+"""Timeout for test connections to databases, adapted to observed connection times.
 
-Inputs: seconds that accepted connections took, each weighed less as others follow. Decision: the
-timeout of a test, in seconds: their mean and four mean deviations, as for the retransmission timer
-of TCP (RFC 6298), within bounds. Reason: two tests in sequence delay the replacement of a lost
-primary by two timeouts. A machine that stands still for a moment must not take every database for
-lost, so the least is some round trips between regions.
+The timeout is a moving average plus four mean deviations, as in TCP's retransmission timer
+(RFC 6298), within bounds. A short timeout matters because a check runs up to two tests in sequence
+before a lost primary is replaced. The lower bound keeps a short stall of this machine from making
+every database look unreachable.
 """
 
 MIN_TIMEOUT_SECONDS = 0.15
-"""The shortest timeout in seconds: some round trips between regions."""
+"""Shortest timeout in seconds: several round trips between regions."""
 MAX_TIMEOUT_SECONDS = 0.3
-"""The longest timeout in seconds, used until a connection was accepted: the fixed timeout that was
-used before times were observed."""
+"""Longest timeout in seconds; also used before any connection time has been observed."""
 DEVIATION_FACTOR = 4.0
-"""Deviations above the mean: K of RFC 6298."""
+"""Factor of the mean deviation that is added to the average: K of RFC 6298."""
 MEAN_GAIN_RATIO = 0.125
-"""Ratio; share of a new observation in the mean: alpha of RFC 6298."""
+"""Ratio: weight of a new observation in the moving average, alpha of RFC 6298."""
 DEVIATION_GAIN_RATIO = 0.25
-"""Ratio; share of a new observation in the mean deviation: beta of RFC 6298."""
+"""Ratio: weight of a new observation in the mean deviation, beta of RFC 6298."""
 
 
 class ReachLimit:
-    """The limit of one process for all databases."""
+    """Connection timeout of one process, common to all databases."""
 
     def __init__(self) -> None:
         self._mean: float | None = None
         self._deviation = 0.0
 
     def observe(self, seconds: float) -> None:
-        """A connection was accepted after `seconds`."""
+        """Records that a connection was accepted after `seconds`."""
         if self._mean is None:
             self._mean, self._deviation = seconds, seconds / 2
             return
@@ -38,7 +36,7 @@
 
     @property
     def seconds(self) -> float:
-        """The limit; the longest one before anything was observed."""
+        """Current timeout in seconds."""
         if self._mean is None:
             return MAX_TIMEOUT_SECONDS
         return min(
--- a/src/dewledge/core/pooler/failover/situation.py
+++ b/src/dewledge/core/pooler/failover/situation.py
@@ -1,4 +1,4 @@
-"""What one step of a failover is taken in, and what comes of it."""
+"""Input and result of one step of a failover."""
 
 from collections.abc import Sequence
 
@@ -10,9 +10,10 @@
 
 
 class Situation(msgspec.Struct, frozen=True):
-    """members: the processes that judge the primary, in order of rank.
+    """Input of a step: the state of the group and of the processes.
 
-    registered: all processes, which may use the primary. now: steady clock, seconds.
+    members: the judges of the group, in order of rank. registered: all processes that may use the
+    primary. now: current time (steady clock, seconds).
     """
 
     view: GroupView
@@ -22,7 +23,7 @@
 
 
 class Step(msgspec.Struct, frozen=True):
-    """Effects to carry out, and what ends the phase, None if it goes on."""
+    """Result of a step: effects to carry out, and what ends the phase, None if it continues."""
 
     effects: Sequence[FailoverEffect] = ()
     end: PhaseEnd | None = None
