--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -1,7 +1,7 @@
 """Selects the processes that judge a group's primary, and the replica to promote. Pure functions.
 
-The candidate is the replica with the highest received log position: promoting one that received
-less than another would lose acknowledged commits.
+The candidate is the replica with the highest received log position: promoting a replica that
+received less than another could lose acknowledged commits.
 """
 
 import zlib
@@ -12,7 +12,7 @@
 from dewledge.core.shared.positions import LogPosition
 
 MAX_JUDGES = 15
-"""Processes: bounds the indirect probes of one check where there are hundreds of processes."""
+"""Processes: bounds the indirect probes of a check in deployments of hundreds of processes."""
 
 
 def panel(group: str, processes: Iterable[str]) -> Sequence[str]:
--- a/src/dewledge/core/pooler/failover/claim_acknowledgements.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -13,7 +13,7 @@
 
 
 class ClaimAcknowledgements:
-    """Records the acknowledgements of one claim, with the time of each."""
+    """Acknowledgements of a claim, with the time of each."""
 
     def __init__(self, claim: Claim, written_at: float) -> None:
         """written_at: a time by which the store certainly held the claim (steady clock)."""
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -28,7 +28,7 @@
 
 
 class ClaimTurn:
-    """Schedules one process's writes of the claim on one group."""
+    """Schedules this process's writes of the claim on a group."""
 
     def __init__(self, local_name: str, lease: PrimaryLease) -> None:
         self._local_name = local_name
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence of one reachability check: the local test of an address and other processes' results.
+"""Evidence of a reachability check: the result of the local test, and those of other processes.
 
 Decides whether enough judges cannot reach the database to consider it lost. Used by reach_check.py.
 """
--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -1,4 +1,4 @@
-"""State machine of one process's part in the failover of one group's primary.
+"""State machine by which a process takes part in the failover of a group's primary.
 
 Turns events (test results, claims, statuses, ticks) into effects, and moves between phases by the
 table in phases.py. loss_watch.py and reach_check.py decide whether the primary is lost,
@@ -50,7 +50,7 @@
 
 
 class GroupFailover:
-    """State machine of one group's failover: `handle` applies an event and returns effects."""
+    """State machine of a group's failover: `handle` applies an event and returns effects."""
 
     def __init__(
         self,
@@ -248,8 +248,8 @@
         usable_token = self._claim_turn.usable_fencing_token
         if not usable_token:
             return [write]
-        # The last holder acts under its earlier claim at once. It still writes the row, so that the
-        # other processes follow it.
+        # The last holder acts under its earlier claim at once, and still writes the row, so that
+        # the other processes follow it.
         self._replacement.fencing_token = usable_token
         self._end_phase(PhaseEnd.HELD_BEFORE, now)
         return [write, *self._continue_replacement(situation)]
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -3,8 +3,8 @@
 The causes are: the primary is draining and a successor is available (draining); its entry has been
 missing for REMOVED_ENTRY_TIMEOUT_SECONDS (entry_gone); no primary has been known for
 NO_PRIMARY_TIMEOUT_SECONDS (none_known); the newest claim has forbidden the primary for
-UNFINISHED_CLAIM_TIMEOUT_SECONDS without leading to another one (unfinished). A primary that only
-does not answer is handled by reach_check.py.
+UNFINISHED_CLAIM_TIMEOUT_SECONDS without leading to another primary (unfinished). reach_check.py
+handles a primary that does not answer.
 """
 
 import msgspec
@@ -36,7 +36,7 @@
 
 
 class LossWatch:
-    """Tracks since when the view has had no primary, or one that the newest claim forbids."""
+    """Tracks since when a group has had no primary, or a primary that the newest claim forbids."""
 
     def __init__(self, lease: PrimaryLease) -> None:
         self._lease = lease
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -1,24 +1,15 @@
-"""The lease of one process on a group's primary: the rule that says who may use it now.
-
-Inputs: the newest claim known; the moment of the last confirmation that no newer claim exists
-(steady clock, seconds; the age counts from the sending of the question). Decision: whether this
-process may use a database as primary. What one statement does with the answer is in
-core/pooler/statements/primary_lease_use.py; no other module answers the question.
-
-Reason: a platform that checks fencing tokens takes the lead from the old primary in the moment of a
-promotion. Where none are checked the old primary goes on serving, so the processes themselves must
-have stopped using it before. Three rules see to that:
+"""Lease of a process on a group's primary: whether the process may use a database as primary.
 
+Without fencing by the platform, an old primary keeps serving after a promotion, so all processes
+must stop using it first. Three rules ensure that:
 - A process uses a primary only while its last confirmation is younger than LEASE_SECONDS. The store
-  gives one (no newer claim is in its table), or a quorum of the claim's voters does
-  (quorum_confirmation.py).
+  or a quorum of voters (quorum_confirmation.py) confirms that no newer claim exists.
 - A claim names the only database that may be primary, or none. A process that knows the claim uses
-  no other, and discards answers that still come from others.
-- The holder of a claim promotes only once each registered process has acknowledged the claim, or
-  once every lease that was confirmed without the claim has lapsed (claim_acknowledgements.py).
-
-The lease is checked twice: before a statement is sent, and when its answer comes. An answer that
-comes without a lease is passed on to nobody, so it does not matter how long the statement took.
+  no other one, and discards answers that still arrive from others.
+- The claim holder promotes a database only once every registered process has acknowledged the claim
+  or all leases confirmed without it have expired (claim_acknowledgements.py).
+The lease is checked before a statement is sent and again when its answer arrives: an answer without
+a lease is discarded, so the duration of the statement does not matter.
 """
 
 from enum import StrEnum
@@ -26,18 +17,17 @@
 from dewledge.core.pooler.failover.messages import Claim
 
 LEASE_SECONDS = 1.75
-"""Seconds for which a confirmation is good. Covers the age of a follower's confirmation in peace
-(0.9 s of waiting at the store, 0.1 s on the way), the pause until voters are asked (1.25 s) and two
-tries to ask them."""
+"""Seconds for which a confirmation is valid: CONFIRMATION_REFRESH_AGE_SECONDS and two rounds of
+questions to voters (quorum_confirmation.py)."""
 LONG_AGO = -1e9
-"""Seconds of the steady clock: before anything that happened. A mark, no measure."""
+"""Seconds of the steady clock: a time before any event, the initial value of recorded times."""
 
 
 class Fencing(StrEnum):
-    """What keeps an old primary from serving on after a promotion.
+    """What prevents an old primary from serving statements after a promotion.
 
-    PLATFORM: the platform takes its lead at once, and refuses fencing tokens lower than one it has
-    seen. PROCESSES: the platform does not; the processes in front of it stop using it.
+    PLATFORM: the platform demotes it at once and refuses fencing tokens lower than the highest one
+    seen. PROCESSES: the platform does neither, so the processes have to stop using it first.
     """
 
     PLATFORM = "platform"
@@ -45,52 +35,53 @@
 
 
 class PrimaryLease:
-    """The lease of one process on one group's primary."""
+    """Lease of this process on a group's primary."""
 
     def __init__(self, fencing: Fencing) -> None:
         self.fencing = fencing
         self.claim: Claim | None = None
-        """The newest claim known."""
+        """Newest claim known to this process, None for none."""
         self.confirmed_at = LONG_AGO
-        """At this time (steady clock, seconds) no claim existed that this process does not know."""
+        """Last time at which no newer claim than the known one existed (steady clock, seconds)."""
         self._proven_leader = ("", -1)
 
     @property
     def fencing_token(self) -> int:
-        """Of the newest claim known, 0 for none."""
+        """Fencing token of the newest known claim, 0 without a claim."""
         return 0 if self.claim is None else self.claim.fencing_token
 
     def take_claim(self, claim: Claim) -> bool:
-        """Takes a claim; returns whether it is newer than the one known."""
+        """Replaces the known claim if `claim` is newer; returns whether it is."""
         if claim.fencing_token <= self.fencing_token:
             return False
         self.claim = claim
         return True
 
     def confirm(self, at: float) -> None:
-        """At `at` no claim existed that is not known here."""
+        """Renews the lease: at the time `at`, no newer claim than the known one existed."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def is_confirmed(self, now: float) -> bool:
-        """Tells whether no claim unknown here can have taken effect by `now`."""
+        """Returns whether no claim unknown to this process can have taken effect by `now`."""
         return self.fencing is Fencing.PLATFORM or now < self.confirmed_at + LEASE_SECONDS
 
     def is_banned(self, database_id: str) -> bool:
-        """Tells whether a database must not be used as primary, whatever it says of itself."""
+        """Returns whether the newest claim forbids a database as primary, whatever it reports."""
         claim = self.claim
         if self.fencing is Fencing.PLATFORM or claim is None:
             return False
         return not claim.allows(database_id)
 
     def prove(self, database_id: str, fencing_token: int) -> None:
-        """A database has shown that it leads, in answer to a statement sent under a claim."""
+        """Records that a database proved it leads, in answer to a statement sent under a claim."""
         self._proven_leader = (database_id, fencing_token)
 
     def is_proven(self, database_id: str) -> bool:
-        """Tells whether a database has shown that it leads under the newest claim.
+        """Returns whether a read may rely on an earlier proof that the database leads.
 
-        It leads then for as long as this process holds the lease: without a newer claim no other
-        is promoted. So a read need not prove it again, unless it is to step down under this claim.
+        The proof holds while this process has the lease, since no other database is promoted
+        without a newer claim. The exception is a database that this claim replaces: it may step
+        down at any time.
         """
         if self.fencing is Fencing.PLATFORM or self._proven_leader != (
             database_id,
@@ -100,12 +91,12 @@
         return self.claim is None or self.claim.replaced != database_id
 
     def allows(self, database_id: str, now: float) -> bool:
-        """Tells whether this process may use a database as primary at `now`."""
+        """Returns whether this process may use a database as primary at `now`."""
         return self.is_confirmed(now) and not self.is_banned(database_id)
 
 
 class PrimaryLeases:
-    """The leases of one process, by group."""
+    """Leases of this process on the primaries of all groups."""
 
     def __init__(self, fencing: Fencing) -> None:
         self.fencing = fencing
@@ -113,7 +104,7 @@
         self._confirmed_at = LONG_AGO
 
     def of(self, group: str) -> PrimaryLease:
-        """Returns the lease on a group's primary."""
+        """Returns the lease on a group's primary; creates it on first use."""
         lease = self.by_group.get(group)
         if lease is None:
             lease = PrimaryLease(self.fencing)
@@ -122,7 +113,7 @@
         return lease
 
     def confirm_all(self, at: float) -> None:
-        """At `at` the store held no claim on any group that is not known here."""
+        """Renews all leases: at the time `at`, the store held no claim unknown to this process."""
         self._confirmed_at = max(self._confirmed_at, at)
         for lease in self.by_group.values():
             lease.confirm(at)
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -1,12 +1,9 @@
-"""Confirmation by a quorum: how a process keeps its leases on primaries while the store is away.
-
-Adds a source of confirmations to the lease's rule (primary_lease.py); it does not say who may use a
-primary now. Inputs: the newest claims known and the age of their last confirmation, answers of
-voters. Decision: what to ask, what to answer, which leases are confirmed. Reason: if more than half
-of a claim's voters know no newer one, none can take effect before LEASE_SECONDS have passed since
-the question was sent. The writer of a claim has to reach more than half of the same voters first,
-and a voter that knows the newer claim confirms the older one no more. Voters answer only processes
-with a row in the store, since the holder of a claim waits for those.
+"""Renews leases by a quorum of voters while the store is unreachable.
+
+If a majority of a claim's voters knows no newer claim, no newer one can take effect within
+LEASE_SECONDS after the question was sent: its holder first needs acknowledgements from a majority
+of the same voters, and a voter that knows the newer claim no longer confirms the older one. Voters
+answer only processes with a row in the store, because the claim holder waits for exactly those.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -18,16 +15,16 @@
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
 CONFIRMATION_REFRESH_AGE_SECONDS = 1.25
-"""Age in seconds of the last confirmation from which voters are asked. Confirmations by followers
-are up to 1.2 s old in peace."""
+"""Seconds: age of the last confirmation at which voters are asked. In normal operation, the store
+confirms before an age of 1.2 s."""
 QUESTION_INTERVAL_SECONDS = 0.25
-"""Seconds between two questions: two tries lie between CONFIRM_AFTER_SECONDS and LEASE_SECONDS."""
+"""Seconds between questions: allows two before a lease expires."""
 MAX_GROUPS_PER_QUESTION = 40
-"""Groups in one question, so that it fits into a datagram (MAX_BYTES of peer_messages.py)."""
+"""Groups in one question, so that it fits in a datagram (MAX_BYTES of peer_messages.py)."""
 
 
 class ConfirmationQuestion(msgspec.Struct, frozen=True, array_like=True, tag="vouch"):
-    """Asks for the newest claims known. tokens: those that the asker knows, by group."""
+    """Asks a voter for its newest claims. tokens: newest fencing tokens of the asker, by group."""
 
     asker: str
     number: int
@@ -35,7 +32,7 @@
 
 
 class ConfirmationAnswer(msgspec.Struct, frozen=True, array_like=True, tag="vouched"):
-    """The tokens of the newest claims that the voter knows, of the groups asked for."""
+    """Answer of a voter. tokens: its newest fencing tokens, by group, for the groups asked for."""
 
     voter: str
     number: int
@@ -43,14 +40,14 @@
 
 
 class VoterPoll(msgspec.Struct, frozen=True):
-    """A question and the processes to ask."""
+    """A question and the voters to send it to."""
 
     question: ConfirmationQuestion
     voters: tuple[str, ...]
 
 
 class QuorumConfirmation:
-    """The questions of one process, and its answers to others."""
+    """Asks voters to confirm the newest known claims, and answers other processes' questions."""
 
     def __init__(self, local_name: str) -> None:
         self._local_name = local_name
@@ -60,21 +57,23 @@
         self._agreed: dict[str, set[str]] = {}
 
     def ask(self, leases: Mapping[str, PrimaryLease], now: float) -> VoterPoll | None:
-        """Returns the next question, None if no lease needs one."""
+        """Returns the next question to voters, None if no lease needs one now."""
         if now < self._asked_at + QUESTION_INTERVAL_SECONDS:
             return None
-        due = [
+        expiring = [
             (lease.confirmed_at, name, lease.claim)
             for name, lease in leases.items()
             if lease.claim is not None
             and lease.claim.voters
             and now > lease.confirmed_at + CONFIRMATION_REFRESH_AGE_SECONDS
         ]
-        if not due:
+        if not expiring:
             return None
-        due.sort(key=lambda entry: entry[:2])
+        expiring.sort(key=lambda entry: entry[:2])
         claims = {
-            name: claim for _, name, claim in due[:MAX_GROUPS_PER_QUESTION] if claim is not None
+            name: claim
+            for _, name, claim in expiring[:MAX_GROUPS_PER_QUESTION]
+            if claim is not None
         }
         return self._start_poll(claims, now)
 
@@ -93,14 +92,14 @@
         leases: Mapping[str, PrimaryLease],
         registered: Collection[str],
     ) -> ConfirmationAnswer | None:
-        """Returns the answer to another process; none to one without a row in the store."""
+        """Returns the answer to another process, None if that process has no row in the store."""
         if question.asker not in registered:
             return None
-        known = {name: leases[name].fencing_token for name in question.tokens if name in leases}
-        return ConfirmationAnswer(self._local_name, question.number, known)
+        tokens = {name: leases[name].fencing_token for name in question.tokens if name in leases}
+        return ConfirmationAnswer(self._local_name, question.number, tokens)
 
     def take(self, answer: ConfirmationAnswer, leases: Mapping[str, PrimaryLease]) -> Sequence[str]:
-        """Takes an answer; returns the groups whose leases it confirms."""
+        """Applies an answer; returns the groups whose leases it renews."""
         if answer.number != self._number:
             return []
         confirmed = []
--- a/src/dewledge/core/pooler/failover/reach_check.py
+++ b/src/dewledge/core/pooler/failover/reach_check.py
@@ -19,7 +19,7 @@
 from dewledge.core.pooler.failover.situation import Step
 
 CHECK_INTERVAL_SECONDS = 0.4
-"""Seconds between the starts of two checks of one group."""
+"""Seconds between the starts of two checks of a group's primary."""
 INDIRECT_PROBE_DELAY_SECONDS = 0.1
 """Seconds without a result of the local test after which other judges are asked too."""
 MAX_CHECK_DURATION_FACTOR = 6
@@ -28,7 +28,7 @@
 
 
 class ReachCheck:
-    """One process's checks of one group's primary, at most one at a time."""
+    """Checks of a group's primary by this process, at most one at a time."""
 
     def __init__(self) -> None:
         self.suspected: str | None = None
--- a/src/dewledge/core/pooler/failover/reach_limit.py
+++ b/src/dewledge/core/pooler/failover/reach_limit.py
@@ -19,7 +19,7 @@
 
 
 class ReachLimit:
-    """Connection timeout of one process, common to all databases."""
+    """Connection timeout of this process, the same for all databases."""
 
     def __init__(self) -> None:
         self._mean: float | None = None
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -1,12 +1,9 @@
-"""Replaces one lost primary once the claim stands: chooses the next, ends the old one's use,
-promotes.
-
-Inputs: the loss, the claim of this process, statuses of databases (survey.py), acknowledgements
-and the step down of the old primary (lease_release.py), the platform's answers. Decision: the
-effects of one step, and the end of the phase by the table of phases.py. Reason: where the platform
-checks no fencing tokens three things are certain before a promotion is ordered. No process uses
-the old primary any more; the store holds the order, so that the next holder keeps to it; no other
-process can hold a newer claim.
+"""Replaces a lost primary under a claim: selects a candidate, ends the use of the old primary, and
+promotes the candidate.
+
+If the platform checks no fencing tokens, three conditions must hold before a promotion is ordered:
+no process can still use the old primary; the store holds the order, so that the next claim holder
+orders the same database; and no other process can hold a newer claim.
 """
 
 from collections.abc import Sequence
@@ -46,29 +43,29 @@
 from dewledge.core.pooler.failover.survey import StatusSurvey
 
 STATUS_WAIT_SECONDS = 0.3
-"""Seconds that the choice waits for the statuses of all databases, and twice as long for any."""
+"""Seconds that the selection waits for the statuses of all databases. If none has reported a
+status after twice that time, a database without a status may be selected."""
 CATCH_UP_TIMEOUT_SECONDS = 2.0
-"""Seconds that the successor of a primary that leaves, and still serves, has to receive all it
-has."""
+"""Seconds that the candidate has to catch up with a draining primary that still serves."""
 FINAL_CATCH_UP_TIMEOUT_SECONDS = 0.6
-"""Seconds that the successor has for the last commits of a primary that stepped down: nobody is
-served meanwhile."""
+"""Seconds that the candidate has to receive the last commits of a primary that stepped down; the
+group has no primary in that time."""
 ORDER_WRITE_INTERVAL_SECONDS = 1.5
-"""Seconds until the order is written to the store again: longer than a call to the store."""
+"""Seconds between writes of the order to the store: longer than the timeout of a call to it."""
 PROMOTE_INTERVAL_SECONDS = 0.7
-"""Seconds until the platform is asked again, under the same fencing token."""
+"""Seconds between promotion requests to the platform under the same fencing token."""
 PHASE_TIMEOUT_SECONDS = 6.0
-"""Seconds that choosing, releasing and promoting may last, each; then the replacement is given
-up."""
+"""Seconds that each of the phases choosing, releasing and promoting may last; then the replacement
+is given up."""
 
 
 class PrimaryReplacement:
-    """One process's replacement of one primary; asked for a step in each of its three phases."""
+    """Replacement of a primary by this process, in three phases: choose, release, promote."""
 
     def __init__(self, local_name: str, lease: PrimaryLease, loss: Loss) -> None:
         self.candidate = ""
         self.fencing_token = 0
-        """Of the claim under which this process acts, 0 before it stands."""
+        """Fencing token of the claim under which this process acts, 0 before the store holds it."""
         self._lease = lease
         self._loss = loss
         self._survey = StatusSurvey()
@@ -79,14 +76,14 @@
         self._has_promoted = False
         self._step_down_sent_at = LONG_AGO
         self._min_leader_term = 0
-        """The least term in which the candidate leads by this order."""
+        """Lowest term in which the candidate can lead by this order."""
         self.is_new_primary_confirmed = False
-        """Whether the new primary has said that it leads."""
+        """Whether the promoted database reported that it leads."""
         self._stepped_down_at: float | None = None
 
     @property
     def is_planned(self) -> bool:
-        """Whether the old primary leaves and still serves."""
+        """Whether the old primary is draining and may still serve."""
         return self._loss.cause in (LossCause.DRAINING, LossCause.ENTRY_GONE)
 
     @property
@@ -94,13 +91,13 @@
         return self._lease.fencing is Fencing.PROCESSES
 
     def on_claim_stored(self, claim: Claim, now: float) -> None:
-        """The own claim stands in the store."""
+        """Records that the store holds a claim of this process."""
         self.fencing_token = claim.fencing_token
         self._next_order_write_at = now
         self._release.on_claim_stored(claim, now)
 
     def on_answer(self, event: StatusRead | ClaimKnown | SteppedDown, now: float) -> None:
-        """Takes the answer of a database, or an acknowledgement."""
+        """Applies the answer of a database or the acknowledgement of a process."""
         if isinstance(event, StatusRead):
             self._survey.add(event)
             return
@@ -109,16 +106,19 @@
         self._release.on_answer(event, now)
 
     def start_phase(self, now: float) -> None:
-        """A phase begins."""
+        """Records the start of a phase."""
         self._phase_started_at = now
 
     def first_claim(self, situation: Situation) -> WriteClaim:
-        """Returns the claim to write first."""
+        """Returns the first claim of the replacement, to be written before anything else."""
         replaced = self._loss.replaced
         return replacement_claim(self._lease, situation.members, replaced, self.is_planned)
 
     def announce_if_leading(self, event: StatusRead) -> Sequence[FailoverEffect]:
-        """The chosen database says that it leads: others learn that without the store too."""
+        """Returns the announcement of the new primary if the candidate reports that it leads.
+
+        Other processes then learn of the new primary without the store.
+        """
         if event.database != self.candidate or event.status is None:
             return []
         self.is_new_primary_confirmed = (
@@ -127,20 +127,20 @@
         return [AnnounceLeader(event.database)] if self.is_new_primary_confirmed else []
 
     def on_promotion_answer(self, event: PromotionAnswered) -> Step:
-        """Takes the platform's answer to the order."""
+        """Applies the platform's answer to a promotion request."""
         if event.database != self.candidate or not event.fenced:
             return Step()
         if self.fencing_token < self._lease.fencing_token:
             return Step((), PhaseEnd.TOKEN_TOO_OLD)
         if self._survey.refused:
-            # Two databases were refused: more likely another process holds a newer claim, not
-            # known here yet.
+            # The platform refused two databases, so another process probably holds a newer claim
+            # that this one has not received yet.
             return Step((), PhaseEnd.TOKEN_REFUSED)
         self._survey.mark_refused(event.database)
         return Step((), PhaseEnd.CANDIDATE_REFUSED)
 
     def step(self, phase: Phase, situation: Situation) -> Step:
-        """Returns what is to be done in one of the three phases."""
+        """Returns the next effects in one of the three phases, and the end of the phase."""
         if phase is Phase.CHOOSING:
             return self._choose_candidate(situation)
         if phase is Phase.RELEASING:
@@ -180,29 +180,34 @@
         return Step([*effects, *self._order_promotion(now)], PhaseEnd.CHOSEN)
 
     def _eligible_databases(self, situation: Situation) -> Sequence[str]:
-        """The databases that may lead; after an unfinished claim the old primary is among them."""
+        """Returns the databases that may lead; after an unfinished claim, also the old primary."""
         is_unfinished = self._loss.cause is LossCause.UNFINISHED
         replaced = "" if is_unfinished else self._loss.replaced
         return eligible_databases(situation.view, replaced, self._survey.refused)
 
     @property
     def _previously_ordered(self) -> str | None:
-        """The database whose promotion an earlier holder ordered: it leads, or may at any moment.
+        """Database whose promotion was ordered by an earlier claim holder, None for none.
 
-        Another one promoted beside it would be replaced by it unnoticed.
+        That database leads, or may start to at any time, so its promotion must be ordered again: it
+        could take over unnoticed from any other database promoted now.
         """
         ordered = last_order(self._lease, self._loss.replaced)
-        is_known = ordered in self._survey.statuses and ordered not in self._survey.refused
-        return ordered if is_known and self._is_unfenced else None
+        is_candidate = ordered in self._survey.statuses and ordered not in self._survey.refused
+        return ordered if is_candidate and self._is_unfenced else None
 
     def _stop_unordered_leaders(self, names: Sequence[str], now: float) -> Sequence[FailoverEffect]:
-        """Asks databases that lead by no claim to step down: they would serve once named leader."""
+        """Asks databases to step down that lead without an order.
+
+        Otherwise such a database would serve statements as soon as a claim names it leader, before
+        its promotion.
+        """
         ordered = self._previously_ordered
-        false = [name for name in names if self._survey.leads(name) and name != ordered]
-        if not false or now < self._step_down_sent_at + STEP_DOWN_INTERVAL_SECONDS:
+        unordered = [name for name in names if self._survey.leads(name) and name != ordered]
+        if not unordered or now < self._step_down_sent_at + STEP_DOWN_INTERVAL_SECONDS:
             return []
         self._step_down_sent_at = now
-        return [StepDown(name, self._survey.next_term) for name in false]
+        return [StepDown(name, self._survey.next_term) for name in unordered]
 
     def _has_status_wait_ended(self, now: float) -> bool:
         return now > self._phase_started_at + 2 * STATUS_WAIT_SECONDS
@@ -210,7 +215,7 @@
     # Releasing the old primary.
 
     def _release_old_primary(self, situation: Situation) -> Step:
-        """Orders the promotion once no process may use the old primary any more."""
+        """Orders the promotion once no process can still use the old primary."""
         release, now = self._release, situation.now
         effects: list[FailoverEffect] = [
             *release.step_down_requests(self._survey.next_term, situation.registered, now)
@@ -227,14 +232,14 @@
 
     @property
     def _is_order_stored(self) -> bool:
-        """Whether the store holds the order under the own claim."""
+        """Whether the store holds the order under this process's claim."""
         claim = self._lease.claim
         if claim is None or claim.fencing_token != self.fencing_token:
             return False
         return claim.leader == self.candidate and claim.ordered == self.candidate
 
     def _store_order(self, situation: Situation) -> Sequence[FailoverEffect]:
-        """Writes the order to the store before it is given: the next holder must know of it."""
+        """Writes the order to the store before the promotion, so that the next holder knows it."""
         if situation.now < self._next_order_write_at:
             return []
         self._next_order_write_at = situation.now + ORDER_WRITE_INTERVAL_SECONDS
@@ -242,14 +247,18 @@
         return [order_claim(self._lease, situation.members, replaced, self.candidate)]
 
     def _has_caught_up(self, effects: list[FailoverEffect], now: float) -> bool:
-        """Tells whether the candidate has what the old primary held when it stepped down."""
-        held = self._release.final_status
-        if held is None:
+        """Returns whether the candidate has received the whole log of the old primary.
+
+        Also true if the old primary did not step down, if the candidate's status is unknown, and
+        after FINAL_CATCH_UP_TIMEOUT_SECONDS. May append a status request to `effects`.
+        """
+        final_status = self._release.final_status
+        if final_status is None:
             return True
         if self._stepped_down_at is None:
             self._stepped_down_at = now
         status = self._survey.statuses.get(self.candidate)
-        if status is None or status.received >= held.received:
+        if status is None or status.received >= final_status.received:
             return True
         if self._survey.try_start_retry(now):
             effects.append(ReadStatus(self.candidate))
@@ -258,7 +267,7 @@
     # Promoting.
 
     def _order_promotion(self, now: float) -> Sequence[FailoverEffect]:
-        """Orders the promotion, unless another process may hold a newer claim by now."""
+        """Returns the promotion request, or none if another process may hold a newer claim."""
         if not self._is_unfenced:
             self._promoted_at = now
             return [Promote(self.candidate, self.fencing_token)]
@@ -282,9 +291,9 @@
         return Step(effects)
 
     def _give_up(self, effects: list[FailoverEffect], situation: Situation, end: PhaseEnd) -> Step:
-        """Ends the replacement; where nothing was ordered the old primary stays primary."""
-        kept = self._loss.replaced
-        may_lead_on = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
-        if self._is_unfenced and may_lead_on and self.fencing_token:
-            effects.append(withdrawal_claim(self._lease, situation.members, kept))
+        """Ends the replacement; if no promotion was ordered, the old primary stays primary."""
+        old_primary = self._loss.replaced
+        may_stay_primary = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
+        if self._is_unfenced and may_stay_primary and self.fencing_token:
+            effects.append(withdrawal_claim(self._lease, situation.members, old_primary))
         return Step(effects, end)
--- a/src/dewledge/core/pooler/failover/situation.py
+++ b/src/dewledge/core/pooler/failover/situation.py
@@ -1,4 +1,4 @@
-"""Input and result of one step of a failover."""
+"""Input and result of a step of the failover state machine."""
 
 from collections.abc import Sequence
 
