--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -29,20 +29,20 @@
 
 
 class LeaseRelease:
-    """Ends the leases on one primary during one failover."""
+    """Ends the leases on a primary during its replacement."""
 
     def __init__(self, local_name: str, replaced: str, may_step_down: bool) -> None:
         """may_step_down: whether the old primary is expected to answer a request to step down."""
         self._local_name = local_name
         self._replaced = replaced
         self._may_step_down = may_step_down
-        self._first_claim: ClaimAcknowledgements | None = None
-        """Acknowledgements of this process's first claim.
+        self._claim_acknowledgements: ClaimAcknowledgements | None = None
+        """Acknowledgements of this process's first claim, None before the store holds it.
 
-        A process that knows that claim makes each read prove that the old primary still leads, or
-        does not use it at all.
+        A process that knows this claim makes each read prove that the old primary still leads, or
+        does not use the old primary at all.
         """
-        self._first_ban: ClaimAcknowledgements | None = None
+        self._ban_acknowledgements: ClaimAcknowledgements | None = None
         """Acknowledgements of this process's first claim that forbids the old primary."""
         self._claim_sent_at = LONG_AGO
         self._step_down_sent_at = LONG_AGO
@@ -52,12 +52,14 @@
 
     def on_claim_stored(self, claim: Claim, now: float) -> None:
         """Starts to count acknowledgements of a claim of this process that the store holds."""
-        if self._first_claim is None:
-            self._first_claim = self._start_acknowledgements(claim, now)
-        if self._first_ban is None and not claim.allows(self._replaced):
-            is_first = self._first_claim.claim.fencing_token == claim.fencing_token
-            self._first_ban = (
-                self._first_claim if is_first else self._start_acknowledgements(claim, now)
+        if self._claim_acknowledgements is None:
+            self._claim_acknowledgements = self._start_acknowledgements(claim, now)
+        if self._ban_acknowledgements is None and not claim.allows(self._replaced):
+            is_first = self._claim_acknowledgements.claim.fencing_token == claim.fencing_token
+            self._ban_acknowledgements = (
+                self._claim_acknowledgements
+                if is_first
+                else self._start_acknowledgements(claim, now)
             )
 
     def _start_acknowledgements(self, claim: Claim, now: float) -> ClaimAcknowledgements:
@@ -72,13 +74,13 @@
             if event.database == self._replaced and is_down:
                 self.final_status = event.status
             return
-        for pending in (self._first_claim, self._first_ban):
+        for pending in (self._claim_acknowledgements, self._ban_acknowledgements):
             if pending is not None and event.fencing_token >= pending.claim.fencing_token:
                 pending.add(event.process, now)
 
     def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
         """Returns the next send of the claim to all processes that have not acknowledged it."""
-        acknowledgements = self._first_ban or self._first_claim
+        acknowledgements = self._ban_acknowledgements or self._claim_acknowledgements
         if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
         self._claim_sent_at = now
@@ -90,11 +92,14 @@
     ) -> Sequence[StepDown]:
         """Returns the request to the old primary to step down, until STEP_DOWN_TIMEOUT_SECONDS.
 
-        The first request waits until every process knows that the primary is being replaced.
+        The first request waits until no process can use the old primary without knowing this
+        process's first claim.
         """
         if not self._may_step_down or self.final_status is not None:
             return []
-        if self._first_claim is None or not self._first_claim.is_over(registered, now):
+        if self._claim_acknowledgements is None or not self._claim_acknowledgements.is_over(
+            registered, now
+        ):
             return []
         if self._first_step_down_sent_at is None:
             self._first_step_down_sent_at = now
@@ -110,6 +115,6 @@
         """Returns whether no process can still use the old primary."""
         if self.final_status is not None:
             return True
-        if self._may_step_down or self._first_ban is None:
+        if self._may_step_down or self._ban_acknowledgements is None:
             return False
-        return self._first_ban.is_over(registered, now)
+        return self._ban_acknowledgements.is_over(registered, now)
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -223,8 +223,8 @@
         if not self._is_order_stored:
             effects += self._store_order(situation)
         effects += release.claims_to_send(situation.registered, now)
-        is_over = self._is_order_stored and release.is_complete(situation.registered, now)
-        if is_over and self._has_caught_up(effects, now):
+        is_released = self._is_order_stored and release.is_complete(situation.registered, now)
+        if is_released and self._has_caught_up(effects, now):
             return Step([*effects, *self._order_promotion(now)], PhaseEnd.RELEASED)
         if now > self._phase_started_at + PHASE_TIMEOUT_SECONDS:
             return self._give_up(effects, situation, PhaseEnd.NOT_RELEASED)
