--- a/tests/core/pooler/failover/test_claim_turn.py
+++ b/tests/core/pooler/failover/test_claim_turn.py
@@ -35,11 +35,11 @@
         steps = (step for step in range(2000) if turn.may_write(NOW + step * 0.01))
         return next(steps) * 0.01
 
-    def test_without_a_claim_the_judges_go_by_rank(self) -> None:
+    def test_judges_write_in_order_of_rank_without_earlier_claim(self) -> None:
         for rank, name in enumerate((*JUDGES, "outsider")):
             self.assertAlmostEqual(self.delay(name), rank * CLAIM_RANK_DELAY_SECONDS, msg=name)
 
-    def test_the_last_holder_goes_first(self) -> None:
+    def test_last_holder_writes_first(self) -> None:
         claim = Claim("c", "", 5)
         self.assertAlmostEqual(self.delay("c", claim), 0.0)
         self.assertAlmostEqual(self.delay("a", claim), LAST_HOLDER_HEAD_START_SECONDS)
@@ -47,10 +47,10 @@
             self.delay("b", claim), LAST_HOLDER_HEAD_START_SECONDS + CLAIM_RANK_DELAY_SECONDS
         )
 
-    def test_a_last_holder_that_is_no_judge_any_more_is_not_waited_for(self) -> None:
+    def test_last_holder_outside_judges_has_no_head_start(self) -> None:
         self.assertAlmostEqual(self.delay("a", Claim("gone", "", 5)), 0.0)
 
-    def test_a_write_is_repeated_after_its_limit_and_sooner_after_a_refusal(self) -> None:
+    def test_write_is_retried_after_timeout_or_refusal(self) -> None:
         turn = self.turn("a")
         turn.schedule_first_write(JUDGES, NOW)
         turn.record_write(NOW)
@@ -60,18 +60,18 @@
         self.assertFalse(turn.may_write(NOW + CLAIM_RETRY_SECONDS - 0.01))
         self.assertTrue(turn.may_write(NOW + CLAIM_RETRY_SECONDS))
 
-    def test_an_earlier_own_claim_is_good_where_the_platform_fences(self) -> None:
+    def test_own_earlier_claim_is_reused_only_with_platform_fencing(self) -> None:
         claim = Claim("a", "", 5)
         self.assertEqual(self.turn("a", claim).usable_fencing_token, 5)
         self.assertEqual(self.turn("b", claim).usable_fencing_token, 0)
         self.assertEqual(self.turn("a", claim, Fencing.PROCESSES).usable_fencing_token, 0)
 
-    def test_a_token_that_the_platform_refused_is_not_good_again(self) -> None:
+    def test_refused_token_is_not_reused(self) -> None:
         turn = self.turn("a", Claim("a", "", 5))
         turn.on_token_refused(5)
         self.assertEqual(turn.usable_fencing_token, 0)
 
-    def test_another_holder_is_left_to_it_for_a_while_where_nothing_fences(self) -> None:
+    def test_active_holder_is_reported_until_timeout_without_fencing(self) -> None:
         claim = Claim("b", "p", 5, "")
         turn = self.turn("a", claim, Fencing.PROCESSES)
         self.assertEqual(turn.active_holder("p", NOW), "b")
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -31,7 +31,7 @@
     WriteClaim,
 )
 from dewledge.core.shared.positions import LogPosition
-from tests.core.pooler.failover.test_phases import outside_table, undeclared
+from tests.core.pooler.failover.test_phases import outside_table, undeclared_effects
 
 MEMBERS = ("a", "b", "c")
 
@@ -69,7 +69,7 @@
         changes = self.events[known:]
         self.assertEqual(outside_table(before, changes), [])
         phases = [before, *(change.phase for change in changes)]
-        self.assertEqual(undeclared(phases, effects), [])
+        self.assertEqual(undeclared_effects(phases, effects), [])
         self.effects += effects
         return effects
 
@@ -96,15 +96,15 @@
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
 
-class DoubtTest(FailoverCase):
-    def test_a_primary_that_can_be_reached_is_kept(self) -> None:
+class SuspicionTest(FailoverCase):
+    def test_reachable_primary_is_not_replaced(self) -> None:
         self.assertEqual(self.handle(PrimaryDoubted("p")), [TestReach("p")])
         self.handle(ReachTested("p", True))
         self.wait(10.0)
         self.assertEqual(self.replacements(), [])
         self.assertIsNone(self.failover.doubted)
 
-    def test_a_primary_that_another_process_reaches_is_kept(self) -> None:
+    def test_primary_reached_by_another_process_is_not_replaced(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
         self.handle(IndirectProbeReported("c", "p", True))
@@ -113,7 +113,7 @@
         self.assertEqual(self.failover.reached_by, "c")
         self.assertEqual(self.replacements(), [])
 
-    def test_it_is_tested_again_and_again_while_only_this_process_cannot_reach_it(self) -> None:
+    def test_check_is_repeated_while_only_this_process_cannot_reach_primary(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("c", "p", True))
         tests = [e for e in self.wait(1.0) if isinstance(e, TestReach)]
@@ -121,13 +121,13 @@
         self.handle(ReachTested("p", True))
         self.assertIsNone(self.failover.doubted)
 
-    def test_when_all_agree_the_claim_is_written_at_once(self) -> None:
+    def test_claim_is_written_at_once_if_all_judges_agree(self) -> None:
         self.lose_primary()
         self.confirm()
         self.assertEqual(self.of(AskIndirectProbes), [AskIndirectProbes("p")])
         self.assertEqual(self.replacements(), [WriteClaim("p", 0)])
 
-    def test_a_majority_is_enough_after_a_while(self) -> None:
+    def test_majority_of_judges_is_enough_after_a_delay(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
         self.wait(0.3)
@@ -135,14 +135,14 @@
         self.wait(0.2)
         self.assertEqual(len(self.replacements()), 1)
 
-    def test_a_process_that_is_cut_off_from_all_waits_much_longer(self) -> None:
+    def test_isolated_process_waits_longer_before_claiming(self) -> None:
         self.lose_primary()
         self.wait(2.3)
         self.assertEqual(self.replacements(), [])
         self.wait(0.4)
         self.assertEqual(len(self.replacements()), 1)
 
-    def test_doubt_about_a_replica_changes_nothing(self) -> None:
+    def test_suspected_replica_starts_no_check(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
         self.assertEqual(self.handle(PrimaryDoubted("r1")), [])
 
@@ -153,7 +153,7 @@
         self.confirm()
         self.handle(ClaimSeen(Claim("a", "p", token)))
 
-    def test_one_that_claims_later_follows_the_holder(self) -> None:
+    def test_process_follows_earlier_claim_holder(self) -> None:
         self.lose_primary()
         self.confirm()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
@@ -161,7 +161,7 @@
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.of(Promote), [])
 
-    def test_a_holder_without_effect_is_succeeded_with_a_later_row(self) -> None:
+    def test_holder_without_effect_is_succeeded_by_newer_claim(self) -> None:
         self.lose_primary()
         self.confirm()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
@@ -171,7 +171,7 @@
         self.wait(1.0)
         self.assertEqual(self.of(WriteClaim)[-1], WriteClaim("p", 7))
 
-    def test_the_last_holder_acts_on_its_own_token_while_the_store_is_down(self) -> None:
+    def test_last_holder_promotes_under_its_token_while_store_is_down(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm()
@@ -179,14 +179,14 @@
         self.wait(1.0)
         self.assertEqual(self.of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
 
-    def test_the_last_holder_does_not_wait_for_the_row(self) -> None:
+    def test_last_holder_does_not_wait_for_claim_write(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm()
         self.assertEqual(self.of(WriteClaim), [WriteClaim("p", 5)])
         self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
-    def test_a_token_that_another_has_overtaken_is_given_up(self) -> None:
+    def test_holder_with_outdated_refused_token_follows(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm()
@@ -196,7 +196,7 @@
         self.handle(PromotionAnswered("r1", False, True))
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
-    def test_the_new_primary_is_announced_once_it_says_that_it_leads(self) -> None:
+    def test_new_primary_is_announced_once_it_reports_leading(self) -> None:
         self.claim()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.wait(0.6)
@@ -207,7 +207,7 @@
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
 
-    def test_another_process_does_nothing_without_a_claim(self) -> None:
+    def test_process_without_claim_promotes_nothing(self) -> None:
         self.handle(ClaimSeen(Claim("b", "x", 5)))
         self.lose_primary()
         self.confirm()
@@ -216,14 +216,14 @@
             self.handle(ClaimRefused())
         self.assertEqual(self.of(Promote), [])
 
-    def test_the_replica_that_received_most_takes_the_lead(self) -> None:
+    def test_replica_with_highest_position_is_promoted(self) -> None:
         self.claim()
         self.assertEqual(self.of(ReadStatus), [ReadStatus("r1"), ReadStatus("r2")])
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.handle(StatusRead("r2", DatabaseStatus(False, 1, LogPosition(1, 6))))
         self.assertEqual(self.of(Promote), [Promote("r2", 7)])
 
-    def test_one_that_does_not_tell_is_waited_for_briefly(self) -> None:
+    def test_missing_status_delays_promotion_briefly(self) -> None:
         self.claim()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.wait(0.2)
@@ -231,7 +231,7 @@
         self.wait(0.2)
         self.assertEqual(self.of(Promote), [Promote("r1", 7)])
 
-    def test_a_promotion_without_an_answer_is_asked_for_again_under_the_same_token(self) -> None:
+    def test_unanswered_promotion_is_retried_under_same_token(self) -> None:
         self.claim()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.wait(2.0)
@@ -239,7 +239,7 @@
         self.assertGreaterEqual(len(promotions), 2)
         self.assertEqual(set(promotions), {Promote("r1", 7)})
 
-    def test_a_token_refused_for_two_databases_is_not_used_again(self) -> None:
+    def test_token_refused_for_two_databases_is_not_reused(self) -> None:
         self.handle(ClaimSeen(Claim("a", "", 7)))
         self.lose_primary()
         self.confirm()
@@ -262,7 +262,7 @@
         self.wait(3.0)
         self.assertEqual({each.fencing_token for each in self.of(Promote)}, {9})
 
-    def test_a_refused_candidate_is_not_asked_for_again(self) -> None:
+    def test_refused_candidate_is_not_retried(self) -> None:
         self.claim()
         for name in ("r1", "r2"):
             self.handle(StatusRead(name, DatabaseStatus(False, 1, LogPosition(1, 4))))
@@ -270,7 +270,7 @@
         self.handle(PromotionAnswered(first, False, True))
         self.assertNotEqual(self.of(Promote)[-1].database, first)  # type: ignore[union-attr]
 
-    def test_it_is_over_when_another_primary_is_known(self) -> None:
+    def test_failover_ends_when_another_primary_is_known(self) -> None:
         self.claim()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.wait(0.4)
@@ -280,8 +280,8 @@
         self.assertIsNone(self.failover.doubted)
 
 
-class StandingClaimTest(FailoverCase):
-    def test_one_process_holds_the_claim_of_a_healthy_group(self) -> None:
+class ClaimMaintenanceTest(FailoverCase):
+    def test_single_process_claims_healthy_group(self) -> None:
         writers = []
         for name in MEMBERS:
             failover = GroupFailover("menus", name, self.events.append)
@@ -290,7 +290,7 @@
                 writers += [name for effect in effects if isinstance(effect, WriteClaim)]
         self.assertEqual(len(writers), 1)
 
-    def test_who_has_just_started_claims_nothing_before_the_others_are_known(self) -> None:
+    def test_new_process_claims_nothing_before_others_are_known(self) -> None:
         known = (
             (0.0, ["c"]),
             (0.1, ["b", "c"]),
@@ -303,19 +303,19 @@
                 effects = failover.handle(Ticked(), self.view, members, self.now + after)
                 self.assertEqual(effects, [], (name, after))
 
-    def test_where_it_is_held_nothing_is_written(self) -> None:
+    def test_no_claim_is_written_if_another_process_holds_one(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
         self.wait(20.0)
         self.assertEqual(self.of(WriteClaim), [])
 
-    def test_a_standing_claim_is_not_followed(self) -> None:
+    def test_claim_that_replaces_no_primary_is_not_followed(self) -> None:
         self.lose_primary()
         self.handle(ClaimSeen(Claim("b", "", 3)))
         self.assertEqual(self.failover.phase, Phase.CHECKING)
 
 
-class PanelTest(unittest.TestCase):
-    def test_it_is_small_the_same_everywhere_and_another_for_each_group(self) -> None:
+class JudgesTest(unittest.TestCase):
+    def test_judges_are_few_and_the_same_on_all_processes(self) -> None:
         members = [f"node-{number}" for number in range(850)]
         first = panel("menus", members)
         self.assertEqual(len(first), 15)
@@ -323,7 +323,7 @@
         self.assertNotEqual(first, panel("permits", members))
         self.assertEqual(sorted(panel("menus", members[:7])), members[:7])
 
-    def test_one_that_does_not_judge_claims_after_those_that_do(self) -> None:
+    def test_process_outside_judges_claims_last(self) -> None:
         view = GroupView("menus")
         record = DatabaseRecord("p", "menus", "x", "z", DatabaseRole.PRIMARY, False, 3, 1)
         other = DatabaseRecord("r", "menus", "x", "z", DatabaseRole.REPLICA, False, 3, 2)
@@ -335,8 +335,8 @@
             self.assertEqual(failover.handle(Ticked(), view, MEMBERS, step * 0.04), [])
 
 
-class PlannedTest(FailoverCase):
-    def test_a_primary_that_says_it_leaves_is_replaced_without_doubt(self) -> None:
+class PlannedReplacementTest(FailoverCase):
+    def test_draining_primary_is_replaced_without_check(self) -> None:
         self.announce("p", "primary", draining=True)
         self.wait(0.5)
         self.assertEqual(len(self.replacements()), 1)
@@ -352,7 +352,7 @@
             status = DatabaseStatus(name == "p", 1, LogPosition(1, offset))
             self.handle(StatusRead(name, status))
 
-    def test_the_successor_first_receives_what_the_leaving_primary_has(self) -> None:
+    def test_candidate_catches_up_before_promotion(self) -> None:
         self.plan()
         self.tell(r1=4, r2=6, p=9)
         self.wait(0.2)
@@ -360,27 +360,27 @@
         self.tell(r1=4, r2=9, p=9)
         self.assertEqual(self.of(Promote), [Promote("r2", 7)])
 
-    def test_one_that_never_catches_up_is_promoted_in_time_all_the_same(self) -> None:
+    def test_candidate_is_promoted_after_catch_up_timeout(self) -> None:
         self.plan()
         for _ in range(30):
             self.tell(r1=4, r2=6, p=9)
             self.wait(0.1)
         self.assertEqual(set(self.of(Promote)), {Promote("r2", 7)})
 
-    def test_a_lost_primary_is_not_asked_what_it_has(self) -> None:
+    def test_lost_primary_is_not_asked_for_status(self) -> None:
         self.lose_primary()
         self.confirm()
         self.handle(ClaimSeen(Claim("a", "p", 7)))
         self.assertNotIn(ReadStatus("p"), self.effects)
 
-    def test_one_whose_entry_is_gone_is_replaced_after_a_while(self) -> None:
+    def test_primary_with_removed_entry_is_replaced_after_timeout(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
         self.wait(1.0)
         self.assertEqual(self.replacements(), [])
         self.wait(1.0)
         self.assertEqual(len(self.replacements()), 1)
 
-    def test_one_whose_entry_comes_back_stays(self) -> None:
+    def test_primary_whose_entry_returns_is_not_replaced(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
         self.wait(1.0)
         self.revision = 100
@@ -388,13 +388,13 @@
         self.wait(3.0)
         self.assertEqual(self.replacements(), [])
 
-    def test_with_no_other_database_nothing_is_claimed(self) -> None:
+    def test_no_claim_is_written_without_another_database(self) -> None:
         self.view = self.view.without("r1").without("r2")
         self.announce("p", "primary", draining=True)
         self.wait(3.0)
         self.assertEqual(self.replacements(), [])
 
-    def test_without_any_known_primary_one_is_made(self) -> None:
+    def test_group_without_known_primary_is_claimed(self) -> None:
         self.view = self.view.with_refuted("p")
         self.wait(2.0)
         self.assertEqual(self.of(WriteClaim), [])
@@ -402,8 +402,8 @@
         self.assertEqual(self.of(WriteClaim), [WriteClaim("", 0)])
 
 
-class RaceTest(FailoverCase):
-    def test_of_many_that_claim_at_once_only_the_holder_of_the_row_promotes(self) -> None:
+class ConcurrentClaimsTest(FailoverCase):
+    def test_only_one_process_promotes_under_each_token(self) -> None:
         contenders = {name: GroupFailover("menus", name, self.events.append) for name in MEMBERS}
         promotions = []
         row: Claim | None = None
--- a/tests/core/pooler/failover/test_phases.py
+++ b/tests/core/pooler/failover/test_phases.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.failover.phases import EFFECTS, TRANSITIONS, PhaseEnd, Transition
 
 
-def is_row(row: Transition, before: Phase, change: PhaseChanged) -> bool:
+def matches_transition(row: Transition, before: Phase, change: PhaseChanged) -> bool:
     """Tells whether a change of phase is as a row of the table has it."""
     is_reason = change.reason == row.reason
     if row.reason.endswith("_by_"):
@@ -21,34 +21,34 @@
     """Returns the changes that no row of the table has, or more than one."""
     found = []
     for change in changes:
-        rows = [row for row in TRANSITIONS.values() if is_row(row, before, change)]
+        rows = [row for row in TRANSITIONS.values() if matches_transition(row, before, change)]
         if len(rows) != 1:
             found.append(f"{before} to {change.phase}: {change.reason}")
         before = change.phase
     return found
 
 
-def undeclared(phases: Iterable[Phase], effects: Sequence[FailoverEffect]) -> list[str]:
+def undeclared_effects(phases: Iterable[Phase], effects: Sequence[FailoverEffect]) -> list[str]:
     """Returns the effects that none of these phases asks for by the table."""
     allowed = tuple(kind for phase in phases for kind in EFFECTS[phase])
     return [repr(effect) for effect in effects if not isinstance(effect, allowed)]
 
 
 class PhaseTableTest(unittest.TestCase):
-    def test_each_end_has_a_row_and_each_phase_its_effects(self) -> None:
+    def test_every_phase_end_has_a_transition_and_every_phase_its_effects(self) -> None:
         self.assertEqual(set(TRANSITIONS), set(PhaseEnd))
         self.assertEqual(set(EFFECTS), set(Phase))
 
-    def test_each_phase_is_entered_and_ended_by_some_row(self) -> None:
+    def test_every_phase_can_be_entered_and_ended(self) -> None:
         self.assertEqual({row.next_phase for row in TRANSITIONS.values()}, set(Phase))
         ended = {phase for row in TRANSITIONS.values() for phase in row.during}
         self.assertEqual(ended, set(Phase))
 
-    def test_no_row_leads_back_to_the_phase_that_it_ends(self) -> None:
+    def test_no_transition_returns_to_the_phase_it_ends(self) -> None:
         for end, row in TRANSITIONS.items():
             self.assertNotIn(row.next_phase, row.during, end)
 
-    def test_a_change_that_no_row_has_is_found(self) -> None:
+    def test_phase_change_outside_the_table_is_reported(self) -> None:
         change = PhaseChanged("g", "p", Phase.PROMOTING, "chosen")
         self.assertEqual(outside_table(Phase.CHOOSING, [change]), [])
         self.assertEqual(len(outside_table(Phase.CLAIMING, [change])), 1)
--- a/tests/core/pooler/failover/test_reach_check.py
+++ b/tests/core/pooler/failover/test_reach_check.py
@@ -40,7 +40,7 @@
         self.assertIsNone(step.end)
         return list(step.effects)
 
-    def test_a_primary_that_is_reached_is_doubted_no_more(self) -> None:
+    def test_successful_local_test_clears_suspicion(self) -> None:
         self.miss()
         self.judge()
         self.assertEqual(self.check.suspected, "p")
@@ -48,14 +48,14 @@
         self.assertIs(self.judge().end, PhaseEnd.REACHABLE)
         self.assertIsNone(self.check.suspected)
 
-    def test_others_are_asked_once_at_a_miss_or_without_a_result(self) -> None:
+    def test_indirect_probes_are_requested_once(self) -> None:
         self.assertEqual(self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS - 0.01)), [])
         asked = self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS))
         self.assertEqual(asked, [AskIndirectProbes("p")])
         self.miss()
         self.assertEqual(self.effects(self.judge(INDIRECT_PROBE_DELAY_SECONDS + 0.01)), [])
 
-    def test_one_that_another_process_reaches_is_kept_and_used_through_it(self) -> None:
+    def test_primary_reached_by_another_process_is_used_through_it(self) -> None:
         self.miss("b")
         self.check.add_evidence(IndirectProbeReported("d", "p", True))
         self.check.add_evidence(IndirectProbeReported("c", "p", True))
@@ -63,34 +63,34 @@
         self.assertEqual((step.end, step.detail), (PhaseEnd.REACHED_BY_OTHER, "c"))
         self.assertEqual(self.check.reached_by, "c")
 
-    def test_all_judges_decide_at_once_and_a_majority_after_a_while(self) -> None:
+    def test_all_judges_decide_at_once_and_a_majority_after_a_delay(self) -> None:
         self.miss("b", "c")
         self.assertIsNone(self.judge(MAJORITY_DECISION_SECONDS - 0.01).end)
         self.assertIs(self.judge(MAJORITY_DECISION_SECONDS).end, PhaseEnd.LOST)
         self.miss("d")
         self.assertIs(self.judge().end, PhaseEnd.LOST)
 
-    def test_half_of_the_judges_is_no_majority(self) -> None:
+    def test_half_of_the_judges_is_not_a_majority(self) -> None:
         self.miss("b")
         self.assertIsNone(self.judge(SOLE_DECISION_SECONDS, may_act_alone=False).end)
 
-    def test_alone_it_decides_late_and_only_where_the_platform_fences(self) -> None:
+    def test_single_process_decides_late_and_only_if_allowed(self) -> None:
         self.miss()
         self.assertIsNone(self.judge(SOLE_DECISION_SECONDS - 0.01).end)
         self.assertIs(self.judge(SOLE_DECISION_SECONDS).end, PhaseEnd.LOST)
         self.assertIsNone(self.judge(SOLE_DECISION_SECONDS, may_act_alone=False).end)
 
-    def test_a_check_without_a_decision_ends(self) -> None:
+    def test_undecided_check_times_out(self) -> None:
         limit = MAJORITY_DECISION_SECONDS * MAX_CHECK_DURATION_FACTOR
         self.assertIsNone(self.judge(limit - 0.01).end)
         self.assertIs(self.judge(limit).end, PhaseEnd.NOT_CONFIRMED)
 
-    def test_results_on_another_database_do_not_count(self) -> None:
+    def test_results_for_another_database_are_ignored(self) -> None:
         self.check.add_evidence(ReachTested("r1", False))
         self.check.add_evidence(IndirectProbeReported("b", "r1", True))
         self.assertEqual(self.effects(self.judge()), [])
 
-    def test_checks_have_a_pause_between_them(self) -> None:
+    def test_checks_keep_a_minimum_interval(self) -> None:
         self.assertFalse(self.check.may_start(NOW + CHECK_INTERVAL_SECONDS - 0.01))
         self.assertTrue(self.check.may_start(NOW + CHECK_INTERVAL_SECONDS))
 
--- a/tests/core/pooler/failover/test_reach_limit.py
+++ b/tests/core/pooler/failover/test_reach_limit.py
@@ -10,7 +10,7 @@
 
 
 class ReachLimitTest(unittest.TestCase):
-    def test_what_was_observed_decides_within_bounds(self) -> None:
+    def test_timeout_follows_observed_times_within_bounds(self) -> None:
         cases = (
             ("nothing yet", [], MAX_TIMEOUT_SECONDS, MAX_TIMEOUT_SECONDS),
             ("near ones", [0.001] * 30, MIN_TIMEOUT_SECONDS, MIN_TIMEOUT_SECONDS),
--- a/tests/core/pooler/failover/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -82,12 +82,12 @@
 
 
 class LostPrimaryTest(UnfencedCase):
-    def test_the_claim_bans_the_lost_primary_and_names_the_voters(self) -> None:
+    def test_claim_forbids_lost_primary_and_names_voters(self) -> None:
         self.lose_primary()
         self.confirm()
         self.assertEqual(self.of(WriteClaim), [WriteClaim("p", 0, "", MEMBERS)])
 
-    def test_it_is_told_until_all_know_it_and_then_one_is_promoted_at_once(self) -> None:
+    def test_claim_is_sent_until_acknowledged_by_all_then_replica_is_promoted(self) -> None:
         self.lose_and_claim()
         self.assertEqual(self.of(SendClaim)[0], SendClaim(("b", "c")))
         self.know("b")
@@ -97,7 +97,7 @@
         self.know("c")
         self.assertEqual([(e.database, e.fencing_token) for e in self.of(Promote)], [("r2", 20)])  # type: ignore[union-attr]
 
-    def test_one_that_does_not_answer_is_outwaited(self) -> None:
+    def test_promotion_waits_for_lease_expiry_of_silent_process(self) -> None:
         self.lose_and_claim()
         self.know("b")
         self.wait(LEASE_SECONDS - 0.1)
@@ -105,7 +105,7 @@
         self.wait(0.2)
         self.assertEqual(len(self.of(Promote)), 1)
 
-    def test_the_last_holder_waits_for_its_row_too(self) -> None:
+    def test_last_holder_waits_for_claim_write(self) -> None:
         self.handle(ClaimSeen(Claim("a", "", 5)))
         self.lose_primary()
         self.confirm()
@@ -113,19 +113,19 @@
         self.assertEqual(self.of(Promote), [])
         self.assertEqual(self.failover.phase, Phase.CLAIMING)
 
-    def test_nothing_is_ordered_once_another_may_hold_a_newer_claim(self) -> None:
+    def test_no_promotion_if_another_process_may_hold_newer_claim(self) -> None:
         self.lose_and_claim()
         self.is_store_up = False
         self.know("b")
         self.wait(LEASE_SECONDS + 1.0)
         self.assertEqual(self.of(Promote), [])
 
-    def test_an_order_carries_the_time_until_which_it_may_leave(self) -> None:
+    def test_promotion_request_carries_latest_send_time(self) -> None:
         self.lose_and_claim()
         self.know("b", "c")
         self.assertEqual(self.of(Promote)[0].not_after, self.now + LEASE_SECONDS)  # type: ignore[union-attr]
 
-    def test_the_store_holds_the_order_before_it_is_given(self) -> None:
+    def test_order_is_stored_before_promotion(self) -> None:
         self.lose_primary()
         self.confirm()
         self.see(self.last_write())
@@ -137,14 +137,14 @@
         self.see(self.last_write())
         self.assertEqual([e.database for e in self.of(Promote)], ["r2"])  # type: ignore[union-attr]
 
-    def test_the_next_holder_orders_the_same_database(self) -> None:
+    def test_next_holder_orders_same_database(self) -> None:
         self.see(WriteClaim("p", 0, "r1", MEMBERS, (), "r1"), holder="b")
         self.wait(9.0)
         self.see(self.last_write())
         self.tell(r1=4, r2=6)
         self.assertEqual(self.last_write().ordered, "r1")
 
-    def test_one_that_leads_by_the_last_order_is_ordered_again(self) -> None:
+    def test_leader_by_last_order_is_ordered_again(self) -> None:
         self.see(WriteClaim("", 0, "r1", MEMBERS, (), "r1"), holder="b")
         self.wait(9.0)
         self.see(self.last_write())
@@ -154,7 +154,7 @@
         self.assertEqual(self.last_write().ordered, "r1")
         self.assertEqual(self.of(StepDown), [])
 
-    def test_one_that_leads_by_no_order_steps_down_before_it_is_chosen(self) -> None:
+    def test_unordered_leader_steps_down_before_selection(self) -> None:
         self.see(WriteClaim("", 0, "r1", MEMBERS, (), "r1"), holder="b")
         self.view = self.view.without("r1").without("r2")
         self.wait(9.0)
@@ -167,7 +167,7 @@
         self.wait(0.1)
         self.assertEqual(self.last_write().ordered, "p")
 
-    def test_one_that_has_told_nothing_may_lead_still_and_is_not_chosen(self) -> None:
+    def test_database_without_status_is_not_selected(self) -> None:
         self.lose_primary()
         self.confirm()
         self.see(self.last_write())
@@ -175,13 +175,13 @@
         self.assertEqual(self.last_write().ordered, "")
         self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
-    def test_a_lead_of_an_older_term_is_not_the_one_ordered(self) -> None:
+    def test_leadership_in_older_term_does_not_confirm_promotion(self) -> None:
         self.lose_and_claim()
         self.know("b", "c")
         self.handle(StatusRead("r2", DatabaseStatus(True, 1, LogPosition(1, 6))))
         self.assertEqual(self.failover.phase, Phase.PROMOTING)
 
-    def test_it_is_not_over_before_the_chosen_one_leads(self) -> None:
+    def test_failover_ends_only_when_candidate_leads(self) -> None:
         self.lose_and_claim()
         self.announce("r2", "primary")
         self.know("b", "c")
@@ -189,20 +189,20 @@
         self.handle(StatusRead("r2", DatabaseStatus(True, 2, LogPosition(2, 6))))
         self.assertEqual(self.failover.phase, Phase.STEADY)
 
-    def test_the_leader_of_the_newest_claim_is_tried_before_a_new_claim(self) -> None:
+    def test_claimed_leader_is_tried_before_new_claim(self) -> None:
         self.see(WriteClaim("", 0, "r1", MEMBERS), holder="b")
         self.wait(1.5)
         self.assertIn(TryLeader("r1"), self.effects)
         self.assertEqual(self.of(WriteClaim), [])
 
-    def test_a_primary_that_another_replaces_just_now_is_left_to_it(self) -> None:
+    def test_draining_primary_is_left_to_active_holder(self) -> None:
         self.see(WriteClaim("p", 0, "p", MEMBERS), holder="b")
         self.announce("p", "primary", draining=True)
         self.wait(2.5)
         self.assertEqual(self.of(WriteClaim), [])
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
-    def test_an_overtaken_holder_follows(self) -> None:
+    def test_holder_follows_newer_claim(self) -> None:
         self.lose_and_claim()
         self.token += 10
         self.handle(ClaimSeen(Claim("b", "p", self.token, "")))
@@ -210,12 +210,12 @@
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.of(Promote), [])
 
-    def test_a_process_alone_never_claims(self) -> None:
+    def test_isolated_process_never_claims(self) -> None:
         self.lose_primary()
         self.wait(20.0)
         self.assertEqual([e for e in self.replacements() if e.replaced], [])  # type: ignore[union-attr]
 
-    def test_without_more_than_half_of_the_voters_the_ban_is_taken_back(self) -> None:
+    def test_claim_is_withdrawn_without_majority_of_voters(self) -> None:
         self.see(WriteClaim("", 0, None, ("a", "b", "c", "d", "e")), holder="b")
         self.lose_primary()
         self.confirm()
@@ -227,7 +227,7 @@
         withdrawal = self.last_write()
         self.assertEqual((withdrawal.replaced, withdrawal.leader), ("", "p"))
 
-    def test_a_claim_whose_holder_is_lost_is_brought_to_an_end(self) -> None:
+    def test_claim_of_lost_holder_is_taken_over(self) -> None:
         self.see(WriteClaim("p", 0, "", MEMBERS), holder="b")
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.wait(3.0)
@@ -235,21 +235,21 @@
         self.wait(5.0)
         self.assertEqual(self.last_write().replaced, "p")
 
-    def test_the_reached_primary_is_kept(self) -> None:
+    def test_primary_reached_by_another_process_is_not_replaced(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", True))
         self.wait(10.0)
         self.assertEqual([e for e in self.replacements() if e.replaced], [])  # type: ignore[union-attr]
 
 
-class LeavingPrimaryTest(UnfencedCase):
+class DrainingPrimaryTest(UnfencedCase):
     def plan(self) -> None:
         self.announce("p", "primary", draining=True)
         self.wait(0.5)
         self.see(self.last_write())
         self.know("b", "c")
 
-    def test_it_steps_down_before_another_is_promoted(self) -> None:
+    def test_primary_steps_down_before_promotion(self) -> None:
         self.plan()
         self.assertEqual(self.last_write().leader, "p")
         self.tell(r1=4, r2=9, p=9)
@@ -259,7 +259,7 @@
         self.handle(SteppedDown("p", DatabaseStatus(False, 2, LogPosition(1, 9))))
         self.assertEqual([e.database for e in self.of(Promote)], ["r2"])  # type: ignore[union-attr]
 
-    def test_before_that_all_know_that_it_leaves(self) -> None:
+    def test_step_down_waits_for_acknowledgements(self) -> None:
         self.announce("p", "primary", draining=True)
         self.wait(0.5)
         self.see(self.last_write())
@@ -270,7 +270,7 @@
         self.know("b", "c")
         self.assertEqual(self.of(StepDown), [StepDown("p", 2)])
 
-    def test_the_successor_first_receives_the_last_commits(self) -> None:
+    def test_candidate_receives_last_commits_before_promotion(self) -> None:
         self.plan()
         self.tell(r1=4, r2=9, p=9)
         self.see(self.last_write())
@@ -280,7 +280,7 @@
         self.tell(r2=12)
         self.assertEqual([e.database for e in self.of(Promote)], ["r2"])  # type: ignore[union-attr]
 
-    def test_of_one_that_does_not_answer_all_know_that_it_leads_no_more(self) -> None:
+    def test_silent_primary_is_replaced_after_acknowledged_ban(self) -> None:
         self.plan()
         self.tell(r1=4, r2=9, p=9)
         self.see(self.last_write())
@@ -290,22 +290,22 @@
         self.wait(0.5)
         self.assertEqual([e.fencing_token for e in self.of(Promote)], [20])  # type: ignore[union-attr]
 
-    def test_an_answer_that_it_still_leads_is_no_proof(self) -> None:
+    def test_answer_of_leading_primary_does_not_end_its_use(self) -> None:
         self.plan()
         self.tell(r1=4, r2=9, p=9)
         self.handle(SteppedDown("p", DatabaseStatus(True, 1, LogPosition(1, 9))))
         self.assertEqual(self.of(Promote), [])
 
 
-class StandingVotersTest(UnfencedCase):
-    def test_the_voters_follow_the_processes_once_these_have_settled(self) -> None:
+class VoterMaintenanceTest(UnfencedCase):
+    def test_voters_follow_judges_once_stable(self) -> None:
         self.see(WriteClaim("", 0, None, ("a",)), holder="b")
         self.wait(0.8)
         self.assertEqual(self.of(WriteClaim), [])
         self.wait(8.0)
         self.assertEqual(self.of(WriteClaim)[0], WriteClaim("", 10, None, MEMBERS, (("a",),)))
 
-    def test_the_earlier_voters_are_dropped_once_they_know(self) -> None:
+    def test_earlier_voters_are_dropped_once_acknowledged(self) -> None:
         self.see(WriteClaim("", 0, None, MEMBERS, (("x", "y", "z"),)))
         self.wait(9.0)
         self.assertEqual(self.of(WriteClaim), [])
@@ -313,14 +313,14 @@
         self.wait(0.5)
         self.assertEqual(self.last_write().quorums, (MEMBERS,))
 
-    def test_where_all_is_well_nothing_is_written(self) -> None:
+    def test_no_claim_is_written_while_voters_match(self) -> None:
         self.see(WriteClaim("", 0, None, MEMBERS, (MEMBERS,)), holder="b")
         self.wait(30.0)
         self.assertEqual(self.of(WriteClaim), [])
 
 
-class ReachedAgainTest(UnfencedCase):
-    def test_a_test_that_succeeds_ends_the_doubt(self) -> None:
+class SuspicionTest(UnfencedCase):
+    def test_successful_test_clears_suspicion(self) -> None:
         self.lose_primary()
         self.wait(0.5)
         self.handle(ReachTested("p", True))
