--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -1,4 +1,4 @@
-"""The cases in which a primary is replaced, and those in which it is not."""
+"""When the failover state machine replaces a primary, and when it leaves the primary in place."""
 
 import unittest
 from collections.abc import Sequence
@@ -37,7 +37,7 @@
 
 
 class FailoverCase(unittest.TestCase):
-    own_name = "a"
+    local_name = "a"
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -45,11 +45,11 @@
         self.view = GroupView("menus")
         self.revision = 0
         for name, role in (("p", "primary"), ("r1", "replica"), ("r2", "replica")):
-            self.announce(name, role)
+            self.register_database(name, role)
         self.failover = GroupFailover("menus", "a", self.events.append)
         self.effects: list[FailoverEffect] = []
 
-    def announce(self, name: str, role: str, draining: bool = False) -> None:
+    def register_database(self, name: str, role: str, draining: bool = False) -> None:
         self.revision += 1
         record = DatabaseRecord(
             name, "menus", "127.0.0.1:1", "z", DatabaseRole(role), draining, 3, self.revision
@@ -59,21 +59,21 @@
     def handle(
         self, event: FailoverEvent, members: Sequence[str] = MEMBERS
     ) -> Sequence[FailoverEffect]:
-        return self.take(event, members, NO_REGISTERED_PROCESSES)
+        return self.handle_with(event, members, NO_REGISTERED_PROCESSES)
 
-    def take(
+    def handle_with(
         self, event: FailoverEvent, members: Sequence[str], registered: RegisteredProcesses
     ) -> Sequence[FailoverEffect]:
-        before, known = self.failover.phase, len(self.events)
+        before, event_count = self.failover.phase, len(self.events)
         effects = self.failover.handle(event, self.view, members, self.now, registered)
-        changes = self.events[known:]
+        changes = self.events[event_count:]
         self.assertEqual(outside_table(before, changes), [])
         phases = [before, *(change.phase for change in changes)]
         self.assertEqual(undeclared_effects(phases, effects), [])
         self.effects += effects
         return effects
 
-    def wait(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[FailoverEffect]:
+    def advance(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[FailoverEffect]:
         before = len(self.effects)
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
@@ -84,15 +84,15 @@
         self.handle(PrimaryDoubted("p"))
         self.handle(ReachTested("p", False))
 
-    def confirm(self) -> None:
+    def confirm_loss(self) -> None:
         for process in ("b", "c"):
             self.handle(IndirectProbeReported(process, "p", False))
 
-    def replacements(self) -> list[FailoverEffect]:
-        """The claims to replace the primary; a standing claim replaces none."""
-        return [each for each in self.of(WriteClaim) if each != WriteClaim("", 0)]
+    def replacement_claims(self) -> list[FailoverEffect]:
+        """Returns the claims to replace the primary, without those of ClaimMaintenance."""
+        return [each for each in self.effects_of(WriteClaim) if each != WriteClaim("", 0)]
 
-    def of(self, kind: type[FailoverEffect]) -> list[FailoverEffect]:
+    def effects_of(self, kind: type[FailoverEffect]) -> list[FailoverEffect]:
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
 
@@ -100,8 +100,8 @@
     def test_reachable_primary_is_not_replaced(self) -> None:
         self.assertEqual(self.handle(PrimaryDoubted("p")), [TestReach("p")])
         self.handle(ReachTested("p", True))
-        self.wait(10.0)
-        self.assertEqual(self.replacements(), [])
+        self.advance(10.0)
+        self.assertEqual(self.replacement_claims(), [])
         self.assertIsNone(self.failover.doubted)
 
     def test_primary_reached_by_another_process_is_not_replaced(self) -> None:
@@ -111,36 +111,36 @@
         self.assertEqual(self.failover.phase, Phase.STEADY)
         self.assertEqual(self.failover.doubted, "p")
         self.assertEqual(self.failover.reached_by, "c")
-        self.assertEqual(self.replacements(), [])
+        self.assertEqual(self.replacement_claims(), [])
 
     def test_check_is_repeated_while_only_this_process_cannot_reach_primary(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("c", "p", True))
-        tests = [e for e in self.wait(1.0) if isinstance(e, TestReach)]
+        tests = [e for e in self.advance(1.0) if isinstance(e, TestReach)]
         self.assertGreaterEqual(len(tests), 1)
         self.handle(ReachTested("p", True))
         self.assertIsNone(self.failover.doubted)
 
     def test_claim_is_written_at_once_if_all_judges_agree(self) -> None:
         self.lose_primary()
-        self.confirm()
-        self.assertEqual(self.of(AskIndirectProbes), [AskIndirectProbes("p")])
-        self.assertEqual(self.replacements(), [WriteClaim("p", 0)])
+        self.confirm_loss()
+        self.assertEqual(self.effects_of(AskIndirectProbes), [AskIndirectProbes("p")])
+        self.assertEqual(self.replacement_claims(), [WriteClaim("p", 0)])
 
     def test_majority_of_judges_is_enough_after_a_delay(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
-        self.wait(0.3)
-        self.assertEqual(self.replacements(), [])
-        self.wait(0.2)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(0.3)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(0.2)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
     def test_isolated_process_waits_longer_before_claiming(self) -> None:
         self.lose_primary()
-        self.wait(2.3)
-        self.assertEqual(self.replacements(), [])
-        self.wait(0.4)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(2.3)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(0.4)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
     def test_suspected_replica_starts_no_check(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
@@ -148,61 +148,61 @@
 
 
 class ClaimTest(FailoverCase):
-    def claim(self, token: int = 7) -> None:
+    def claim_lost_primary(self, token: int = 7) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("a", "p", token)))
 
     def test_process_follows_earlier_claim_holder(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
-        self.wait(2.0)
+        self.advance(2.0)
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
-        self.assertEqual(self.of(Promote), [])
+        self.assertEqual(self.effects_of(Promote), [])
 
     def test_holder_without_effect_is_succeeded_by_newer_claim(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
-        self.wait(3.1)
+        self.advance(3.1)
         self.lose_primary()
-        self.confirm()
-        self.wait(1.0)
-        self.assertEqual(self.of(WriteClaim)[-1], WriteClaim("p", 7))
+        self.confirm_loss()
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(WriteClaim)[-1], WriteClaim("p", 7))
 
     def test_last_holder_promotes_under_its_token_while_store_is_down(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimRefused())
-        self.wait(1.0)
-        self.assertEqual(self.of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
 
     def test_last_holder_does_not_wait_for_claim_write(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
-        self.assertEqual(self.of(WriteClaim), [WriteClaim("p", 5)])
+        self.confirm_loss()
+        self.assertEqual(self.effects_of(WriteClaim), [WriteClaim("p", 5)])
         self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
     def test_holder_with_outdated_refused_token_follows(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.4)
+        self.advance(0.4)
         self.handle(ClaimSeen(Claim("b", "p", 8)))
         self.handle(PromotionAnswered("r1", False, True))
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
     def test_new_primary_is_announced_once_it_reports_leading(self) -> None:
-        self.claim()
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.6)
-        self.assertEqual(self.of(AnnounceLeader), [])
+        self.advance(0.6)
+        self.assertEqual(self.effects_of(AnnounceLeader), [])
         self.handle(StatusRead("r1", DatabaseStatus(True, 2, LogPosition(2, 4))))
-        self.assertEqual(self.of(AnnounceLeader), [AnnounceLeader("r1")])
+        self.assertEqual(self.effects_of(AnnounceLeader), [AnnounceLeader("r1")])
         self.view = self.view.with_leader("r1")
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
@@ -210,71 +210,71 @@
     def test_process_without_claim_promotes_nothing(self) -> None:
         self.handle(ClaimSeen(Claim("b", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         for _ in range(20):
-            self.wait(0.5)
+            self.advance(0.5)
             self.handle(ClaimRefused())
-        self.assertEqual(self.of(Promote), [])
+        self.assertEqual(self.effects_of(Promote), [])
 
     def test_replica_with_highest_position_is_promoted(self) -> None:
-        self.claim()
-        self.assertEqual(self.of(ReadStatus), [ReadStatus("r1"), ReadStatus("r2")])
+        self.claim_lost_primary()
+        self.assertEqual(self.effects_of(ReadStatus), [ReadStatus("r1"), ReadStatus("r2")])
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.handle(StatusRead("r2", DatabaseStatus(False, 1, LogPosition(1, 6))))
-        self.assertEqual(self.of(Promote), [Promote("r2", 7)])
+        self.assertEqual(self.effects_of(Promote), [Promote("r2", 7)])
 
     def test_missing_status_delays_promotion_briefly(self) -> None:
-        self.claim()
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [])
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [Promote("r1", 7)])
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [])
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [Promote("r1", 7)])
 
     def test_unanswered_promotion_is_retried_under_same_token(self) -> None:
-        self.claim()
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(2.0)
-        promotions = self.of(Promote)
+        self.advance(2.0)
+        promotions = self.effects_of(Promote)
         self.assertGreaterEqual(len(promotions), 2)
         self.assertEqual(set(promotions), {Promote("r1", 7)})
 
     def test_token_refused_for_two_databases_is_not_reused(self) -> None:
         self.handle(ClaimSeen(Claim("a", "", 7)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         for _ in range(2):
-            self.wait(1.0)
-            (*_, promote) = self.of(Promote)
+            self.advance(1.0)
+            (*_, promote) = self.effects_of(Promote)
             self.handle(PromotionAnswered(promote.database, False, True))
         self.assertIs(self.failover.phase, Phase.FOLLOWING)
-        calls = len(self.of(Promote))
+        calls = len(self.effects_of(Promote))
         self.effects.clear()
         for _ in range(5):
             self.handle(PrimaryDoubted("p"))
             self.handle(ReachTested("p", False))
-            self.confirm()
-            self.wait(2.0)
+            self.confirm_loss()
+            self.advance(2.0)
         self.assertGreaterEqual(calls, 2)
-        self.assertEqual(self.of(Promote), [])
-        self.assertIn(WriteClaim("p", 7), self.of(WriteClaim))
+        self.assertEqual(self.effects_of(Promote), [])
+        self.assertIn(WriteClaim("p", 7), self.effects_of(WriteClaim))
         self.handle(ClaimSeen(Claim("a", "p", 9)))
-        self.wait(3.0)
-        self.assertEqual({each.fencing_token for each in self.of(Promote)}, {9})
+        self.advance(3.0)
+        self.assertEqual({each.fencing_token for each in self.effects_of(Promote)}, {9})
 
     def test_refused_candidate_is_not_retried(self) -> None:
-        self.claim()
+        self.claim_lost_primary()
         for name in ("r1", "r2"):
             self.handle(StatusRead(name, DatabaseStatus(False, 1, LogPosition(1, 4))))
-        first = self.of(Promote)[0].database  # type: ignore[union-attr]
+        first = self.effects_of(Promote)[0].database  # type: ignore[union-attr]
         self.handle(PromotionAnswered(first, False, True))
-        self.assertNotEqual(self.of(Promote)[-1].database, first)  # type: ignore[union-attr]
+        self.assertNotEqual(self.effects_of(Promote)[-1].database, first)  # type: ignore[union-attr]
 
     def test_failover_ends_when_another_primary_is_known(self) -> None:
-        self.claim()
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.4)
-        self.announce("r1", "primary")
+        self.advance(0.4)
+        self.register_database("r1", "primary")
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
         self.assertIsNone(self.failover.doubted)
@@ -291,7 +291,7 @@
         self.assertEqual(len(writers), 1)
 
     def test_new_process_claims_nothing_before_others_are_known(self) -> None:
-        known = (
+        known_processes = (
             (0.0, ["c"]),
             (0.1, ["b", "c"]),
             (0.2, MEMBERS),
@@ -299,14 +299,14 @@
         )
         for name in MEMBERS[1:]:
             failover = GroupFailover("menus", name, self.events.append)
-            for after, members in known:
+            for after, members in known_processes:
                 effects = failover.handle(Ticked(), self.view, members, self.now + after)
                 self.assertEqual(effects, [], (name, after))
 
     def test_no_claim_is_written_if_another_process_holds_one(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
-        self.wait(20.0)
-        self.assertEqual(self.of(WriteClaim), [])
+        self.advance(20.0)
+        self.assertEqual(self.effects_of(WriteClaim), [])
 
     def test_claim_that_replaces_no_primary_is_not_followed(self) -> None:
         self.lose_primary()
@@ -337,69 +337,69 @@
 
 class PlannedReplacementTest(FailoverCase):
     def test_draining_primary_is_replaced_without_check(self) -> None:
-        self.announce("p", "primary", draining=True)
-        self.wait(0.5)
-        self.assertEqual(len(self.replacements()), 1)
-        self.assertEqual(self.of(TestReach), [])
-
-    def plan(self) -> None:
-        self.announce("p", "primary", draining=True)
-        self.wait(0.5)
+        self.register_database("p", "primary", draining=True)
+        self.advance(0.5)
+        self.assertEqual(len(self.replacement_claims()), 1)
+        self.assertEqual(self.effects_of(TestReach), [])
+
+    def claim_draining_primary(self) -> None:
+        self.register_database("p", "primary", draining=True)
+        self.advance(0.5)
         self.handle(ClaimSeen(Claim("a", "p", 7)))
 
-    def tell(self, **offsets: int) -> None:
+    def report_positions(self, **offsets: int) -> None:
         for name, offset in offsets.items():
             status = DatabaseStatus(name == "p", 1, LogPosition(1, offset))
             self.handle(StatusRead(name, status))
 
     def test_candidate_catches_up_before_promotion(self) -> None:
-        self.plan()
-        self.tell(r1=4, r2=6, p=9)
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [])
-        self.tell(r1=4, r2=9, p=9)
-        self.assertEqual(self.of(Promote), [Promote("r2", 7)])
+        self.claim_draining_primary()
+        self.report_positions(r1=4, r2=6, p=9)
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [])
+        self.report_positions(r1=4, r2=9, p=9)
+        self.assertEqual(self.effects_of(Promote), [Promote("r2", 7)])
 
     def test_candidate_is_promoted_after_catch_up_timeout(self) -> None:
-        self.plan()
+        self.claim_draining_primary()
         for _ in range(30):
-            self.tell(r1=4, r2=6, p=9)
-            self.wait(0.1)
-        self.assertEqual(set(self.of(Promote)), {Promote("r2", 7)})
+            self.report_positions(r1=4, r2=6, p=9)
+            self.advance(0.1)
+        self.assertEqual(set(self.effects_of(Promote)), {Promote("r2", 7)})
 
     def test_lost_primary_is_not_asked_for_status(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("a", "p", 7)))
         self.assertNotIn(ReadStatus("p"), self.effects)
 
     def test_primary_with_removed_entry_is_replaced_after_timeout(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
-        self.wait(1.0)
-        self.assertEqual(self.replacements(), [])
-        self.wait(1.0)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(1.0)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(1.0)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
     def test_primary_whose_entry_returns_is_not_replaced(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
-        self.wait(1.0)
+        self.advance(1.0)
         self.revision = 100
-        self.announce("p", "primary")
-        self.wait(3.0)
-        self.assertEqual(self.replacements(), [])
+        self.register_database("p", "primary")
+        self.advance(3.0)
+        self.assertEqual(self.replacement_claims(), [])
 
     def test_no_claim_is_written_without_another_database(self) -> None:
         self.view = self.view.without("r1").without("r2")
-        self.announce("p", "primary", draining=True)
-        self.wait(3.0)
-        self.assertEqual(self.replacements(), [])
+        self.register_database("p", "primary", draining=True)
+        self.advance(3.0)
+        self.assertEqual(self.replacement_claims(), [])
 
     def test_group_without_known_primary_is_claimed(self) -> None:
         self.view = self.view.with_refuted("p")
-        self.wait(2.0)
-        self.assertEqual(self.of(WriteClaim), [])
-        self.wait(1.0)
-        self.assertEqual(self.of(WriteClaim), [WriteClaim("", 0)])
+        self.advance(2.0)
+        self.assertEqual(self.effects_of(WriteClaim), [])
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(WriteClaim), [WriteClaim("", 0)])
 
 
 class ConcurrentClaimsTest(FailoverCase):
--- a/tests/core/pooler/failover/test_primary_lease.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -1,4 +1,4 @@
-"""The lease on a primary: when it holds, when a claim may take effect, who confirms it."""
+"""Leases on a primary: validity, confirmation by a quorum, and when a new claim takes effect."""
 
 import unittest
 
@@ -34,15 +34,15 @@
 class PrimaryLeaseTest(unittest.TestCase):
     def test_when_a_database_may_be_used_as_primary(self) -> None:
         cases = (
-            ("the platform fences", Fencing.PLATFORM, None, "q", True),
-            ("no word at all", Fencing.PROCESSES, None, None, False),
-            ("a young word", Fencing.PROCESSES, NOW - 0.1, None, True),
-            ("a word just young enough", Fencing.PROCESSES, NOW - LEASE_SECONDS + 0.01, None, True),
-            ("an old word", Fencing.PROCESSES, NOW - LEASE_SECONDS, None, False),
-            ("an old word, named leader", Fencing.PROCESSES, NOW - LEASE_SECONDS, "p", False),
-            ("a young word, named leader", Fencing.PROCESSES, NOW - 0.1, "p", True),
-            ("a young word, but nobody leads", Fencing.PROCESSES, NOW - 0.1, "", False),
-            ("a young word, but another leads", Fencing.PROCESSES, NOW - 0.1, "q", False),
+            ("platform fences", Fencing.PLATFORM, None, "q", True),
+            ("never confirmed", Fencing.PROCESSES, None, None, False),
+            ("recently confirmed", Fencing.PROCESSES, NOW - 0.1, None, True),
+            ("just before expiry", Fencing.PROCESSES, NOW - LEASE_SECONDS + 0.01, None, True),
+            ("expired", Fencing.PROCESSES, NOW - LEASE_SECONDS, None, False),
+            ("expired, named leader", Fencing.PROCESSES, NOW - LEASE_SECONDS, "p", False),
+            ("confirmed, named leader", Fencing.PROCESSES, NOW - 0.1, "p", True),
+            ("confirmed, but no leader", Fencing.PROCESSES, NOW - 0.1, "", False),
+            ("confirmed, but another leader", Fencing.PROCESSES, NOW - 0.1, "q", False),
         )
         for name, fencing, confirmed_at, leader, allowed in cases:
             with self.subTest(name):
@@ -140,17 +140,17 @@
 
     def test_leader_of_replacement_claim(self) -> None:
         cases = (
-            ("nothing known, lost", None, False, ""),
-            ("nothing known, serves on", None, True, "p"),
+            ("no leader set, lost", None, False, ""),
+            ("no leader set, still serves", None, True, "p"),
             ("p leads, lost", "p", False, ""),
-            ("p leads, serves on", "p", True, "p"),
-            ("nobody leads, serves on", "", True, ""),
+            ("p leads, still serves", "p", True, "p"),
+            ("no leader allowed, still serves", "", True, ""),
         )
-        for name, before, serves_on, leader in cases:
+        for name, before, still_serves, leader in cases:
             with self.subTest(name):
                 self.lease = PrimaryLease(Fencing.PROCESSES)
                 self.lease.take_claim(claim(7, before))
-                write = replacement_claim(self.lease, VOTERS, "p", serves_on)
+                write = replacement_claim(self.lease, VOTERS, "p", still_serves)
                 self.assertEqual(write.leader, leader)
 
     def test_order_claim_names_only_leader(self) -> None:
@@ -206,7 +206,7 @@
         assert answer is not None
         return answer
 
-    def take(self, answer: ConfirmationAnswer) -> None:
+    def receive(self, answer: ConfirmationAnswer) -> None:
         self.confirmation.take(answer, self.leases["a"].by_group)
 
     def test_no_question_while_confirmation_is_recent(self) -> None:
@@ -214,18 +214,18 @@
 
     def test_majority_including_asker_renews_lease_from_send_time(self) -> None:
         question = self.ask(NOW + 1.3)
-        self.take(self.answer("b", question))
+        self.receive(self.answer("b", question))
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
-        self.take(self.answer("b", question))
+        self.receive(self.answer("b", question))
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
-        self.take(self.answer("c", question))
+        self.receive(self.answer("c", question))
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW + 1.3)
 
     def test_voter_with_newer_claim_does_not_confirm(self) -> None:
         self.leases["c"].of("menus").take_claim(claim(9, ""))
         question = self.ask(NOW + 1.3)
         for voter in ("b", "c"):
-            self.take(self.answer(voter, question))
+            self.receive(self.answer(voter, question))
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
 
     def test_answer_to_earlier_question_is_ignored(self) -> None:
@@ -233,7 +233,7 @@
         late = [self.answer(voter, first) for voter in ("b", "c")]
         self.ask(NOW + 2.6)
         for answer in late:
-            self.take(answer)
+            self.receive(answer)
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
 
     def test_answer_for_outdated_claim_is_ignored(self) -> None:
@@ -241,7 +241,7 @@
         answers = [self.answer(voter, question) for voter in ("b", "c", "d")]
         self.leases["a"].of("menus").take_claim(claim(9))
         for answer in answers:
-            self.take(answer)
+            self.receive(answer)
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
 
     def test_unregistered_process_gets_no_answer(self) -> None:
