--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -26,8 +26,8 @@
 
     replaced: the primary that the holder replaces, empty if it replaces none.
     fencing_token: the store's version of the row, higher for each new claim; encoded as `token`.
-    leader: the only database that may be used as primary, empty for none; None allows any and is
-    used until the first promotion.
+    leader: the only database that may be used as primary, empty for none; None, the initial value
+    of a group, allows any.
     voters: the processes of which a majority can confirm that no newer claim exists.
     quorums: sets of voters of earlier claims that may still confirm those claims.
     ordered: the database whose promotion was ordered last; it leads, or may start to at any time.
--- a/src/dewledge/core/pooler/sessions/authorization.py
+++ b/src/dewledge/core/pooler/sessions/authorization.py
@@ -21,8 +21,8 @@
     caller: str
 
 
-NO_ROUTE = Failure(ErrorCode.UNKNOWN_GROUP, "no route of this name")
-NO_SUCH_CALLER = Failure(ErrorCode.UNAUTHENTICATED, "no caller has this token")
+UNKNOWN_ROUTE_FAILURE = Failure(ErrorCode.UNKNOWN_GROUP, "no route of this name")
+UNKNOWN_CALLER_FAILURE = Failure(ErrorCode.UNAUTHENTICATED, "no caller has this token")
 
 
 class Authorization:
@@ -37,16 +37,16 @@
     def authorize(self, database: str, digest: str) -> Authorized | Failure:
         """Returns the route and the caller; logs a credential that no caller has."""
         routes = self._services.routes
-        route = routes.find(database)
+        route = routes.find_route(database)
         if route is None:
-            return NO_ROUTE
+            return UNKNOWN_ROUTE_FAILURE
         caller = routes.authenticate(route, digest)
         if caller is None:
-            self._services.denials.note(self._session, route.name, routes.version)
-            return NO_SUCH_CALLER
+            self._services.denials.record_denial(self._session, route.name, routes.version)
+            return UNKNOWN_CALLER_FAILURE
         return Authorized(route, caller)
 
-    def is_allowed(self, state: SessionState) -> bool:
+    def is_transaction_authorized(self, state: SessionState) -> bool:
         """Tells whether the open transaction's caller still has the client's credential."""
         assert state.transaction is not None
         caller = self._services.routes.authenticate(
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterable
 
 from dewledge.core.pooler.rate_limits.admission import Refusal
-from dewledge.core.pooler.sessions.authorization import NO_ROUTE, Authorization
+from dewledge.core.pooler.sessions.authorization import UNKNOWN_ROUTE_FAILURE, Authorization
 from dewledge.core.pooler.sessions.client_transport import ClientTransport
-from dewledge.core.pooler.sessions.operation_admission import Decision, OperationAdmission
+from dewledge.core.pooler.sessions.operation_admission import AdmissionDecision, OperationAdmission
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sessions.session_changes import change_session
+from dewledge.core.pooler.sessions.session_changes import apply_session_change
 from dewledge.core.pooler.sessions.session_replies import SessionReplies
 from dewledge.core.pooler.sessions.session_start import SessionStart
 from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
@@ -34,12 +34,12 @@
 )
 from dewledge.errors import ErrorCode
 
-MAX_PIPELINED = 64
+MAX_PIPELINED_MESSAGES = 64
 """Messages of one client that may wait for their turn; a count. Bounds the memory of one client."""
 
-_ENDS = frozenset({StatementKind.COMMIT, StatementKind.ROLLBACK})
-_BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY})
-_RUNS = frozenset(
+_TRANSACTION_ENDS = frozenset({StatementKind.COMMIT, StatementKind.ROLLBACK})
+_TRANSACTION_BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY})
+_DATABASE_STATEMENTS = frozenset(
     {StatementKind.READ, StatementKind.WRITE, StatementKind.EXECUTE, StatementKind.COMMIT}
 )
 
@@ -54,26 +54,26 @@
         self._run: StatementRun | None = None
         self._authorization = Authorization(name, services)
         self._start = SessionStart(
-            name, services, self._authorization, self._accepted, self._refuse
+            name, services, self._authorization, self._on_accepted, self._refuse
         )
-        self._replies = SessionReplies(transport, self._close_if_leaving)
+        self._replies = SessionReplies(transport, self._close_if_requested)
         self._transactions = SessionTransactions(services, self._replies)
         self._admission = OperationAdmission(name, services)
         self._queue: deque[Statement | MalformedInput] = deque()
         self._ended = False
-        self._leaving = False
-        self._takes_more = False
+        self._closes_when_idle = False
+        self._is_handling_batch = False
         """Whether messages are being taken that came in one piece."""
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no statement is being answered and no transaction is open."""
-        busy = self._is_answering or bool(self._queue) or self._takes_more
+        busy = self._is_busy or bool(self._queue) or self._is_handling_batch
         return not busy and (self._state is None or self._state.transaction is None)
 
     @property
-    def _is_answering(self) -> bool:
-        return self._run is not None or self._admission.is_asking
+    def _is_busy(self) -> bool:
+        return self._run is not None or self._admission.is_waiting
 
     def handle(self, message: ClientMessage) -> None:
         """Takes the next message of the client."""
@@ -86,7 +86,7 @@
             self._transport.close()
         elif self._state is None or (isinstance(message, MalformedInput) and message.fatal):
             self._refuse(_malformed("not a message of this session"))
-        elif len(self._queue) >= MAX_PIPELINED:
+        elif len(self._queue) >= MAX_PIPELINED_MESSAGES:
             self._refuse(_malformed("too many statements without an answer"))
         else:
             self._queue.append(message)
@@ -94,34 +94,34 @@
 
     def handle_all(self, messages: Iterable[ClientMessage]) -> None:
         """Takes messages that came together: a planned stop closes the session after the last."""
-        self._takes_more = True
+        self._is_handling_batch = True
         for message in messages:
             self.handle(message)
-        self._takes_more = False
-        self._close_if_leaving()
+        self._is_handling_batch = False
+        self._close_if_requested()
 
     def leave(self) -> None:
         """Planned stop: closes at the next rest."""
-        self._leaving = True
-        self._close_if_leaving()
+        self._closes_when_idle = True
+        self._close_if_requested()
 
     def end_transaction(self, reason: str) -> None:
         """Rolls back an open transaction that rests; the next statement is told."""
-        if self._state is not None and not self._is_answering:
-            self._transactions.end_resting(self._state, reason)
+        if self._state is not None and not self._is_busy:
+            self._transactions.end_idle(self._state, reason)
 
     def end_if_denied(self) -> None:
         """Rolls back a transaction that rests if its client's credential is not valid any more."""
         state = self._state
         if state is None or state.transaction is None:
             return
-        if not self._authorization.is_allowed(state):
+        if not self._authorization.is_transaction_authorized(state):
             self.end_transaction("token_taken_away")
 
     def resting_since(self) -> float | None:
         """Returns since when an open transaction with a connection rests, or None."""
         state = self._state
-        if state is None or self._is_answering or state.transaction is None:
+        if state is None or self._is_busy or state.transaction is None:
             return None
         transaction = state.transaction
         return transaction.last_used if transaction.connection is not None else None
@@ -142,7 +142,7 @@
         if self._state is not None:
             self._transactions.abandon(self._state)
 
-    def _accepted(self, state: SessionState) -> None:
+    def _on_accepted(self, state: SessionState) -> None:
         self._state = state
         self._transport.send_ready()
 
@@ -151,7 +151,7 @@
         self._transport.send_refusal(failure)
 
     def _serve_queue(self) -> None:
-        while self._queue and not self._is_answering and not self._ended:
+        while self._queue and not self._is_busy and not self._ended:
             self._serve(self._queue.popleft())
 
     def _serve(self, message: Statement | MalformedInput) -> None:
@@ -160,12 +160,12 @@
         if isinstance(message, MalformedInput):
             self._fail(state, message.statement_id, _malformed(message.message))
         elif state.transaction is not None and state.transaction.failed:
-            self._transactions.serve_failed(state, state.transaction, message)
-        elif message.kind in _BEGINS:
+            self._transactions.answer_in_failed(state, state.transaction, message)
+        elif message.kind in _TRANSACTION_BEGINS:
             self._begin(state, message)
         elif message.kind is StatementKind.ROLLBACK:
             self._transactions.rollback(state, message)
-        elif message.kind in _RUNS:
+        elif message.kind in _DATABASE_STATEMENTS:
             self._run_statement(state, message)
         else:
             self._change_session(state, message)
@@ -186,25 +186,25 @@
         if statement.kind is StatementKind.EXECUTE and statement.name not in state.prepared:
             if transaction is not None:
                 self.end_transaction("unknown_statement")
-                transaction.lost = False
+                transaction.is_loss_unreported = False
             self._fail(state, statement.id, Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"))
             return
         if transaction is None:
-            self._begin_single(state, statement)
-        elif self._may_go_on(state, transaction, statement):
+            self._run_single_statement(state, statement)
+        elif self._check_authorization(state, transaction, statement):
             if transaction.is_admitted:
                 self._start_run(state, transaction.route, statement)
             else:
-                self._ask_admission(state, transaction.route, statement)
+                self._request_admission(state, transaction.route, statement)
 
-    def _begin_single(self, state: SessionState, statement: Statement) -> None:
+    def _run_single_statement(self, state: SessionState, statement: Statement) -> None:
         if self._services.is_ending:
             refused = refusal(ErrorCode.OVERLOADED, COME_BACK_ENDING_MS)
             self._fail(state, statement.id, refused)
             return
         route = self._authorized_route(state, statement)
         if route is not None:
-            self._ask_admission(state, route, statement)
+            self._request_admission(state, route, statement)
 
     def _authorized_route(self, state: SessionState, statement: Statement) -> Route | None:
         """Returns the route by the configuration in force, or refuses the statement."""
@@ -215,27 +215,27 @@
         state.caller = authorized.caller
         return authorized.route
 
-    def _may_go_on(
+    def _check_authorization(
         self, state: SessionState, transaction: OpenTransaction, statement: Statement
     ) -> bool:
-        if self._authorization.is_allowed(state):
+        if self._authorization.is_transaction_authorized(state):
             return True
         self.end_transaction("token_taken_away")
-        self._transactions.serve_failed(state, transaction, statement)
+        self._transactions.answer_in_failed(state, transaction, statement)
         return False
 
-    def _ask_admission(self, state: SessionState, route: Route, statement: Statement) -> None:
-        def decided(decision: Decision) -> None:
+    def _request_admission(self, state: SessionState, route: Route, statement: Statement) -> None:
+        def decided(decision: AdmissionDecision) -> None:
             if decision.refusal is not None:
-                self._not_admitted(state, statement, decision.refusal)
+                self._on_not_admitted(state, statement, decision.refusal)
                 return
             if state.transaction is not None:
                 state.transaction.is_admitted = True
             self._start_run(state, route, statement, decision.arrived, decision.decided_at)
 
-        self._admission.ask(state, route, statement, decided)
+        self._admission.request(state, route, statement, decided)
 
-    def _not_admitted(self, state: SessionState, statement: Statement, refused: Refusal) -> None:
+    def _on_not_admitted(self, state: SessionState, statement: Statement, refused: Refusal) -> None:
         if state.transaction is not None and statement.kind is StatementKind.COMMIT:
             state.transaction = None
         elif state.transaction is not None:
@@ -254,31 +254,33 @@
     ) -> None:
         group = self._services.groups.get(route.group)
         if group is None:
-            self._fail(state, statement.id, NO_ROUTE)
+            self._fail(state, statement.id, UNKNOWN_ROUTE_FAILURE)
             return
         if arrived is None:
             arrived = self._services.scheduler.now()
-        answerer = self._answerer(statement.id, admitted_at)
+        answerer = self._reply_handler(statement.id, admitted_at)
         writes = state.writes(statement)
         scope = StatementScope(self._services, group, route, state, statement, writes, arrived)
         self._run = StatementRun(scope, answerer)
         self._run.start()
 
-    def _answerer(self, statement_id: str, admitted_at: float | None) -> Callable[[Reply], None]:
+    def _reply_handler(
+        self, statement_id: str, admitted_at: float | None
+    ) -> Callable[[Reply], None]:
         def answer(reply: Reply) -> None:
             self._run = None
             if admitted_at is not None and reply.failure is None:
-                self._admission.note_served(admitted_at)
+                self._admission.record_served(admitted_at)
             if self._ended:
                 return
             self._transport.send_reply(statement_id, reply)
-            self._close_if_leaving()
+            self._close_if_requested()
             self._serve_queue()
 
         return answer
 
     def _change_session(self, state: SessionState, statement: Statement) -> None:
-        failure = change_session(state, statement)
+        failure = apply_session_change(state, statement)
         if failure is None:
             self._replies.complete(state, statement)
         else:
@@ -287,8 +289,8 @@
     def _fail(self, state: SessionState, statement_id: str, failure: Failure) -> None:
         self._replies.fail(state, statement_id, failure.code, failure.message)
 
-    def _close_if_leaving(self) -> None:
-        if self._leaving and self.at_rest and not self._ended:
+    def _close_if_requested(self) -> None:
+        if self._closes_when_idle and self.is_idle and not self._ended:
             self.end()
             self._transport.close()
 
--- a/src/dewledge/core/pooler/sessions/denials.py
+++ b/src/dewledge/core/pooler/sessions/denials.py
@@ -10,11 +10,11 @@
 from dewledge.core.pooler.events import SessionDenied
 from dewledge.core.pooler.scheduling import Scheduler
 
-LINE_SECONDS = 1.0
+LOG_INTERVAL_SECONDS = 1.0
 """Seconds between two lines of a route."""
 
 
-class _LeftOut:
+class _SuppressedDenials:
     """Denials of a route since its last line."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
         self.last: SessionDenied | None = None
 
 
-class Denials:
+class DenialLog:
     """Records the first denial of a route at once, then a line a second with their count.
 
     Its state is bounded by the routes that are configured.
@@ -31,24 +31,24 @@
     def __init__(self, scheduler: Scheduler, record: Callable[[SessionDenied], None]) -> None:
         self._scheduler = scheduler
         self._record = record
-        self._left_out: dict[str, _LeftOut] = {}
+        self._suppressed: dict[str, _SuppressedDenials] = {}
 
-    def note(self, session: str, route: str, configuration: int) -> None:
+    def record_denial(self, session: str, route: str, configuration: int) -> None:
         """No caller of the configuration has the credential that a session showed on a route."""
         denied = SessionDenied(session, route, configuration)
-        left_out = self._left_out.get(route)
+        left_out = self._suppressed.get(route)
         if left_out is None:
             self._record(denied)
-            self._left_out[route] = _LeftOut()
-            self._scheduler.call_later(LINE_SECONDS, lambda: self._write(route))
+            self._suppressed[route] = _SuppressedDenials()
+            self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
         else:
             left_out.tries += 1
             left_out.last = denied
 
-    def _write(self, route: str) -> None:
-        left_out = self._left_out.pop(route)
+    def _write_suppressed(self, route: str) -> None:
+        left_out = self._suppressed.pop(route)
         if left_out.last is None:
             return
         self._record(msgspec.structs.replace(left_out.last, tries=left_out.tries))
-        self._left_out[route] = _LeftOut()
-        self._scheduler.call_later(LINE_SECONDS, lambda: self._write(route))
+        self._suppressed[route] = _SuppressedDenials()
+        self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -19,12 +19,12 @@
 from dewledge.core.pooler.statements.statements import Statement
 from dewledge.core.shared.units import MILLISECONDS
 
-HELD_MS = 100
+MIN_LOGGED_WAIT_MS = 100
 """Milliseconds: an operation that waited so long for its rate-limit token has a line in the log; a
 round trip is no wait."""
 
 
-class Decision(msgspec.Struct, frozen=True):
+class AdmissionDecision(msgspec.Struct, frozen=True):
     """Whether an operation may begin. Moments of the steady clock, in seconds.
 
     refusal: None for one that may. arrived: when it asked.
@@ -43,20 +43,20 @@
         self._services = services
         self._application: Application | None = None
         """Of the operation that waits."""
-        self._kept_tokens = KeptTokens()
+        self._reserved_tokens = KeptTokens()
         """Of operations that were refused."""
 
     @property
-    def is_asking(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether an operation waits to be admitted."""
         return self._application is not None
 
-    def ask(
+    def request(
         self,
         state: SessionState,
         route: Route,
         statement: Statement,
-        decided: Callable[[Decision], None],
+        on_decided: Callable[[AdmissionDecision], None],
     ) -> None:
         """Asks for an operation that begins with `statement`; may decide before it returns."""
         arrived = self._services.scheduler.now()
@@ -66,11 +66,11 @@
             outcome.append(refusal)
             if self._application is not None:
                 self._application = None
-                decided(self._decide(state, route, statement, refusal, arrived))
+                on_decided(self._decide(state, route, statement, refusal, arrived))
 
-        application = self._services.admission.apply(self._wish(state, route), take)
+        application = self._services.admission.apply(self._admission_request(state, route), take)
         if outcome:
-            decided(self._decide(state, route, statement, outcome[0], arrived))
+            on_decided(self._decide(state, route, statement, outcome[0], arrived))
         else:
             self._application = application
 
@@ -80,14 +80,14 @@
             self._application.withdraw()
             self._application = None
 
-    def note_served(self, admitted_at: float) -> None:
+    def record_served(self, admitted_at: float) -> None:
         """An admitted operation's first statement has been answered."""
         now = self._services.scheduler.now()
         self._services.admission.note_served(now - admitted_at)
 
-    def _wish(self, state: SessionState, route: Route) -> Wish:
+    def _admission_request(self, state: SessionState, route: Route) -> Wish:
         """Returns what asks for admission, with the token that is kept for this moment."""
-        kept = self._kept_tokens.redeem(state.caller, self._services.scheduler.now())
+        kept = self._reserved_tokens.redeem(state.caller, self._services.scheduler.now())
         policy = self._services.load_policy
         urgency = route.priority if policy.urgent_tokens else 0
         return Wish(
@@ -106,20 +106,22 @@
         statement: Statement,
         refusal: Refusal | None,
         arrived: float,
-    ) -> Decision:
-        decision = Decision(refusal, arrived, self._services.scheduler.now())
+    ) -> AdmissionDecision:
+        decision = AdmissionDecision(refusal, arrived, self._services.scheduler.now())
         waited_ms = int((decision.decided_at - arrived) * MILLISECONDS)
         if refusal is not None:
-            self._keep(state, route, refusal, arrived)
+            self._store_reservation(state, route, refusal, arrived)
             self._record_refusal(state, route, statement, refusal, waited_ms)
-        elif waited_ms >= HELD_MS:
+        elif waited_ms >= MIN_LOGGED_WAIT_MS:
             event = OperationHeld(self._session, state.caller, statement.id, waited_ms)
             self._services.record(event)
         return decision
 
-    def _keep(self, state: SessionState, route: Route, refusal: Refusal, arrived: float) -> None:
+    def _store_reservation(
+        self, state: SessionState, route: Route, refusal: Refusal, arrived: float
+    ) -> None:
         if refusal.kept is not None:
-            self._kept_tokens.keep(refusal.kept)
+            self._reserved_tokens.keep(refusal.kept)
             state.ticket = Ticket(arrived, refusal.kept.return_at, route.priority)
 
     def _record_refusal(
--- a/src/dewledge/core/pooler/sessions/routes.py
+++ b/src/dewledge/core/pooler/sessions/routes.py
@@ -57,7 +57,7 @@
     rate_limits: Mapping[str, RateLimit] = {}
     """By caller's name; one that is missing has none."""
 
-    def find(self, database: str) -> Route | None:
+    def find_route(self, database: str) -> Route | None:
         """Returns the route of a database name, or None."""
         return self.routes.get(database)
 
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -12,14 +12,14 @@
 from dewledge.core.pooler.load.return_moments import ReturnMoments
 from dewledge.core.pooler.rate_limits.admission import Admission, AdmitsAll
 from dewledge.core.pooler.scheduling import Scheduler
-from dewledge.core.pooler.sessions.denials import Denials
+from dewledge.core.pooler.sessions.denials import DenialLog
 from dewledge.core.pooler.sessions.routes import EMPTY_ROUTE_TABLE, RouteTable
 from dewledge.core.shared.retry_budget import RetryBudget
 
-SECOND_READS_SHARE = 0.02
+READ_RETRY_RATIO = 0.02
 """A share of all statements: so few reads on a silent holder are asked once more elsewhere that
 they are no load."""
-SECOND_READS_RESERVE = 20.0
+READ_RETRY_RESERVE = 20.0
 """Reads; a count: so many are asked once more at once, as one process has under way on a few
 holders."""
 
@@ -42,9 +42,9 @@
         self.groups: dict[str, Group] = {}
         self.load_policy = load_policy or LoadPolicy()
         """Which decisions under load are made."""
-        self.denials = Denials(scheduler, record)
+        self.denials = DenialLog(scheduler, record)
         """Logs sessions whose credential no caller has."""
-        self.second_reads = RetryBudget(SECOND_READS_SHARE, SECOND_READS_RESERVE)
+        self.second_reads = RetryBudget(READ_RETRY_RATIO, READ_RETRY_RESERVE)
         """Second tries of reads whose holder fell silent."""
         self.returns: dict[str, ReturnMoments] = {}
         """By group: the moments promised to callers to whom no queue promised one."""
@@ -67,7 +67,7 @@
         """Returns a group's moments, for callers to whom no queue promised one."""
         return self.returns.setdefault(group, ReturnMoments())
 
-    def wait_for_configuration(self, callback: Callable[[], None]) -> None:
+    def call_when_configured(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when the process can serve."""
         self._configuration_waiters.append(callback)
 
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -5,8 +5,8 @@
 """
 
 from dewledge.core.pooler.sessions.session_state import (
-    MAX_PREPARED,
-    MAX_VALUES,
+    MAX_PREPARED_STATEMENTS,
+    MAX_SESSION_VALUES,
     PreparedShape,
     SessionState,
 )
@@ -14,15 +14,15 @@
 from dewledge.errors import ErrorCode
 
 
-def change_session(state: SessionState, statement: Statement) -> Failure | None:
+def apply_session_change(state: SessionState, statement: Statement) -> Failure | None:
     """Sets a value, prepares or deallocates a statement; returns why it is not done, if so."""
     if statement.kind is StatementKind.SET_VALUE:
         known = statement.name in state.values
-        if not known and len(state.values) >= MAX_VALUES:
+        if not known and len(state.values) >= MAX_SESSION_VALUES:
             return Failure(ErrorCode.TOO_LARGE, "too many values")
         state.values[statement.name] = statement.argument
     elif statement.kind is StatementKind.PREPARE:
-        if statement.name not in state.prepared and len(state.prepared) >= MAX_PREPARED:
+        if statement.name not in state.prepared and len(state.prepared) >= MAX_PREPARED_STATEMENTS:
             return Failure(ErrorCode.TOO_LARGE, "too many prepared statements")
         shape = PreparedShape(statement.writes, statement.argument)
         state.prepared[statement.name] = shape
--- a/src/dewledge/core/pooler/sessions/session_replies.py
+++ b/src/dewledge/core/pooler/sessions/session_replies.py
@@ -14,20 +14,20 @@
 class SessionReplies:
     """Of one session."""
 
-    __slots__ = ("_answered", "_transport")
+    __slots__ = ("_on_answered", "_transport")
 
-    def __init__(self, transport: ClientTransport, answered: Callable[[], None]) -> None:
+    def __init__(self, transport: ClientTransport, on_answered: Callable[[], None]) -> None:
         """`answered`: called after each answer, when the session may be at rest."""
         self._transport = transport
-        self._answered = answered
+        self._on_answered = on_answered
 
     def complete(self, state: SessionState, statement: Statement) -> None:
         """The statement is done."""
         self._transport.send_reply(statement.id, Reply(state.transaction_state))
-        self._answered()
+        self._on_answered()
 
     def fail(self, state: SessionState, statement_id: str, code: ErrorCode, message: str) -> None:
         """The statement is not done."""
         reply = Reply(state.transaction_state, failure=Failure(code, message))
         self._transport.send_reply(statement_id, reply)
-        self._answered()
+        self._on_answered()
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -14,7 +14,7 @@
 from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.errors import ErrorCode
 
-STARTUP_HOLD_SECONDS = 1.6
+STARTUP_WAIT_SECONDS = 1.6
 """Seconds that a new session waits at a process without a configuration; clients leave after 2
 s."""
 
@@ -23,12 +23,12 @@
     """Of one session; it begins once."""
 
     __slots__ = (
-        "_accepted",
+        "_on_accepted",
         "_authorization",
-        "_held",
+        "_waiting_startup",
         "_is_accepted",
         "_name",
-        "_refused",
+        "_on_refused",
         "_services",
     )
 
@@ -37,49 +37,49 @@
         name: str,
         services: PoolServices,
         authorization: Authorization,
-        accepted: Callable[[SessionState], None],
-        refused: Callable[[Failure], None],
+        on_accepted: Callable[[SessionState], None],
+        on_refused: Callable[[Failure], None],
     ) -> None:
         self._name = name
         self._services = services
         self._authorization = authorization
-        self._accepted = accepted
-        self._refused = refused
-        self._held: Startup | None = None
+        self._on_accepted = on_accepted
+        self._on_refused = on_refused
+        self._waiting_startup: Startup | None = None
         self._is_accepted = False
 
     def begin(self, startup: Startup) -> None:
         """Takes a startup message; only the first of a session is in order."""
-        if self._is_accepted or self._held is not None:
-            self._refused(Failure(ErrorCode.MALFORMED_REQUEST, "the session stands already"))
+        if self._is_accepted or self._waiting_startup is not None:
+            self._on_refused(Failure(ErrorCode.MALFORMED_REQUEST, "the session stands already"))
         elif not self._services.is_configured:
-            self._held = startup
-            self._services.wait_for_configuration(self._begin_held)
+            self._waiting_startup = startup
+            self._services.call_when_configured(self._begin_waiting)
             scheduler = self._services.scheduler
-            scheduler.call_later(STARTUP_HOLD_SECONDS, self._refuse_held)
+            scheduler.call_later(STARTUP_WAIT_SECONDS, self._refuse_waiting)
         else:
             self._accept(startup)
 
     def withdraw(self) -> None:
         """The client's connection is gone."""
-        self._held = None
+        self._waiting_startup = None
 
     def _accept(self, startup: Startup) -> None:
         digest = credential_digest(startup.token)
         authorized = self._authorization.authorize(startup.database, digest)
         if isinstance(authorized, Failure):
-            self._refused(authorized)
+            self._on_refused(authorized)
             return
         self._is_accepted = True
-        self._accepted(SessionState(self._name, startup.database, digest))
+        self._on_accepted(SessionState(self._name, startup.database, digest))
 
-    def _begin_held(self) -> None:
-        startup, self._held = self._held, None
+    def _begin_waiting(self) -> None:
+        startup, self._waiting_startup = self._waiting_startup, None
         if startup is not None:
             self.begin(startup)
 
-    def _refuse_held(self) -> None:
-        if self._held is not None:
-            self._held = None
+    def _refuse_waiting(self) -> None:
+        if self._waiting_startup is not None:
+            self._waiting_startup = None
             message = not_run_text(COME_BACK_STARTING_MS)
-            self._refused(Failure(ErrorCode.OVERLOADED, message))
+            self._on_refused(Failure(ErrorCode.OVERLOADED, message))
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -16,9 +16,9 @@
 )
 from dewledge.core.shared.positions import LogPosition
 
-MAX_VALUES = 256
+MAX_SESSION_VALUES = 256
 """Values that a session may set; a count. Bounds the memory of one client."""
-MAX_PREPARED = 256
+MAX_PREPARED_STATEMENTS = 256
 """Statements that a session may prepare; a count. Bounds the memory of one client."""
 
 
@@ -38,7 +38,7 @@
         "is_admitted",
         "last_used",
         "leads",
-        "lost",
+        "is_loss_unreported",
         "read_only",
         "route",
         "wrote",
@@ -51,7 +51,7 @@
         self.failed = False
         self.is_admitted = False
         """Whether it was counted for its caller's limit."""
-        self.lost = False
+        self.is_loss_unreported = False
         self.leads = False
         self.wrote = False
         self.last_used = now
--- a/src/dewledge/core/pooler/sessions/session_transactions.py
+++ b/src/dewledge/core/pooler/sessions/session_transactions.py
@@ -40,7 +40,7 @@
         state.transaction = None
         self._replies.complete(state, statement)
 
-    def serve_failed(
+    def answer_in_failed(
         self, state: SessionState, transaction: OpenTransaction, statement: Statement
     ) -> None:
         """Answers a statement of a transaction that has failed: only its end is taken."""
@@ -50,20 +50,20 @@
         elif statement.kind is StatementKind.COMMIT:
             state.transaction = None
             self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
-        elif transaction.lost:
-            transaction.lost = False
+        elif transaction.is_loss_unreported:
+            transaction.is_loss_unreported = False
             self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
         else:
             message = "the transaction has failed"
             self._replies.fail(state, statement.id, ErrorCode.MALFORMED_REQUEST, message)
 
-    def end_resting(self, state: SessionState, reason: str) -> None:
+    def end_idle(self, state: SessionState, reason: str) -> None:
         """Rolls back a transaction that rests, if one is open; the next statement is told."""
         transaction = state.transaction
         if transaction is not None and not transaction.failed:
             self._roll_back(state, transaction, reason)
             transaction.failed = True
-            transaction.lost = True
+            transaction.is_loss_unreported = True
 
     def abandon(self, state: SessionState) -> None:
         """The client is gone: rolls back what is open."""
--- a/tests/core/pooler/test_denials.py
+++ b/tests/core/pooler/test_denials.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.events import SessionDenied
-from dewledge.core.pooler.sessions.denials import Denials
+from dewledge.core.pooler.sessions.denials import DenialLog
 from tests.core.pooler.harness import ModelScheduler
 
 
@@ -11,15 +11,15 @@
     def setUp(self) -> None:
         self.scheduler = ModelScheduler()
         self.lines: list[SessionDenied] = []
-        self.denials = Denials(self.scheduler, self.lines.append)
+        self.denials = DenialLog(self.scheduler, self.lines.append)
 
     def tries(self, route: str, count: int, seconds: float) -> None:
         for number in range(count):
-            self.denials.note(f"s{number}", route, 3)
+            self.denials.record_denial(f"s{number}", route, 3)
             self.scheduler.advance(seconds / count)
 
     def test_one_is_told_at_once_with_its_inputs(self) -> None:
-        self.denials.note("s1", "menus", 3)
+        self.denials.record_denial("s1", "menus", 3)
         self.assertEqual(self.lines, [SessionDenied("s1", "menus", 3, 1)])
         self.scheduler.advance(10.0)
         self.assertEqual(len(self.lines), 1)
@@ -32,14 +32,14 @@
 
     def test_each_route_has_its_own_line(self) -> None:
         for _ in range(50):
-            self.denials.note("s1", "menus", 3)
-            self.denials.note("s2", "orders", 3)
+            self.denials.record_denial("s1", "menus", 3)
+            self.denials.record_denial("s2", "orders", 3)
         self.assertEqual([line.route for line in self.lines], ["menus", "orders"])
 
     def test_after_a_quiet_second_one_is_told_at_once_again(self) -> None:
-        self.denials.note("s1", "menus", 3)
+        self.denials.record_denial("s1", "menus", 3)
         self.scheduler.advance(2.0)
-        self.denials.note("s2", "menus", 4)
+        self.denials.record_denial("s2", "menus", 4)
         self.assertEqual(self.lines[-1], SessionDenied("s2", "menus", 4, 1))
 
 
