--- a/src/dewledge/core/pooler/sessions/__init__.py
+++ b/src/dewledge/core/pooler/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""Client sessions of the pooler: start, authorisation, routes, transactions, admission."""
+"""Client sessions of the pooler: startup, authorization, routes, transactions, admission."""
--- a/src/dewledge/core/pooler/sessions/authorization.py
+++ b/src/dewledge/core/pooler/sessions/authorization.py
@@ -1,8 +1,6 @@
-"""Who a client is, and which route it gets: by the configuration in force at this moment.
+"""Authorizes a client: finds its route and its caller in the current configuration.
 
-Inputs: the database name and the digest of the credential that the client showed, and the route
-table. Decision: the route and the caller's name, or the failure that the client is told. Reason: a
-credential that is taken away must not begin anything more, so each operation asks anew.
+Each operation is authorized again, so that a revoked credential cannot start any further operation.
 """
 
 import msgspec
@@ -15,18 +13,18 @@
 
 
 class Authorized(msgspec.Struct, frozen=True):
-    """The client may use the route as this caller."""
+    """The route that a client may use, and the name of its caller."""
 
     route: Route
     caller: str
 
 
-UNKNOWN_ROUTE_FAILURE = Failure(ErrorCode.UNKNOWN_GROUP, "no route of this name")
+UNKNOWN_ROUTE_FAILURE = Failure(ErrorCode.UNKNOWN_GROUP, "no route for this database name")
 UNKNOWN_CALLER_FAILURE = Failure(ErrorCode.UNAUTHENTICATED, "no caller has this token")
 
 
 class Authorization:
-    """Of one session."""
+    """Authorizes the operations of a session."""
 
     __slots__ = ("_services", "_session")
 
@@ -35,7 +33,10 @@
         self._services = services
 
     def authorize(self, database: str, digest: str) -> Authorized | Failure:
-        """Returns the route and the caller; logs a credential that no caller has."""
+        """Returns the route and the caller, or the failure to send to the client.
+
+        An unknown credential is also reported to the denial log.
+        """
         routes = self._services.routes
         route = routes.find_route(database)
         if route is None:
@@ -47,7 +48,7 @@
         return Authorized(route, caller)
 
     def is_transaction_authorized(self, state: SessionState) -> bool:
-        """Tells whether the open transaction's caller still has the client's credential."""
+        """Returns whether the credential still belongs to the open transaction's caller."""
         assert state.transaction is not None
         caller = self._services.routes.authenticate(
             state.transaction.route, state.credential_digest
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -1,8 +1,8 @@
-"""One client connection: its messages in order, and what each of them is handed to.
+"""Dispatches the messages of a client connection, in order.
 
-It owns the queue of messages and the one statement that is being answered. The start is
-SessionStart's, transactions are SessionTransactions', the caller's limit is OperationAdmission's,
-and what goes to a database is StatementRun's.
+Owns the message queue and the statement that is being answered. SessionStart handles the startup,
+SessionTransactions the transactions, OperationAdmission the caller's rate limit, and StatementRun
+the statements for a database.
 """
 
 from collections import deque
@@ -35,7 +35,7 @@
 from dewledge.errors import ErrorCode
 
 MAX_PIPELINED_MESSAGES = 64
-"""Messages of one client that may wait for their turn; a count. Bounds the memory of one client."""
+"""Messages of a client in the queue: bounds its memory."""
 
 _TRANSACTION_ENDS = frozenset({StatementKind.COMMIT, StatementKind.ROLLBACK})
 _TRANSACTION_BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY})
@@ -45,7 +45,7 @@
 
 
 class ClientSession:
-    """The state machine of one client connection. Statements run one after the other."""
+    """State machine of a client connection; runs one statement at a time."""
 
     def __init__(self, name: str, services: PoolServices, transport: ClientTransport) -> None:
         self._services = services
@@ -63,11 +63,11 @@
         self._ended = False
         self._closes_when_idle = False
         self._is_handling_batch = False
-        """Whether messages are being taken that came in one piece."""
+        """Whether `handle_all` is still handling messages that arrived together."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether no statement is being answered and no transaction is open."""
+        """Whether no message is waiting or being answered, and no transaction is open."""
         busy = self._is_busy or bool(self._queue) or self._is_handling_batch
         return not busy and (self._state is None or self._state.transaction is None)
 
@@ -76,7 +76,7 @@
         return self._run is not None or self._admission.is_waiting
 
     def handle(self, message: ClientMessage) -> None:
-        """Takes the next message of the client."""
+        """Handles the next message of the client."""
         if self._ended:
             return
         if isinstance(message, Startup):
@@ -85,15 +85,15 @@
             self.end()
             self._transport.close()
         elif self._state is None or (isinstance(message, MalformedInput) and message.fatal):
-            self._refuse(_malformed("not a message of this session"))
+            self._refuse(_malformed("malformed message, or the session has not been started"))
         elif len(self._queue) >= MAX_PIPELINED_MESSAGES:
-            self._refuse(_malformed("too many statements without an answer"))
+            self._refuse(_malformed("too many unanswered statements"))
         else:
             self._queue.append(message)
             self._serve_queue()
 
     def handle_all(self, messages: Iterable[ClientMessage]) -> None:
-        """Takes messages that came together: a planned stop closes the session after the last."""
+        """Handles messages that arrived together; a planned stop closes the session after all."""
         self._is_handling_batch = True
         for message in messages:
             self.handle(message)
@@ -101,17 +101,20 @@
         self._close_if_requested()
 
     def leave(self) -> None:
-        """Planned stop: closes at the next rest."""
+        """Closes the session as soon as it is idle, for a planned stop."""
         self._closes_when_idle = True
         self._close_if_requested()
 
     def end_transaction(self, reason: str) -> None:
-        """Rolls back an open transaction that rests; the next statement is told."""
+        """Rolls back the open transaction if no statement is being answered.
+
+        The client's next statement fails, which tells the client of the rollback.
+        """
         if self._state is not None and not self._is_busy:
             self._transactions.end_idle(self._state, reason)
 
     def end_if_denied(self) -> None:
-        """Rolls back a transaction that rests if its client's credential is not valid any more."""
+        """Rolls back an idle transaction if the client's credential is no longer valid."""
         state = self._state
         if state is None or state.transaction is None:
             return
@@ -119,7 +122,7 @@
             self.end_transaction("token_taken_away")
 
     def resting_since(self) -> float | None:
-        """Returns since when an open transaction with a connection rests, or None."""
+        """Returns since when an open transaction has kept a connection idle, None if it has not."""
         state = self._state
         if state is None or self._is_busy or state.transaction is None:
             return None
@@ -127,7 +130,7 @@
         return transaction.last_used if transaction.connection is not None else None
 
     def end(self) -> None:
-        """The client's connection is gone."""
+        """Ends the session and rolls back its transaction: the client's connection is closed."""
         if self._ended:
             return
         self._ended = True
@@ -172,7 +175,7 @@
 
     def _begin(self, state: SessionState, statement: Statement) -> None:
         if state.transaction is not None:
-            self._fail(state, statement.id, _malformed("a transaction is open"))
+            self._fail(state, statement.id, _malformed("a transaction is already open"))
             return
         route = self._authorized_route(state, statement)
         if route is not None:
@@ -187,7 +190,11 @@
             if transaction is not None:
                 self.end_transaction("unknown_statement")
                 transaction.is_loss_unreported = False
-            self._fail(state, statement.id, Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"))
+            self._fail(
+                state,
+                statement.id,
+                Failure(ErrorCode.UNKNOWN_STATEMENT, "not a prepared name"),
+            )
             return
         if transaction is None:
             self._run_single_statement(state, statement)
@@ -207,7 +214,7 @@
             self._request_admission(state, route, statement)
 
     def _authorized_route(self, state: SessionState, statement: Statement) -> Route | None:
-        """Returns the route by the configuration in force, or refuses the statement."""
+        """Returns the route by the current configuration, or None after refusing the statement."""
         authorized = self._authorization.authorize(state.database, state.credential_digest)
         if isinstance(authorized, Failure):
             self._fail(state, statement.id, authorized)
--- a/src/dewledge/core/pooler/sessions/client_transport.py
+++ b/src/dewledge/core/pooler/sessions/client_transport.py
@@ -1,4 +1,4 @@
-"""The client's side of a session: a protocol that the shell meets."""
+"""Protocol by which a session sends to its client; implemented by the shell."""
 
 from typing import Protocol
 
@@ -6,16 +6,16 @@
 
 
 class ClientTransport(Protocol):
-    """One client's connection."""
+    """Connection to a client."""
 
     def send_ready(self) -> None:
-        """Tells the client that its session stands."""
+        """Reports to the client that its session was accepted."""
 
     def send_reply(self, statement_id: str, reply: Reply) -> None:
-        """Answers a statement."""
+        """Sends the answer to a statement."""
 
     def send_refusal(self, failure: Failure) -> None:
-        """Refuses the session and closes the connection."""
+        """Reports to the client that its session is refused, and closes the connection."""
 
     def close(self) -> None:
-        """Closes the connection once everything sent has left."""
+        """Closes the connection after all replies have been sent."""
--- a/src/dewledge/core/pooler/sessions/codec.py
+++ b/src/dewledge/core/pooler/sessions/codec.py
@@ -1,6 +1,6 @@
-"""How sessions and databases are spoken to: the codec that an adapter brings.
+"""Protocols of the codecs that translate messages of clients and databases to and from bytes.
 
-Protocols only; platform/ meets them, the shell calls them, the core knows no bytes.
+Implemented in platform/ and called by the shell; the core does not handle bytes.
 """
 
 from collections.abc import Sequence
@@ -11,29 +11,29 @@
 
 
 class ClientCodec(Protocol):
-    """One client's stream of bytes."""
+    """Codec of a client connection."""
 
     def feed(self, data: bytes) -> Sequence[ClientMessage]:
-        """Returns the messages that are whole now."""
+        """Adds received bytes; returns the messages that are now complete."""
 
     def ready(self) -> bytes:
-        """Returns the answer to an accepted startup."""
+        """Encodes the answer to an accepted startup."""
 
     def refusal(self, failure: Failure) -> bytes:
-        """Returns the answer to a refused startup."""
+        """Encodes the answer to a refused startup."""
 
     def reply(self, statement_id: str, reply: Reply) -> bytes:
-        """Returns the answer to a statement."""
+        """Encodes the answer to a statement."""
 
 
 class DatabaseCodec(Protocol):
-    """One database connection's stream of bytes."""
+    """Codec of a database connection."""
 
     def startup(self, group: str, user: str, database_id: str) -> bytes:
-        """Returns the first message of a connection."""
+        """Encodes the first message of a connection."""
 
     def statement(self, statement: Statement, floor: LogPosition | None) -> bytes:
-        """Returns a statement that runs only where the log holds `floor`."""
+        """Encodes a statement that the database runs only if its log has reached `floor`."""
 
     def feed(self, data: bytes) -> Sequence[Reply]:
-        """Returns the answers that are whole now. Raises ProtocolError."""
+        """Adds received bytes; returns the answers that are now complete. Raises ProtocolError."""
--- a/src/dewledge/core/pooler/sessions/denials.py
+++ b/src/dewledge/core/pooler/sessions/denials.py
@@ -1,7 +1,4 @@
-"""The log of denied sessions: one line a second for each route, however many clients try.
-
-It owns the count of denials since the last line of each route; the events go to the process's log.
-"""
+"""Rate-limited log of denied sessions: one line per second and route, however many clients try."""
 
 from collections.abc import Callable
 
@@ -11,11 +8,11 @@
 from dewledge.core.pooler.scheduling import Scheduler
 
 LOG_INTERVAL_SECONDS = 1.0
-"""Seconds between two lines of a route."""
+"""Seconds between two log lines of a route."""
 
 
 class _SuppressedDenials:
-    """Denials of a route since its last line."""
+    """Denials on a route since its last log line."""
 
     def __init__(self) -> None:
         self.tries = 0
@@ -23,9 +20,9 @@
 
 
 class DenialLog:
-    """Records the first denial of a route at once, then a line a second with their count.
+    """Logs the first denial on a route at once, then one line per second with their number.
 
-    Its state is bounded by the routes that are configured.
+    The state is bounded by the number of configured routes.
     """
 
     def __init__(self, scheduler: Scheduler, record: Callable[[SessionDenied], None]) -> None:
@@ -34,7 +31,7 @@
         self._suppressed: dict[str, _SuppressedDenials] = {}
 
     def record_denial(self, session: str, route: str, configuration: int) -> None:
-        """No caller of the configuration has the credential that a session showed on a route."""
+        """Records that a session presented a credential which no configured caller has."""
         denied = SessionDenied(session, route, configuration)
         left_out = self._suppressed.get(route)
         if left_out is None:
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -1,8 +1,8 @@
-"""Admission of one session's operations by their caller's rate limit.
+"""Admits a session's operations by the caller's rate limit.
 
-An operation is counted once, at its first statement for a database. It owns the application that
-waits and the rate-limit tokens that are kept for operations which were refused; whether there is a
-token is decided in core/pooler/rate_limits.
+An operation is counted once, at its first statement for a database. The module owns the pending
+application and the rate-limit tokens reserved for refused operations; core/pooler/rate_limits
+decides whether a token is available.
 """
 
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 MIN_LOGGED_WAIT_MS = 100
-"""Milliseconds: an operation that waited so long for its rate-limit token has a line in the log; a
-round trip is no wait."""
+"""Milliseconds: shortest wait for a rate-limit token that is logged; longer than a network round
+trip."""
 
 
 class AdmissionDecision(msgspec.Struct, frozen=True):
-    """Whether an operation may begin. Moments of the steady clock, in seconds.
+    """Whether an operation is admitted. Times in seconds of the steady clock.
 
-    refusal: None for one that may. arrived: when it asked.
+    refusal: None if the operation is admitted. arrived: when it requested admission.
     """
 
     refusal: Refusal | None
@@ -36,19 +36,19 @@
 
 
 class OperationAdmission:
-    """Of one session: at most one operation asks at a time."""
+    """Requests admission for the operations of a session, one at a time."""
 
     def __init__(self, session: str, services: PoolServices) -> None:
         self._session = session
         self._services = services
         self._application: Application | None = None
-        """Of the operation that waits."""
+        """Application of the operation that waits for admission, None for none."""
         self._reserved_tokens = KeptTokens()
-        """Of operations that were refused."""
+        """Rate-limit tokens reserved for operations of this session that were refused."""
 
     @property
     def is_waiting(self) -> bool:
-        """Whether an operation waits to be admitted."""
+        """Whether an operation waits for admission."""
         return self._application is not None
 
     def request(
@@ -58,42 +58,45 @@
         statement: Statement,
         on_decided: Callable[[AdmissionDecision], None],
     ) -> None:
-        """Asks for an operation that begins with `statement`; may decide before it returns."""
+        """Requests admission of an operation whose first statement is `statement`.
+
+        on_decided: called with the decision, possibly before this method returns.
+        """
         arrived = self._services.scheduler.now()
         outcome: list[Refusal | None] = []
 
-        def take(refusal: Refusal | None) -> None:
+        def receive(refusal: Refusal | None) -> None:
             outcome.append(refusal)
             if self._application is not None:
                 self._application = None
                 on_decided(self._decide(state, route, statement, refusal, arrived))
 
-        application = self._services.admission.apply(self._admission_request(state, route), take)
+        application = self._services.admission.apply(self._admission_request(state, route), receive)
         if outcome:
             on_decided(self._decide(state, route, statement, outcome[0], arrived))
         else:
             self._application = application
 
     def withdraw(self) -> None:
-        """The client is gone."""
+        """Withdraws a pending request: the client has left."""
         if self._application is not None:
             self._application.withdraw()
             self._application = None
 
     def record_served(self, admitted_at: float) -> None:
-        """An admitted operation's first statement has been answered."""
+        """Records that an admitted operation's first statement was answered without a failure."""
         now = self._services.scheduler.now()
         self._services.admission.note_served(now - admitted_at)
 
     def _admission_request(self, state: SessionState, route: Route) -> Wish:
-        """Returns what asks for admission, with the token that is kept for this moment."""
-        kept = self._reserved_tokens.redeem(state.caller, self._services.scheduler.now())
+        """Returns the request for admission, with a token reserved for this session if any."""
+        reserved = self._reserved_tokens.redeem(state.caller, self._services.scheduler.now())
         policy = self._services.load_policy
         urgency = route.priority if policy.urgent_tokens else 0
         return Wish(
             state.caller,
             route.statement_timeout,
-            kept,
+            reserved,
             policy.kept_tokens,
             route.target_latency,
             urgency,
--- a/src/dewledge/core/pooler/sessions/routes.py
+++ b/src/dewledge/core/pooler/sessions/routes.py
@@ -1,6 +1,6 @@
-"""Routes: which group and which consistency the clients of a database name get.
+"""Routes: the database group and the consistency for each database name that clients connect to.
 
-Immutable values, made from the operator's configuration by the platform adapter; they own nothing.
+Immutable values that the platform adapter builds from the operator's configuration.
 """
 
 from collections.abc import Mapping
@@ -11,11 +11,11 @@
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 
 NO_CALLER = ""
-"""The name of the caller where nobody has to show a credential."""
+"""Name of the caller if no credential is required."""
 
 
 class Consistency(StrEnum):
-    """How fresh a route's reads are."""
+    """Freshness guarantee of a route's reads."""
 
     PRIMARY = "primary"
     BOUNDED_STALENESS = "bounded_staleness"
@@ -23,7 +23,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One database name that clients connect to. Times in seconds; priority 0 is the highest."""
+    """Settings for a database name. Times in seconds; priority 0 is the highest."""
 
     name: str
     database: str
@@ -34,11 +34,11 @@
     priority: int
     max_staleness: float = 0.0
     is_public: bool = False
-    """Whether clients need no credential on it."""
+    """Whether clients need no credential."""
 
 
 class GroupPolicy(msgspec.Struct, frozen=True):
-    """What the operator says of one database group."""
+    """Operator's settings of a database group."""
 
     name: str
     max_connections: int
@@ -46,25 +46,25 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """One version of the operator's configuration. Immutable; a later one replaces it whole."""
+    """A version of the operator's configuration. Immutable; a later version replaces it whole."""
 
     version: int
     routes: Mapping[str, Route]
     groups: Mapping[str, GroupPolicy]
     transaction_idle_timeout: float = 3.0
     callers: Mapping[str, str] | None = None
-    """The name of the caller of each credential's digest; None where clients need none."""
+    """Caller names by digest of the credential; None if no credentials are required."""
     rate_limits: Mapping[str, RateLimit] = {}
-    """By caller's name; one that is missing has none."""
+    """Rate limits by caller name; a caller without an entry has no limit."""
 
     def find_route(self, database: str) -> Route | None:
         """Returns the route of a database name, or None."""
         return self.routes.get(database)
 
     def authenticate(self, route: Route, digest: str) -> str | None:
-        """Returns the name of the caller with a credential, None if its credential is not known.
+        """Returns the name of the caller with this credential, None for an unknown credential.
 
-        Empty where none is needed: databases are told the proxy's own name there.
+        Returns NO_CALLER if the route needs no credential; databases then see the proxy's own user.
         """
         if self.callers is None or route.is_public:
             return NO_CALLER
@@ -72,4 +72,4 @@
 
 
 EMPTY_ROUTE_TABLE = RouteTable(-1, {}, {})
-"""Version -1: before the first configuration, whose version is 0 or more."""
+"""Route table used before the first configuration, whose version is at least 0."""
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -1,7 +1,7 @@
-"""What statements need of the process around them: the parts that its sessions share.
+"""State and services that all sessions of a process share.
 
-It owns what is waited for before a configuration comes, the budget of second reads and the return
-moments of groups; the rest is put there by the process (shell/pooler).
+Owns the callbacks that wait for a configuration, the budget for read retries and the retry times
+that groups assign to refused clients; the process (shell/pooler) supplies the rest.
 """
 
 from collections.abc import Callable
@@ -17,15 +17,14 @@
 from dewledge.core.shared.retry_budget import RetryBudget
 
 READ_RETRY_RATIO = 0.02
-"""A share of all statements: so few reads on a silent holder are asked once more elsewhere that
-they are no load."""
+"""Ratio of read retries to all statements: low enough that retries of reads on an unresponsive
+connection holder add no noticeable load."""
 READ_RETRY_RESERVE = 20.0
-"""Reads; a count: so many are asked once more at once, as one process has under way on a few
-holders."""
+"""Reads that may be retried at once: as many as a process runs on a few connection holders."""
 
 
 class PoolServices:
-    """The parts that all sessions of a process share."""
+    """Services and settings that all sessions of a process share."""
 
     def __init__(
         self,
@@ -35,44 +34,47 @@
         admission: Admission | None = None,
         suspect: Callable[[str, str], None] = lambda group, database: None,
     ) -> None:
-        """By default each decision under load is made, and all operations are admitted."""
+        """By default all load decisions are enabled, and all operations are admitted."""
         self.scheduler = scheduler
         self.record = record
         self.routes: RouteTable = EMPTY_ROUTE_TABLE
         self.groups: dict[str, Group] = {}
         self.load_policy = load_policy or LoadPolicy()
-        """Which decisions under load are made."""
+        """Which decisions under load are enabled."""
         self.denials = DenialLog(scheduler, record)
-        """Logs sessions whose credential no caller has."""
+        """Log of sessions that presented an unknown credential."""
         self.second_reads = RetryBudget(READ_RETRY_RATIO, READ_RETRY_RESERVE)
-        """Second tries of reads whose holder fell silent."""
+        """Budget for retries of reads whose connection holder stopped answering."""
         self.returns: dict[str, ReturnMoments] = {}
-        """By group: the moments promised to callers to whom no queue promised one."""
+        """By group: retry times assigned to clients that no queue assigned one to."""
         self.admission: Admission = admission or AdmitsAll()
-        """Decides before any work whether an operation of a caller may begin."""
+        """Decides whether a caller's operation may begin, before any work is done for it."""
         self.is_ending = False
-        """Set near the end of a planned stop: what begins now could not be answered in time."""
+        """Set near the end of a planned stop: new statements could not be answered in time."""
         self.suspect = suspect
-        """Called with a group and a database that left a statement without an answer."""
+        """Called with the group and the name of a database that did not answer a statement."""
         self._configuration_waiters: list[Callable[[], None]] = []
 
     @property
     def is_configured(self) -> bool:
-        """Whether a configuration and at least one database are known."""
+        """Whether the process has a configuration and knows at least one database."""
         if self.routes.version < 0:
             return False
         return any(group.view.databases for group in self.groups.values())
 
     def return_moments(self, group: str) -> ReturnMoments:
-        """Returns a group's moments, for callers to whom no queue promised one."""
+        """Returns a group's retry times, for clients that no queue assigned one to."""
         return self.returns.setdefault(group, ReturnMoments())
 
     def call_when_configured(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` once when the process can serve."""
+        """Calls `callback` once, when the process is configured."""
         self._configuration_waiters.append(callback)
 
     def wake_if_configured(self) -> None:
-        """Called after each change of the configuration or of a group."""
+        """Runs the waiting callbacks if the process is configured.
+
+        Called after each change of the configuration or of a group.
+        """
         if self._configuration_waiters and self.is_configured:
             waiters, self._configuration_waiters = self._configuration_waiters, []
             for callback in waiters:
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -1,7 +1,6 @@
-"""Session values and prepared statements: what a client's SET, PREPARE and DEALLOCATE change.
+"""Applies a client's SET, PREPARE and DEALLOCATE to its session state.
 
-They are kept by the proxy alone; connection_setup.py tells them to a database connection when one
-is used.
+Only the proxy stores them; connection_setup.py applies them to a database connection before use.
 """
 
 from dewledge.core.pooler.sessions.session_state import (
@@ -15,11 +14,11 @@
 
 
 def apply_session_change(state: SessionState, statement: Statement) -> Failure | None:
-    """Sets a value, prepares or deallocates a statement; returns why it is not done, if so."""
+    """Sets a value, or prepares or deallocates a statement; returns a failure or None."""
     if statement.kind is StatementKind.SET_VALUE:
-        known = statement.name in state.values
-        if not known and len(state.values) >= MAX_SESSION_VALUES:
-            return Failure(ErrorCode.TOO_LARGE, "too many values")
+        is_set = statement.name in state.values
+        if not is_set and len(state.values) >= MAX_SESSION_VALUES:
+            return Failure(ErrorCode.TOO_LARGE, "too many session values")
         state.values[statement.name] = statement.argument
     elif statement.kind is StatementKind.PREPARE:
         if statement.name not in state.prepared and len(state.prepared) >= MAX_PREPARED_STATEMENTS:
--- a/src/dewledge/core/pooler/sessions/session_replies.py
+++ b/src/dewledge/core/pooler/sessions/session_replies.py
@@ -1,6 +1,6 @@
-"""Answers that the proxy gives a client by itself, without a database.
+"""Answers that the proxy gives a client without involving a database.
 
-It owns nothing; the transaction's state in an answer is the session's of this moment.
+Each answer carries the session's current transaction state.
 """
 
 from collections.abc import Callable
@@ -12,22 +12,22 @@
 
 
 class SessionReplies:
-    """Of one session."""
+    """Sends the proxy's own answers to one session's client."""
 
     __slots__ = ("_on_answered", "_transport")
 
     def __init__(self, transport: ClientTransport, on_answered: Callable[[], None]) -> None:
-        """`answered`: called after each answer, when the session may be at rest."""
+        """on_answered: called after each answer, when the session may have become idle."""
         self._transport = transport
         self._on_answered = on_answered
 
     def complete(self, state: SessionState, statement: Statement) -> None:
-        """The statement is done."""
+        """Answers that the statement succeeded."""
         self._transport.send_reply(statement.id, Reply(state.transaction_state))
         self._on_answered()
 
     def fail(self, state: SessionState, statement_id: str, code: ErrorCode, message: str) -> None:
-        """The statement is not done."""
+        """Answers that the statement failed."""
         reply = Reply(state.transaction_state, failure=Failure(code, message))
         self._transport.send_reply(statement_id, reply)
         self._on_answered()
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -1,7 +1,7 @@
-"""The start of a session: held while the process has no configuration, then accepted or refused.
+"""Accepts or refuses the startup of a session.
 
-It owns the startup message that is held. A process that has just begun holds a session for
-STARTUP_HOLD_SECONDS, since it usually has a configuration by then.
+While the process has no configuration, the startup message waits up to STARTUP_WAIT_SECONDS: a
+process that has just started usually receives its configuration in that time.
 """
 
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 from dewledge.errors import ErrorCode
 
 STARTUP_WAIT_SECONDS = 1.6
-"""Seconds that a new session waits at a process without a configuration; clients leave after 2
-s."""
+"""Seconds that a new session waits for the process's configuration; less than the 2 s after which
+clients leave."""
 
 
 class SessionStart:
-    """Of one session; it begins once."""
+    """Startup of a session; succeeds at most once."""
 
     __slots__ = (
         "_on_accepted",
@@ -49,9 +49,11 @@
         self._is_accepted = False
 
     def begin(self, startup: Startup) -> None:
-        """Takes a startup message; only the first of a session is in order."""
+        """Handles a startup message; refuses any after the first."""
         if self._is_accepted or self._waiting_startup is not None:
-            self._on_refused(Failure(ErrorCode.MALFORMED_REQUEST, "the session stands already"))
+            self._on_refused(
+                Failure(ErrorCode.MALFORMED_REQUEST, "the session has already started")
+            )
         elif not self._services.is_configured:
             self._waiting_startup = startup
             self._services.call_when_configured(self._begin_waiting)
@@ -61,7 +63,7 @@
             self._accept(startup)
 
     def withdraw(self) -> None:
-        """The client's connection is gone."""
+        """Drops a waiting startup message: the client's connection is closed."""
         self._waiting_startup = None
 
     def _accept(self, startup: Startup) -> None:
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -1,7 +1,7 @@
-"""What a client's connection keeps: values, prepared statements, the open transaction, a floor.
+"""State of a client connection: values, prepared statements, open transaction, minimum position.
 
-State without rules: SessionTransactions, change_session and StatementRun change it. It ends with
-the client's connection, and nothing of it is stored.
+SessionTransactions, apply_session_change and StatementRun change the state. The state is never
+persisted and ends with the client's connection.
 """
 
 import msgspec
@@ -17,20 +17,20 @@
 from dewledge.core.shared.positions import LogPosition
 
 MAX_SESSION_VALUES = 256
-"""Values that a session may set; a count. Bounds the memory of one client."""
+"""Values that a session may set: bounds the memory of a client."""
 MAX_PREPARED_STATEMENTS = 256
-"""Statements that a session may prepare; a count. Bounds the memory of one client."""
+"""Statements that a session may prepare: bounds the memory of a client."""
 
 
 class PreparedShape(msgspec.Struct, frozen=True):
-    """What a prepared name stands for."""
+    """Statement prepared under a name."""
 
     writes: bool
     shape: str
 
 
 class OpenTransaction:
-    """A client's transaction; it has a database connection from its first statement on."""
+    """A client's transaction; has a database connection from its first statement on."""
 
     __slots__ = (
         "connection",
@@ -50,15 +50,17 @@
         self.connection: DatabaseConnection | None = None
         self.failed = False
         self.is_admitted = False
-        """Whether it was counted for its caller's limit."""
+        """Whether it was counted against its caller's rate limit."""
         self.is_loss_unreported = False
+        """Whether the proxy rolled it back and has not reported that to the client yet."""
         self.leads = False
+        """Whether it was begun in a form that only a primary accepts."""
         self.wrote = False
         self.last_used = now
 
 
 class SessionState:
-    """The state of one client connection."""
+    """State of a client connection."""
 
     __slots__ = (
         "caller",
@@ -73,33 +75,33 @@
     )
 
     def __init__(self, name: str, database: str, credential_digest: str = "") -> None:
-        """`credential_digest`: of the client's credential, which itself is not kept."""
+        """credential_digest: of the client's credential; the credential itself is not kept."""
         self.name = name
         self.database = database
         self.credential_digest = credential_digest
         self.caller = NO_CALLER
-        """Whose connections carry what runs now: set with each statement that begins something."""
+        """Caller whose connections are used; set by the statement that begins an operation."""
         self.values: dict[str, str] = {}
         self.prepared: dict[str, PreparedShape] = {}
         self.transaction: OpenTransaction | None = None
         self.floor: LogPosition | None = None
         self.ticket: Ticket | None = None
-        """Of an operation that was refused with a moment to come back."""
+        """Ticket of an operation that was refused with a retry time, None for none."""
 
     def writes(self, statement: Statement) -> bool:
-        """Tells whether a statement writes; one to execute has to be prepared here."""
+        """Returns whether a statement writes; an EXECUTE must name a prepared statement."""
         if statement.kind is StatementKind.EXECUTE:
             return self.prepared[statement.name].writes
         return statement.kind is StatementKind.WRITE
 
     @property
     def transaction_state(self) -> TransactionState:
-        """Where the session stands, as an answer tells its client."""
+        """Transaction state that answers report to the client."""
         if self.transaction is None:
             return TransactionState.IDLE
         return TransactionState.FAILED if self.transaction.failed else TransactionState.OPEN
 
     def raise_floor(self, position: LogPosition | None) -> None:
-        """Notes the position of an own commit; later reads must show it."""
+        """Raises the minimum position of later reads to that of a commit of this session."""
         if position is not None and (self.floor is None or position > self.floor):
             self.floor = position
--- a/src/dewledge/core/pooler/sessions/session_transactions.py
+++ b/src/dewledge/core/pooler/sessions/session_transactions.py
@@ -1,7 +1,7 @@
-"""The transaction of a session: its begin, its end, and what a failed one still answers.
+"""Begins and ends a session's transactions, and answers statements in a failed transaction.
 
-It owns no state: the transaction is kept in SessionState, its connection goes back to the group. A
-transaction has a database connection from its first statement on; BEGIN alone reaches no database.
+SessionState holds the transaction, and the group takes back its connection. BEGIN alone reaches no
+database: a transaction gets its connection with its first statement.
 """
 
 from dewledge.core.pooler.events import TransactionEnded
@@ -14,7 +14,7 @@
 
 
 class SessionTransactions:
-    """Of one session."""
+    """Begins, ends and rolls back the transactions of a session."""
 
     __slots__ = ("_replies", "_services")
 
@@ -23,14 +23,14 @@
         self._replies = replies
 
     def begin(self, state: SessionState, statement: Statement, route: Route) -> None:
-        """The client begins a transaction on a route that it may use."""
+        """Begins a transaction on an authorized route."""
         read_only = statement.kind is StatementKind.BEGIN_READ_ONLY
         now = self._services.scheduler.now()
         state.transaction = OpenTransaction(route, read_only, now)
         self._replies.complete(state, statement)
 
     def rollback(self, state: SessionState, statement: Statement) -> None:
-        """The client asks for a rollback."""
+        """Rolls back the open transaction at the client's request."""
         transaction = state.transaction
         if transaction is None:
             message = "no transaction is open"
@@ -43,22 +43,26 @@
     def answer_in_failed(
         self, state: SessionState, transaction: OpenTransaction, statement: Statement
     ) -> None:
-        """Answers a statement of a transaction that has failed: only its end is taken."""
+        """Answers a statement in a failed transaction: only COMMIT and ROLLBACK are accepted."""
         if statement.kind is StatementKind.ROLLBACK:
             state.transaction = None
             self._replies.complete(state, statement)
         elif statement.kind is StatementKind.COMMIT:
             state.transaction = None
-            self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
+            self._replies.fail(
+                state, statement.id, ErrorCode.TRANSACTION_LOST, "the transaction was rolled back"
+            )
         elif transaction.is_loss_unreported:
             transaction.is_loss_unreported = False
-            self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
+            self._replies.fail(
+                state, statement.id, ErrorCode.TRANSACTION_LOST, "the transaction was rolled back"
+            )
         else:
-            message = "the transaction has failed"
+            message = "the transaction has failed, only COMMIT and ROLLBACK are accepted"
             self._replies.fail(state, statement.id, ErrorCode.MALFORMED_REQUEST, message)
 
     def end_idle(self, state: SessionState, reason: str) -> None:
-        """Rolls back a transaction that rests, if one is open; the next statement is told."""
+        """Rolls back an idle transaction, if one is open; the client's next statement fails."""
         transaction = state.transaction
         if transaction is not None and not transaction.failed:
             self._roll_back(state, transaction, reason)
@@ -66,7 +70,7 @@
             transaction.is_loss_unreported = True
 
     def abandon(self, state: SessionState) -> None:
-        """The client is gone: rolls back what is open."""
+        """Rolls back the open transaction: the client has left."""
         if state.transaction is not None:
             self._roll_back(state, state.transaction, "client_left")
             state.transaction = None
