--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -1,4 +1,4 @@
-"""Whose statement it is: tokens, connections of one caller, and transactions whose token goes."""
+"""Callers: authentication by token, admission, connections per caller, and revoked tokens."""
 
 import unittest
 
@@ -42,17 +42,17 @@
             table, version=table.version + 1, routes=routes, callers=tokens
         )
 
-    def callers_told(self) -> list[str]:
+    def received_callers(self) -> list[str]:
         return [ran.caller for ran in self.pooler.model.ran]
 
 
 class TokenTest(CallerCase):
-    def test_a_database_is_told_the_caller_and_never_the_token(self) -> None:
+    def test_database_receives_caller_name_instead_of_token(self) -> None:
         for token in ("first", "third"):
             self.assertIsNone(self.pooler.session(token=token).write().failure)
-        self.assertEqual(self.callers_told(), [NORTH, SOUTH])
+        self.assertEqual(self.received_callers(), [NORTH, SOUTH])
 
-    def test_an_unknown_token_is_refused_at_once(self) -> None:
+    def test_unknown_token_is_refused(self) -> None:
         for token in ("", "fourth", NORTH, credential_digest("first"), "first "):
             with self.subTest(token):
                 refused = self.pooler.session(token=token).client.refused
@@ -63,17 +63,17 @@
         denied = [event for event in self.pooler.events if isinstance(event, SessionDenied)]
         self.assertEqual([event.tries for event in denied], [1, 4])
 
-    def test_a_public_route_asks_for_no_token(self) -> None:
+    def test_public_route_needs_no_token(self) -> None:
         self.set_tokens(TOKENS, is_public=True)
         for token in ("first", "unknown"):
             self.assertIsNone(self.pooler.session(token=token).write().failure)
-        self.assertEqual(self.callers_told(), ["", ""])
+        self.assertEqual(self.received_callers(), ["", ""])
 
-    def test_without_callers_in_the_configuration_every_token_will_do(self) -> None:
+    def test_any_token_is_accepted_without_configured_callers(self) -> None:
         self.set_tokens(None)
         self.assertIsNone(self.pooler.session(token="anything").write().failure)
 
-    def test_each_statement_is_judged_by_the_configuration_in_force(self) -> None:
+    def test_each_statement_is_authorized_by_current_configuration(self) -> None:
         session = self.pooler.session(token="first")
         self.assertIsNone(session.write().failure)
         self.set_tokens(WITHOUT_FIRST)
@@ -85,20 +85,20 @@
         self.assertIsNone(session.write().failure)
         self.assertEqual(len(self.pooler.model.commits), 2)
 
-    def test_a_token_that_moves_to_another_caller_takes_its_connections(self) -> None:
+    def test_token_reassigned_to_another_caller_uses_its_connections(self) -> None:
         session = self.pooler.session(token="first")
         session.write()
         self.set_tokens({credential_digest("first"): SOUTH})
         session.write()
-        self.assertEqual(self.callers_told(), [NORTH, SOUTH])
+        self.assertEqual(self.received_callers(), [NORTH, SOUTH])
 
-    def test_another_token_of_the_caller_goes_on(self) -> None:
+    def test_other_token_of_same_caller_stays_valid(self) -> None:
         session = self.pooler.session(token="second")
         self.set_tokens(WITHOUT_FIRST)
         self.assertIsNone(session.write().failure)
 
 
-class TransactionTest(CallerCase):
+class RevokedTokenTransactionTest(CallerCase):
     def setUp(self) -> None:
         super().setUp()
         self.session = self.pooler.session(token="first")
@@ -106,7 +106,7 @@
         self.assertIsNone(self.session.write().failure)
         self.set_tokens(WITHOUT_FIRST)
 
-    def test_the_next_statement_is_told_that_nothing_is_kept(self) -> None:
+    def test_next_statement_reports_lost_transaction(self) -> None:
         reply = self.session.write()
         assert reply.failure is not None
         self.assertEqual(reply.failure.code, ErrorCode.TRANSACTION_LOST)
@@ -114,14 +114,14 @@
         self.assertIsNone(self.session.ask(StatementKind.ROLLBACK).failure)
         self.assertEqual(self.pooler.model.commits, [])
 
-    def test_a_commit_is_told_that_nothing_is_kept(self) -> None:
+    def test_commit_reports_lost_transaction(self) -> None:
         reply = self.session.ask(StatementKind.COMMIT)
         assert reply.failure is not None
         self.assertEqual(reply.failure.code, ErrorCode.TRANSACTION_LOST)
         self.assertIs(reply.state, TransactionState.IDLE)
         self.assertEqual(self.pooler.model.commits, [])
 
-    def test_one_that_rests_is_rolled_back(self) -> None:
+    def test_idle_transaction_is_rolled_back(self) -> None:
         self.session.session.end_if_denied()
         self.pooler.scheduler.advance(0.1)
         self.assertEqual(self.pooler.model.own[-1], StatementKind.ROLLBACK)
@@ -129,17 +129,17 @@
 
 
 class ModelAdmission:
-    """Decides what a test says, at once or later."""
+    """Admission that applies the decision set by a test, at once or later."""
 
     def __init__(self) -> None:
         self.refusal: Refusal | None = None
         self.is_late = False
         self.applications: list[Application] = []
-        self.wishes: list[Wish] = []
+        self.requests: list[Wish] = []
         self.served: list[float] = []
 
     def apply(self, wish: Wish, decided: Decided) -> Application:
-        self.wishes.append(wish)
+        self.requests.append(wish)
         application = Application(wish, 0.0, 1, decided)
         self.applications.append(application)
         if not self.is_late:
@@ -157,7 +157,7 @@
         self.pooler.services.admission = self.admission
         self.session = self.pooler.session(token="first")
 
-    def test_an_operation_counts_once(self) -> None:
+    def test_transaction_counts_as_one_operation(self) -> None:
         self.session.write()
         self.session.ask(StatementKind.BEGIN)
         for _ in range(3):
@@ -165,7 +165,7 @@
         self.session.ask(StatementKind.COMMIT)
         self.assertEqual([each.caller for each in self.admission.applications], [NORTH] * 2)
 
-    def test_what_is_refused_does_not_run_and_is_told_when_to_come_back(self) -> None:
+    def test_refused_operation_does_not_run_and_gets_retry_time(self) -> None:
         self.admission.refusal = Refusal(70, RefusalCause.OVER_LIMIT)
         for is_late in (False, True):
             self.admission.is_late = is_late
@@ -176,10 +176,12 @@
             self.assertEqual(reply.failure.code, ErrorCode.RATE_LIMITED)
             self.assertIn("70 ms", reply.failure.message)
         self.assertEqual(self.pooler.model.ran, [])
-        told = [event for event in self.pooler.events if isinstance(event, OperationNotAdmitted)]
-        self.assertEqual(len(told), 2)
+        refusal_events = [
+            event for event in self.pooler.events if isinstance(event, OperationNotAdmitted)
+        ]
+        self.assertEqual(len(refusal_events), 2)
 
-    def test_who_comes_back_as_told_shows_the_token_kept_for_it(self) -> None:
+    def test_retry_at_promised_time_redeems_reserved_token(self) -> None:
         now = self.pooler.scheduler.now()
         kept = KeptToken(NORTH, 7, now + 0.07)
         self.admission.refusal = Refusal(70, RefusalCause.OVER_LIMIT, kept)
@@ -191,35 +193,37 @@
         self.admission.refusal = None
         for _ in range(2):
             self.assertIsNone(self.session.write().failure)
-        self.assertEqual([wish.kept for wish in self.admission.wishes], [None, kept, None])
-        told = [event for event in self.pooler.events if isinstance(event, OperationNotAdmitted)]
-        self.assertEqual([event.is_kept for event in told], [True])
+        self.assertEqual([wish.kept for wish in self.admission.requests], [None, kept, None])
+        refusal_events = [
+            event for event in self.pooler.events if isinstance(event, OperationNotAdmitted)
+        ]
+        self.assertEqual([event.is_kept for event in refusal_events], [True])
 
-    def test_one_that_was_held_has_a_line_and_its_serving_is_measured_from_its_token(self) -> None:
+    def test_delayed_operation_is_logged_and_served_time_starts_at_admission(self) -> None:
         self.admission.is_late = True
         statement = self.session.start(StatementKind.WRITE, argument="thing data")
         self.pooler.scheduler.advance(0.15)
         self.admission.applications[0].decide(None)
         self.pooler.scheduler.advance(0.3)
         self.assertIsNone(self.session.reply(statement).failure)
-        held = [event for event in self.pooler.events if isinstance(event, OperationHeld)]
-        self.assertEqual([(event.caller, event.waited_ms) for event in held], [(NORTH, 150)])
+        wait_events = [event for event in self.pooler.events if isinstance(event, OperationHeld)]
+        self.assertEqual([(event.caller, event.waited_ms) for event in wait_events], [(NORTH, 150)])
         self.assertEqual(len(self.admission.served), 1)
         self.assertLess(self.admission.served[0], 0.15)
 
-    def test_the_part_can_be_switched_off(self) -> None:
+    def test_token_reservation_can_be_disabled(self) -> None:
         self.session.write()
         self.pooler.services.load_policy = LoadPolicy(kept_tokens=False)
         self.session.write()
-        self.assertEqual([wish.keeps for wish in self.admission.wishes], [True, False])
+        self.assertEqual([wish.keeps for wish in self.admission.requests], [True, False])
 
-    def test_a_refused_transaction_has_failed(self) -> None:
+    def test_refused_admission_fails_transaction(self) -> None:
         self.admission.refusal = Refusal(70, RefusalCause.OVER_LIMIT)
         self.session.ask(StatementKind.BEGIN)
         self.assertIs(self.session.write().state, TransactionState.FAILED)
         self.assertIs(self.session.ask(StatementKind.COMMIT).state, TransactionState.IDLE)
 
-    def test_statements_behind_one_that_waits_keep_their_order(self) -> None:
+    def test_statements_behind_waiting_operation_keep_order(self) -> None:
         self.admission.is_late = True
         for _ in range(2):
             self.session.start(StatementKind.WRITE, argument="thing data")
@@ -228,7 +232,7 @@
         self.pooler.scheduler.advance(0.3)
         self.assertEqual(len(self.admission.applications), 2)
 
-    def test_a_client_that_leaves_withdraws(self) -> None:
+    def test_disconnect_withdraws_waiting_operation(self) -> None:
         self.admission.is_late = True
         self.session.start(StatementKind.WRITE, argument="thing data")
         self.session.session.end()
@@ -242,53 +246,53 @@
         self.scheduler = ModelScheduler()
         self.model = ModelGroup(self.scheduler)
         self.pool = ConnectionPool("p", 2, self.model, self.scheduler.now)
-        self.given: list[DatabaseConnection] = []
+        self.acquired: list[DatabaseConnection] = []
 
     def acquire(self, caller: str) -> None:
-        waiter = Waiter(1, self.given.append, lambda denial: None, caller=caller)
+        waiter = Waiter(1, self.acquired.append, lambda denial: None, caller=caller)
         self.pool.acquire(waiter, {})
         self.scheduler.advance(0.1)
 
     def use(self, caller: str) -> DatabaseConnection:
         self.acquire(caller)
-        self.pool.release(self.given[-1])
-        return self.given[-1]
+        self.pool.release(self.acquired[-1])
+        return self.acquired[-1]
 
-    def test_a_connection_serves_its_own_caller_only(self) -> None:
+    def test_connection_serves_only_its_caller(self) -> None:
         first = self.use(NORTH)
         other = self.use(SOUTH)
         self.assertIsNot(first, other)
         self.assertIs(self.use(NORTH), first)
         self.assertEqual([each.caller for each in (first, other)], [NORTH, SOUTH])
 
-    def test_at_the_limit_the_one_idle_for_longest_makes_room(self) -> None:
+    def test_longest_idle_connection_is_closed_at_the_limit(self) -> None:
         first, second = self.use("a"), self.use("b")
         self.use("c")
         self.assertTrue(first.closed)
         self.assertFalse(second.closed)
         self.assertEqual(self.model.databases["p"].open_connections, 2)
 
-    def test_one_in_use_is_never_closed_for_another(self) -> None:
+    def test_connection_in_use_is_not_closed_for_another_caller(self) -> None:
         for caller in "ab":
             self.acquire(caller)
         self.acquire("c")
-        self.assertEqual(len(self.given), 2)
-        self.pool.release(self.given[0])
+        self.assertEqual(len(self.acquired), 2)
+        self.pool.release(self.acquired[0])
         self.scheduler.advance(0.1)
-        self.assertEqual([each.caller for each in self.given], ["a", "b", "c"])
+        self.assertEqual([each.caller for each in self.acquired], ["a", "b", "c"])
         self.assertEqual(self.model.databases["p"].open_connections, 2)
 
-    def test_who_finds_a_connection_does_not_wait_for_who_needs_a_new_one(self) -> None:
+    def test_caller_with_idle_connection_does_not_wait_for_new_connection(self) -> None:
         self.use("a")
         self.model.databases["p"].refuse_connections = True
-        blocked = Waiter(0, self.given.append, lambda denial: None, caller="b")
+        blocked = Waiter(0, self.acquired.append, lambda denial: None, caller="b")
         self.pool.acquire(blocked, {})
         self.acquire("a")
-        self.assertEqual(len(self.given), 2)
+        self.assertEqual(len(self.acquired), 2)
 
 
 class HolderOfCallerTest(unittest.TestCase):
-    def test_all_processes_go_to_the_same_holder_for_a_caller(self) -> None:
+    def test_all_processes_select_same_holder_for_caller(self) -> None:
         one = Holding(0, ("h1", "h2", "h3", "spare"), 3)
         other = Holding(0, ("h3", "h1", "h2", "spare"), 3)
         firsts = set()
--- a/tests/core/pooler/test_client_session.py
+++ b/tests/core/pooler/test_client_session.py
@@ -1,4 +1,4 @@
-"""Sessions: values, prepared statements, transactions and ends, over shared connections."""
+"""Client sessions on shared connections: values, prepared statements, transactions, closing."""
 
 import unittest
 
@@ -17,19 +17,19 @@
 
 
 class StartupTest(unittest.TestCase):
-    def test_an_unknown_database_name_is_refused(self) -> None:
+    def test_unknown_database_name_is_refused(self) -> None:
         probe = SessionProbe(PoolerHarness(), "nowhere")
         self.assertIsNotNone(probe.client.refused)
         self.assertEqual(probe.client.refused.code, ErrorCode.UNKNOWN_GROUP)  # type: ignore[union-attr]
 
-    def test_without_a_configuration_a_session_waits_for_it(self) -> None:
+    def test_session_waits_for_configuration(self) -> None:
         harness = PoolerHarness(configured=False)
         probe = harness.session(wait=1.0)
         self.assertEqual((probe.client.ready, probe.client.refused), (0, None))
         harness.configure()
         self.assertEqual(probe.client.ready, 1)
 
-    def test_a_session_that_waited_too_long_is_refused_with_when_to_come_back(self) -> None:
+    def test_session_is_refused_with_retry_time_after_waiting_too_long(self) -> None:
         harness = PoolerHarness(configured=False)
         probe = harness.session(wait=1.7)
         refused = probe.client.refused
@@ -39,7 +39,7 @@
         harness.configure()
         self.assertEqual(probe.client.ready, 0)
 
-    def test_a_second_startup_ends_the_session(self) -> None:
+    def test_second_startup_ends_session(self) -> None:
         probe = PoolerHarness().session()
         probe.session.handle(Startup("primary", "x"))
         self.assertIsNotNone(probe.client.refused)
@@ -49,7 +49,7 @@
     def setUp(self) -> None:
         self.harness = PoolerHarness(limit=1)
 
-    def test_values_follow_their_session_over_one_shared_connection(self) -> None:
+    def test_session_values_follow_session_on_shared_connection(self) -> None:
         first, second = self.harness.session(), self.harness.session()
         first.ask(StatementKind.SET_VALUE, "tenant", "north")
         second.ask(StatementKind.SET_VALUE, "role", "cook")
@@ -58,7 +58,7 @@
             self.assertEqual(self.harness.model.ran[-1].values, expected)
         self.assertEqual({ran.connection for ran in self.harness.model.ran}, {0})
 
-    def test_one_name_prepared_differently_by_two_sessions_runs_each_ones_shape(self) -> None:
+    def test_same_prepared_name_in_two_sessions_runs_own_statement(self) -> None:
         first, second = self.harness.session(), self.harness.session()
         first.ask(StatementKind.PREPARE, "s1", "shape-a", writes=True)
         second.ask(StatementKind.PREPARE, "s1", "shape-b", writes=True)
@@ -66,7 +66,7 @@
             probe.ask(StatementKind.EXECUTE, "s1", "thing data")
             self.assertEqual(self.harness.model.ran[-1].prepared, expected)
 
-    def test_a_name_that_is_closed_is_unknown(self) -> None:
+    def test_deallocated_name_is_unknown(self) -> None:
         probe = self.harness.session()
         probe.ask(StatementKind.PREPARE, "s1", "shape", writes=False)
         probe.ask(StatementKind.DEALLOCATE, "s1")
@@ -74,7 +74,7 @@
         assert failure is not None
         self.assertEqual(failure.code, ErrorCode.UNKNOWN_STATEMENT)
 
-    def test_too_many_values_are_refused_and_the_known_ones_kept(self) -> None:
+    def test_session_value_limit_allows_changes_of_existing_values(self) -> None:
         probe = self.harness.session()
         replies = [probe.ask(StatementKind.SET_VALUE, f"n{n}", "v", wait=0) for n in range(257)]
         self.assertIsNone(replies[255].failure)
@@ -86,7 +86,7 @@
     def setUp(self) -> None:
         self.harness = PoolerHarness(limit=2)
 
-    def test_all_statements_run_on_one_connection_which_no_other_session_uses(self) -> None:
+    def test_transaction_runs_on_exclusive_connection(self) -> None:
         first, second = self.harness.session(), self.harness.session()
         first.ask(StatementKind.BEGIN)
         first.write()
@@ -100,12 +100,12 @@
         self.assertNotEqual(alone[0].connection, in_transaction[0].connection)
         self.assertEqual(len(self.harness.model.commits), 3)
 
-    def test_begin_takes_no_connection_before_the_first_statement(self) -> None:
+    def test_begin_acquires_no_connection(self) -> None:
         probe = self.harness.session()
         self.assertEqual(probe.ask(StatementKind.BEGIN).state, TransactionState.OPEN)
         self.assertEqual(self.harness.model.transports, [])
 
-    def test_rollback_keeps_nothing_and_gives_the_connection_back(self) -> None:
+    def test_rollback_discards_writes_and_releases_connection(self) -> None:
         probe = self.harness.session()
         probe.ask(StatementKind.BEGIN)
         probe.write()
@@ -113,7 +113,7 @@
         self.assertEqual(self.harness.model.commits, [])
         self.assertEqual(self.harness.group.pool("p").in_use, 0)
 
-    def test_a_failed_transaction_takes_only_its_end(self) -> None:
+    def test_failed_transaction_accepts_only_commit_and_rollback(self) -> None:
         for ending, code in (
             (StatementKind.ROLLBACK, None),
             (StatementKind.COMMIT, ErrorCode.TRANSACTION_LOST),
@@ -131,7 +131,7 @@
                 self.assertEqual(ended.state, TransactionState.IDLE)
                 self.assertEqual(self.harness.model.commits, [])
 
-    def test_a_transaction_that_rests_is_ended_and_the_next_statement_told(self) -> None:
+    def test_next_statement_fails_after_rollback_of_idle_transaction(self) -> None:
         probe = self.harness.session()
         probe.ask(StatementKind.BEGIN)
         probe.write()
@@ -139,19 +139,19 @@
         probe.session.end_transaction("rested_too_long")
         self.harness.scheduler.advance(0.1)
         self.assertEqual(self.harness.group.pool("p").in_use, 0)
-        told = probe.write()
-        self.assertEqual(told.failure.code, ErrorCode.TRANSACTION_LOST)  # type: ignore[union-attr]
+        reply = probe.write()
+        self.assertEqual(reply.failure.code, ErrorCode.TRANSACTION_LOST)  # type: ignore[union-attr]
         self.assertEqual(probe.ask(StatementKind.ROLLBACK).state, TransactionState.IDLE)
         self.assertTrue(any(isinstance(event, TransactionEnded) for event in self.harness.events))
 
-    def test_a_client_that_leaves_midway_keeps_nothing(self) -> None:
-        for midway in (False, True):
-            with self.subTest(statement_running=midway):
+    def test_disconnect_rolls_back_transaction(self) -> None:
+        for is_running in (False, True):
+            with self.subTest(statement_running=is_running):
                 harness = PoolerHarness(limit=1)
                 probe = harness.session()
                 probe.ask(StatementKind.BEGIN)
                 probe.write()
-                if midway:
+                if is_running:
                     probe.start(StatementKind.WRITE, argument="thing data")
                 probe.session.handle(Terminate())
                 harness.scheduler.advance(1.0)
@@ -159,7 +159,7 @@
                 self.assertEqual(harness.group.pool("p").in_use, 0)
                 self.assertIsNone(harness.session().write().failure)
 
-    def test_a_route_change_binds_from_the_next_transaction(self) -> None:
+    def test_route_change_applies_from_next_transaction(self) -> None:
         probe = self.harness.session(Consistency.PRIMARY)
         probe.ask(StatementKind.BEGIN)
         self.harness.services.routes = RouteTable(2, {}, {})
@@ -170,33 +170,33 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_statements_sent_at_once_are_answered_in_order(self) -> None:
+    def test_pipelined_statements_are_answered_in_order(self) -> None:
         harness = PoolerHarness()
         probe = harness.session()
         ids = [probe.start(StatementKind.WRITE, argument=f"{n} x") for n in range(5)]
         harness.scheduler.advance(1.0)
-        self.assertEqual([known for known, _ in probe.client.replies], ids)
+        self.assertEqual([statement_id for statement_id, _ in probe.client.replies], ids)
 
-    def test_too_many_at_once_end_the_session(self) -> None:
+    def test_too_many_pipelined_statements_end_session(self) -> None:
         probe = PoolerHarness().session()
         for n in range(66):
             probe.start(StatementKind.WRITE, argument=f"{n} x")
         self.assertIsNotNone(probe.client.refused)
 
-    def test_an_unreadable_statement_is_answered_and_the_session_goes_on(self) -> None:
+    def test_session_continues_after_malformed_statement(self) -> None:
         probe = PoolerHarness().session()
         probe.session.handle(MalformedInput("7", "unknown statement"))
         self.assertEqual(probe.reply("7").failure.code, ErrorCode.MALFORMED_REQUEST)  # type: ignore[union-attr]
         self.assertIsNone(probe.read().failure)
 
 
-class LeavingTest(unittest.TestCase):
-    def test_a_session_at_rest_is_closed_at_once(self) -> None:
+class PlannedStopTest(unittest.TestCase):
+    def test_idle_session_is_closed_at_once(self) -> None:
         probe = PoolerHarness().session()
         probe.session.leave()
         self.assertTrue(probe.client.closed)
 
-    def test_near_the_end_a_new_statement_is_refused_at_once(self) -> None:
+    def test_new_statement_is_refused_near_end_of_planned_stop(self) -> None:
         harness = PoolerHarness()
         probe = harness.session()
         running = probe.start(StatementKind.WRITE, argument="thing data")
@@ -208,7 +208,7 @@
         self.assertIsNone(probe.reply(running).failure)
         self.assertEqual(len(harness.model.commits), 1)
 
-    def test_a_statement_is_answered_first(self) -> None:
+    def test_running_statement_is_answered_before_close(self) -> None:
         harness = PoolerHarness()
         probe = harness.session()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
@@ -218,8 +218,8 @@
         self.assertIsNone(probe.reply(statement_id).failure)
         self.assertTrue(probe.client.closed)
 
-    def test_what_came_in_one_piece_is_answered_whole(self) -> None:
-        """The first message ends a failed transaction, so that the session is at rest after it."""
+    def test_messages_received_together_are_all_answered_before_close(self) -> None:
+        """The first message ends a failed transaction, so the session is idle after it."""
         harness = PoolerHarness()
         probe = harness.session()
         probe.ask(StatementKind.BEGIN)
@@ -235,7 +235,7 @@
         self.assertIsNone(probe.reply("r2").failure)
         self.assertTrue(probe.client.closed)
 
-    def test_an_open_transaction_may_end(self) -> None:
+    def test_open_transaction_may_commit_before_close(self) -> None:
         probe = PoolerHarness().session()
         probe.ask(StatementKind.BEGIN)
         probe.write()
