--- a/src/dewledge/core/pooler/failover/claim_acknowledgements.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -1,9 +1,9 @@
-"""Tracks which processes acknowledged a claim, and when no process can still use the old primary.
+"""Tracks which processes acknowledged a claim, and when no process can hold a lease without it.
 
 A process uses a primary only under a lease, which the store or a quorum of voters confirms
-(primary_lease.py). A process that acknowledged the claim has stopped using the old primary. A
+(primary_lease.py). A process that acknowledged the claim uses no primary that the claim forbids. A
 process that did not answer cannot have been confirmed after the claim was stored and a majority of
-the voters knew it, so its lease has expired LEASE_SECONDS after the later of the two.
+each earlier set of voters knew it, so its lease has expired LEASE_SECONDS after the last of these.
 """
 
 from collections.abc import Collection, Sequence
@@ -30,10 +30,10 @@
         return sorted(name for name in processes if name not in self._acknowledged_at)
 
     def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
-        """Returns whether no process can still use the old primary.
+        """Returns whether no process can hold a lease without knowing the claim.
 
-        The list of registered processes counts only if it is at least as new as the claim: an older
-        one may lack a process.
+        From then on, no process uses a primary that the claim forbids. The list of registered
+        processes counts only if it is at least as new as the claim: an older list may lack one.
         """
         if registered.version >= self.claim.fencing_token and not self.missing(registered.names):
             return True
--- a/src/dewledge/core/pooler/failover/claim_maintenance.py
+++ b/src/dewledge/core/pooler/failover/claim_maintenance.py
@@ -47,7 +47,7 @@
             current.add(event.process, now)
 
     def maintain(self, situation: Situation) -> Sequence[FailoverEffect]:
-        """Returns the writes and sends that are due now; called while the primary is healthy."""
+        """Returns the claim to write or send now, if any; called while the primary is healthy."""
         judges, now = situation.members, situation.now
         if tuple(judges) != self._judges:
             self._judges, self._judges_since = tuple(judges), now
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -53,7 +53,7 @@
     def active_holder(self, replaced: str, now: float) -> str | None:
         """Returns the other process that may be replacing the same primary now, None for none.
 
-        Always None where the platform fences: then no claim holder is waited for.
+        Always None if the platform fences, as no process waits for a claim holder then.
         """
         claim = self._lease.claim
         if not self._is_unfenced or claim is None or claim.holder == self._local_name:
@@ -90,7 +90,7 @@
     def usable_fencing_token(self) -> int:
         """Fencing token of an earlier claim of this process that it can reuse, 0 for none.
 
-        Only where the platform fences: it refuses the token if a newer one exists.
+        Always 0 unless the platform fences and so refuses the token if a newer one is in use.
         """
         claim = self._lease.claim
         if self._is_unfenced or claim is None or claim.holder != self._local_name:
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -8,11 +8,11 @@
 from dewledge.core.pooler.failover.messages import IndirectProbeReported, ReachTested
 
 MAJORITY_DECISION_SECONDS = 0.45
-"""Seconds from the start of a check until a majority of the judges is enough: two tests of at most
-0.3 s, the second started 0.1 s after the first, and a datagram each way."""
+"""Seconds from the start of a check after which a majority of the judges is enough: two tests of at
+most 0.3 s, the second started 0.1 s after the first, and a datagram each way."""
 SOLE_DECISION_SECONDS = 2.5
-"""Seconds until the local test is enough, where the platform fences: after many processes died, no
-majority can answer."""
+"""Seconds after which the local test alone is enough, if the platform fences: after many processes
+died, no majority can answer."""
 
 
 class ReachEvidence:
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -79,7 +79,7 @@
                 pending.add(event.process, now)
 
     def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
-        """Returns the next send of the claim to all processes that have not acknowledged it."""
+        """Returns the next send of the claim, to all processes that have not acknowledged it."""
         acknowledgements = self._ban_acknowledgements or self._claim_acknowledgements
         if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
@@ -92,8 +92,8 @@
     ) -> Sequence[StepDown]:
         """Returns the request to the old primary to step down, until STEP_DOWN_TIMEOUT_SECONDS.
 
-        The first request waits until no process can use the old primary without knowing this
-        process's first claim.
+        The first request waits until no process can hold a lease without knowing this process's
+        first claim.
         """
         if not self._may_step_down or self.final_status is not None:
             return []
--- a/src/dewledge/core/pooler/failover/phases.py
+++ b/src/dewledge/core/pooler/failover/phases.py
@@ -64,7 +64,7 @@
     PROMOTION_WITHOUT_EFFECT = auto()
     """The promotion timed out without a new primary."""
     HOLDER_WITHOUT_EFFECT = auto()
-    """The other claim holder's time ran out without a new primary."""
+    """The claim of another process timed out without a new primary."""
     NEW_PRIMARY = auto()
     """The group has a primary that needs no replacement."""
 
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -17,8 +17,8 @@
 from dewledge.core.pooler.failover.messages import Claim
 
 LEASE_SECONDS = 1.75
-"""Seconds for which a confirmation is valid: CONFIRMATION_REFRESH_AGE_SECONDS and two rounds of
-questions to voters (quorum_confirmation.py)."""
+"""Seconds for which a confirmation is valid: leaves time for two questions to voters after
+CONFIRMATION_REFRESH_AGE_SECONDS (quorum_confirmation.py)."""
 LONG_AGO = -1e9
 """Seconds of the steady clock: a time before any event, the initial value of recorded times."""
 
@@ -81,7 +81,7 @@
 
         The proof holds while this process has the lease, since no other database is promoted
         without a newer claim. The exception is a database that this claim replaces: it may step
-        down at any time.
+        down at any time. Always False if the platform fences.
         """
         if self.fencing is Fencing.PLATFORM or self._proven_leader != (
             database_id,
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -15,10 +15,10 @@
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
 CONFIRMATION_REFRESH_AGE_SECONDS = 1.25
-"""Seconds: age of the last confirmation at which voters are asked. In normal operation, the store
-confirms before an age of 1.2 s."""
+"""Seconds since the last confirmation after which voters are asked. While the store is reachable,
+confirmations are renewed within 1.2 s."""
 QUESTION_INTERVAL_SECONDS = 0.25
-"""Seconds between questions: allows two before a lease expires."""
+"""Seconds between questions: allows two before LEASE_SECONDS."""
 MAX_GROUPS_PER_QUESTION = 40
 """Groups in one question, so that it fits in a datagram (MAX_BYTES of peer_messages.py)."""
 
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -108,7 +108,7 @@
     def end_transaction(self, reason: str) -> None:
         """Rolls back the open transaction if no statement is being answered.
 
-        The client's next statement fails, which tells the client of the rollback.
+        The client's next statement then fails with TRANSACTION_LOST.
         """
         if self._state is not None and not self._is_busy:
             self._transactions.end_idle(self._state, reason)
@@ -122,7 +122,10 @@
             self.end_transaction("token_taken_away")
 
     def resting_since(self) -> float | None:
-        """Returns since when an open transaction has kept a connection idle, None if it has not."""
+        """Returns when the open transaction last used its connection (steady clock, seconds).
+
+        None while a statement is being answered, and without a transaction that has a connection.
+        """
         state = self._state
         if state is None or self._is_busy or state.transaction is None:
             return None
@@ -130,7 +133,7 @@
         return transaction.last_used if transaction.connection is not None else None
 
     def end(self) -> None:
-        """Ends the session and rolls back its transaction: the client's connection is closed."""
+        """Ends the session: abandons the running statement and rolls back an open transaction."""
         if self._ended:
             return
         self._ended = True
@@ -193,7 +196,7 @@
             self._fail(
                 state,
                 statement.id,
-                Failure(ErrorCode.UNKNOWN_STATEMENT, "not a prepared name"),
+                Failure(ErrorCode.UNKNOWN_STATEMENT, "no statement is prepared under this name"),
             )
             return
         if transaction is None:
@@ -232,7 +235,7 @@
         return False
 
     def _request_admission(self, state: SessionState, route: Route, statement: Statement) -> None:
-        def decided(decision: AdmissionDecision) -> None:
+        def on_decided(decision: AdmissionDecision) -> None:
             if decision.refusal is not None:
                 self._on_not_admitted(state, statement, decision.refusal)
                 return
@@ -240,7 +243,7 @@
                 state.transaction.is_admitted = True
             self._start_run(state, route, statement, decision.arrived, decision.decided_at)
 
-        self._admission.request(state, route, statement, decided)
+        self._admission.request(state, route, statement, on_decided)
 
     def _on_not_admitted(self, state: SessionState, statement: Statement, refused: Refusal) -> None:
         if state.transaction is not None and statement.kind is StatementKind.COMMIT:
@@ -265,10 +268,10 @@
             return
         if arrived is None:
             arrived = self._services.scheduler.now()
-        answerer = self._reply_handler(statement.id, admitted_at)
+        on_reply = self._reply_handler(statement.id, admitted_at)
         writes = state.writes(statement)
         scope = StatementScope(self._services, group, route, state, statement, writes, arrived)
-        self._run = StatementRun(scope, answerer)
+        self._run = StatementRun(scope, on_reply)
         self._run.start()
 
     def _reply_handler(
--- a/src/dewledge/core/pooler/sessions/denials.py
+++ b/src/dewledge/core/pooler/sessions/denials.py
@@ -33,19 +33,19 @@
     def record_denial(self, session: str, route: str, configuration: int) -> None:
         """Records that a session presented a credential which no configured caller has."""
         denied = SessionDenied(session, route, configuration)
-        left_out = self._suppressed.get(route)
-        if left_out is None:
+        suppressed = self._suppressed.get(route)
+        if suppressed is None:
             self._record(denied)
             self._suppressed[route] = _SuppressedDenials()
             self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
         else:
-            left_out.tries += 1
-            left_out.last = denied
+            suppressed.tries += 1
+            suppressed.last = denied
 
     def _write_suppressed(self, route: str) -> None:
-        left_out = self._suppressed.pop(route)
-        if left_out.last is None:
+        suppressed = self._suppressed.pop(route)
+        if suppressed.last is None:
             return
-        self._record(msgspec.structs.replace(left_out.last, tries=left_out.tries))
+        self._record(msgspec.structs.replace(suppressed.last, tries=suppressed.tries))
         self._suppressed[route] = _SuppressedDenials()
         self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -20,7 +20,7 @@
 """Ratio of read retries to all statements: low enough that retries of reads on an unresponsive
 connection holder add no noticeable load."""
 READ_RETRY_RESERVE = 20.0
-"""Reads that may be retried at once: as many as a process runs on a few connection holders."""
+"""Reads that may be retried at once: as many as a process has running on a few holders."""
 
 
 class PoolServices:
