--- a/src/dewledge/core/pooler/sessions/authorization.py
+++ b/src/dewledge/core/pooler/sessions/authorization.py
@@ -19,7 +19,7 @@
     caller: str
 
 
-UNKNOWN_ROUTE_FAILURE = Failure(ErrorCode.UNKNOWN_GROUP, "no route for this database name")
+UNKNOWN_ROUTE_FAILURE = Failure(ErrorCode.UNKNOWN_GROUP, "no route of this name")
 UNKNOWN_CALLER_FAILURE = Failure(ErrorCode.UNAUTHENTICATED, "no caller has this token")
 
 
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -85,9 +85,9 @@
             self.end()
             self._transport.close()
         elif self._state is None or (isinstance(message, MalformedInput) and message.fatal):
-            self._refuse(_malformed("malformed message, or the session has not been started"))
+            self._refuse(_malformed("not a message of this session"))
         elif len(self._queue) >= MAX_PIPELINED_MESSAGES:
-            self._refuse(_malformed("too many unanswered statements"))
+            self._refuse(_malformed("too many statements without an answer"))
         else:
             self._queue.append(message)
             self._serve_queue()
@@ -178,7 +178,7 @@
 
     def _begin(self, state: SessionState, statement: Statement) -> None:
         if state.transaction is not None:
-            self._fail(state, statement.id, _malformed("a transaction is already open"))
+            self._fail(state, statement.id, _malformed("a transaction is open"))
             return
         route = self._authorized_route(state, statement)
         if route is not None:
@@ -196,7 +196,7 @@
             self._fail(
                 state,
                 statement.id,
-                Failure(ErrorCode.UNKNOWN_STATEMENT, "no statement is prepared under this name"),
+                Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"),
             )
             return
         if transaction is None:
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -18,7 +18,7 @@
     if statement.kind is StatementKind.SET_VALUE:
         is_set = statement.name in state.values
         if not is_set and len(state.values) >= MAX_SESSION_VALUES:
-            return Failure(ErrorCode.TOO_LARGE, "too many session values")
+            return Failure(ErrorCode.TOO_LARGE, "too many values")
         state.values[statement.name] = statement.argument
     elif statement.kind is StatementKind.PREPARE:
         if statement.name not in state.prepared and len(state.prepared) >= MAX_PREPARED_STATEMENTS:
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -51,9 +51,7 @@
     def begin(self, startup: Startup) -> None:
         """Handles a startup message; refuses any after the first."""
         if self._is_accepted or self._waiting_startup is not None:
-            self._on_refused(
-                Failure(ErrorCode.MALFORMED_REQUEST, "the session has already started")
-            )
+            self._on_refused(Failure(ErrorCode.MALFORMED_REQUEST, "the session stands already"))
         elif not self._services.is_configured:
             self._waiting_startup = startup
             self._services.call_when_configured(self._begin_waiting)
--- a/src/dewledge/core/pooler/sessions/session_transactions.py
+++ b/src/dewledge/core/pooler/sessions/session_transactions.py
@@ -49,16 +49,12 @@
             self._replies.complete(state, statement)
         elif statement.kind is StatementKind.COMMIT:
             state.transaction = None
-            self._replies.fail(
-                state, statement.id, ErrorCode.TRANSACTION_LOST, "the transaction was rolled back"
-            )
+            self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
         elif transaction.is_loss_unreported:
             transaction.is_loss_unreported = False
-            self._replies.fail(
-                state, statement.id, ErrorCode.TRANSACTION_LOST, "the transaction was rolled back"
-            )
+            self._replies.fail(state, statement.id, ErrorCode.TRANSACTION_LOST, "rolled back")
         else:
-            message = "the transaction has failed, only COMMIT and ROLLBACK are accepted"
+            message = "the transaction has failed"
             self._replies.fail(state, statement.id, ErrorCode.MALFORMED_REQUEST, message)
 
     def end_idle(self, state: SessionState, reason: str) -> None:
