--- a/src/dewledge/core/pooler/failover/claim_writing.py
+++ b/src/dewledge/core/pooler/failover/claim_writing.py
@@ -1,8 +1,6 @@
-"""What a new claim row holds, worked out from the one before it. Pure functions.
+"""Builds each new claim row from the newest known claim. Pure functions.
 
-Inputs: the newest claim known, the judges of the group, the replaced and the chosen database.
-Decision: the fields of the row to write. Relies on the store's conditional write, which refuses a
-row that was worked out from an older one.
+Relies on the store's conditional write, which refuses a row that was built from an outdated claim.
 """
 
 from collections.abc import Sequence
@@ -10,25 +8,30 @@
 from dewledge.core.pooler.failover.messages import Claim, WriteClaim
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLease
 
-NOBODY = ""
-"""The leader of a claim under which no database may be used as primary."""
+NO_LEADER = ""
+"""Value of `Claim.leader` when no database may be used as primary."""
 
 
-def standing_claim(lease: PrimaryLease, voters: Sequence[str], is_settled: bool) -> WriteClaim:
-    """Returns the claim that changes nothing but the voters.
+def maintenance_claim(
+    lease: PrimaryLease, voters: Sequence[str], drops_earlier_voters: bool
+) -> WriteClaim:
+    """Returns a claim that replaces no primary and only updates the voters.
 
-    is_settled: no voter confirms claims before the newest one any more.
+    drops_earlier_voters: whether no voter can still confirm claims older than the newest one.
     """
     leader = None if lease.claim is None else lease.claim.leader
-    return _next_claim(lease, voters, "", leader, is_settled=is_settled)
+    return _next_claim(lease, voters, "", leader, drops_earlier_voters=drops_earlier_voters)
 
 
 def replacement_claim(
-    lease: PrimaryLease, voters: Sequence[str], replaced: str, serves_on: bool
+    lease: PrimaryLease, voters: Sequence[str], replaced: str, still_serves: bool
 ) -> WriteClaim:
-    """Returns the claim to replace a primary. serves_on: it may be used until the order."""
-    if not serves_on:
-        return _next_claim(lease, voters, replaced, NOBODY)
+    """Returns the claim to replace a primary.
+
+    still_serves: whether the old primary may be used until the promotion is ordered.
+    """
+    if not still_serves:
+        return _next_claim(lease, voters, replaced, NO_LEADER)
     leader = None if lease.claim is None else lease.claim.leader
     return _next_claim(lease, voters, replaced, replaced if leader is None else leader)
 
@@ -36,17 +39,20 @@
 def order_claim(
     lease: PrimaryLease, voters: Sequence[str], replaced: str, ordered: str
 ) -> WriteClaim:
-    """Returns the claim under which the promotion of `ordered` is ordered."""
+    """Returns the claim that names `ordered` as the only leader before its promotion."""
     return _next_claim(lease, voters, replaced, ordered, ordered)
 
 
-def withdrawn_claim(lease: PrimaryLease, voters: Sequence[str], kept: str) -> WriteClaim:
-    """Returns the claim after a replacement without an order: `kept` stays primary."""
-    return _next_claim(lease, voters, "", kept, kept)
+def withdrawal_claim(lease: PrimaryLease, voters: Sequence[str], primary: str) -> WriteClaim:
+    """Returns the claim that ends a replacement before any promotion: `primary` stays primary."""
+    return _next_claim(lease, voters, "", primary, primary)
 
 
 def last_order(lease: PrimaryLease, replaced: str) -> str:
-    """Returns the database whose promotion was ordered last, "" for none or the replaced one."""
+    """Returns the database whose promotion was ordered last.
+
+    Returns "" if there was no order, or if the ordered database is the one now being replaced.
+    """
     claim = lease.claim
     return "" if claim is None or claim.ordered == replaced else claim.ordered
 
@@ -57,7 +63,7 @@
     replaced: str,
     leader: str | None,
     ordered: str | None = None,
-    is_settled: bool = False,
+    drops_earlier_voters: bool = False,
 ) -> WriteClaim:
     claim = lease.claim
     expected = 0 if claim is None else claim.fencing_token
@@ -65,13 +71,15 @@
         return WriteClaim(replaced, expected)
     if ordered is None:
         ordered = last_order(lease, replaced)
-    quorums = _quorums(claim, is_settled)
+    quorums = _earlier_quorums(claim, drops_earlier_voters)
     return WriteClaim(replaced, expected, leader, tuple(voters), quorums, ordered)
 
 
-def _quorums(claim: Claim | None, is_settled: bool) -> tuple[tuple[str, ...], ...]:
+def _earlier_quorums(
+    claim: Claim | None, drops_earlier_voters: bool
+) -> tuple[tuple[str, ...], ...]:
     if claim is None:
         return ()
-    earlier = () if is_settled else claim.quorums
+    earlier = () if drops_earlier_voters else claim.quorums
     sets = dict.fromkeys(tuple(sorted(names)) for names in (claim.voters, *earlier) if names)
     return tuple(sets)
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -1,11 +1,8 @@
 """Ends the use of the old primary before a new one is promoted, where the platform does not fence.
 
-Adds to the lease's rule (primary_lease.py) what the holder of the claim does and waits for; it
-does not say who may use a primary now. Inputs: the own claims as they stand in the store,
-acknowledgements of processes, the old primary's answer to the request to step down. Decision: what
-to send to whom, and whether the use has ended. Reason: a primary that leaves answers, and its
-answer is proof at once; the pause for writes begins only then. For one that cannot be reached or
-does not answer, every process has to know a claim that forbids it, or its lease has to lapse.
+The claim holder asks a draining primary to step down: its answer proves at once that its use has
+ended, and writes pause only from then on. If the primary is unreachable or does not answer, every
+process must acknowledge a claim that forbids the primary, or let its lease on it expire.
 """
 
 from collections.abc import Sequence
@@ -22,92 +19,102 @@
 )
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO
 
-SEND_CLAIM_AGAIN_SECONDS = 0.1
-"""Seconds between two sendings of the claim to processes that have not acknowledged it: a datagram
-may be lost."""
-STEP_DOWN_AGAIN_SECONDS = 0.2
-"""Seconds between two requests to step down to one database."""
-STEP_DOWN_LIMIT_SECONDS = 1.0
-"""Seconds that the old primary has to step down; after that its leases have to end."""
+CLAIM_SEND_INTERVAL_SECONDS = 0.1
+"""Seconds between sends of the claim to processes that have not acknowledged it: a datagram may be
+lost."""
+STEP_DOWN_INTERVAL_SECONDS = 0.2
+"""Seconds between requests to the same database to step down."""
+STEP_DOWN_TIMEOUT_SECONDS = 1.0
+"""Seconds that the old primary has to step down; after that, the leases on it have to end."""
 
 
 class LeaseRelease:
-    """The release of one primary, in one failover."""
+    """Ends the leases on a primary during its replacement."""
 
-    def __init__(self, own_name: str, replaced: str, may_step_down: bool) -> None:
-        """`may_step_down`: whether the old primary is expected to answer."""
-        self._own_name = own_name
+    def __init__(self, local_name: str, replaced: str, may_step_down: bool) -> None:
+        """may_step_down: whether the old primary is expected to answer a request to step down."""
+        self._local_name = local_name
         self._replaced = replaced
         self._may_step_down = may_step_down
-        self._notice: ClaimAcknowledgements | None = None
-        """Of the first own claim: who knows it has each read prove the lead, or uses none."""
-        self._ban: ClaimAcknowledgements | None = None
-        """Of the first own claim under which the old primary may not be used."""
-        self._sent_at = LONG_AGO
-        self._asked_at = LONG_AGO
-        self._asked_since: float | None = None
-        self.stepped_down: DatabaseStatus | None = None
-        """What the old primary held when it had stepped down."""
+        self._claim_acknowledgements: ClaimAcknowledgements | None = None
+        """Acknowledgements of this process's first claim, None before the store holds it.
 
-    def take_claim(self, claim: Claim, now: float) -> None:
-        """The own claim stands in the store."""
-        if self._notice is None:
-            self._notice = self._acknowledgements_of(claim, now)
-        if self._ban is None and not claim.allows(self._replaced):
-            is_first = self._notice.claim.fencing_token == claim.fencing_token
-            self._ban = self._notice if is_first else self._acknowledgements_of(claim, now)
+        A process that knows this claim makes each read prove that the old primary still leads, or
+        does not use the old primary at all.
+        """
+        self._ban_acknowledgements: ClaimAcknowledgements | None = None
+        """Acknowledgements of this process's first claim that forbids the old primary."""
+        self._claim_sent_at = LONG_AGO
+        self._step_down_sent_at = LONG_AGO
+        self._first_step_down_sent_at: float | None = None
+        self.final_status: DatabaseStatus | None = None
+        """Status of the old primary after it stepped down, None before."""
+
+    def on_claim_stored(self, claim: Claim, now: float) -> None:
+        """Starts to count acknowledgements of a claim of this process that the store holds."""
+        if self._claim_acknowledgements is None:
+            self._claim_acknowledgements = self._start_acknowledgements(claim, now)
+        if self._ban_acknowledgements is None and not claim.allows(self._replaced):
+            is_first = self._claim_acknowledgements.claim.fencing_token == claim.fencing_token
+            self._ban_acknowledgements = (
+                self._claim_acknowledgements
+                if is_first
+                else self._start_acknowledgements(claim, now)
+            )
 
-    def _acknowledgements_of(self, claim: Claim, now: float) -> ClaimAcknowledgements:
+    def _start_acknowledgements(self, claim: Claim, now: float) -> ClaimAcknowledgements:
         acknowledgements = ClaimAcknowledgements(claim, now)
-        acknowledgements.take(self._own_name, now)
+        acknowledgements.add(self._local_name, now)
         return acknowledgements
 
-    def take(self, event: ClaimKnown | SteppedDown, now: float) -> None:
-        """Takes an acknowledgement of a process, or the old primary's answer."""
+    def on_answer(self, event: ClaimKnown | SteppedDown, now: float) -> None:
+        """Applies an acknowledgement, or the old primary's answer to a step-down request."""
         if isinstance(event, SteppedDown):
             is_down = event.status is not None and not event.status.is_primary
             if event.database == self._replaced and is_down:
-                self.stepped_down = event.status
+                self.final_status = event.status
             return
-        for known in (self._notice, self._ban):
-            if known is not None and event.fencing_token >= known.claim.fencing_token:
-                known.take(event.process, now)
+        for pending in (self._claim_acknowledgements, self._ban_acknowledgements):
+            if pending is not None and event.fencing_token >= pending.claim.fencing_token:
+                pending.add(event.process, now)
 
-    def send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
-        """Returns to whom the claim is to be sent, again until all have acknowledged it."""
-        acknowledgements = self._ban or self._notice
-        if acknowledgements is None or now < self._sent_at + SEND_CLAIM_AGAIN_SECONDS:
+    def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
+        """Returns the next send of the claim, to all processes that have not acknowledged it."""
+        acknowledgements = self._ban_acknowledgements or self._claim_acknowledgements
+        if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
-        self._sent_at = now
+        self._claim_sent_at = now
         missing = acknowledgements.missing(registered.names)
         return [SendClaim(tuple(missing))] if missing else []
 
-    def step_down(
+    def step_down_requests(
         self, term: int, registered: RegisteredProcesses, now: float
     ) -> Sequence[StepDown]:
-        """Returns the request to the old primary to step down, none any more after a second.
+        """Returns the request to the old primary to step down, until STEP_DOWN_TIMEOUT_SECONDS.
 
-        It is sent once all processes know that the primary leaves: it serves until then, and
-        single reads afterwards.
+        The first request waits until no process can hold a lease without knowing this process's
+        first claim.
         """
-        if not self._may_step_down or self.stepped_down is not None:
+        if not self._may_step_down or self.final_status is not None:
             return []
-        if self._notice is None or not self._notice.is_over(registered, now):
+        if self._claim_acknowledgements is None or not self._claim_acknowledgements.is_over(
+            registered, now
+        ):
             return []
-        if self._asked_since is None:
-            self._asked_since = now
-        if now >= self._asked_since + STEP_DOWN_LIMIT_SECONDS:
+        if self._first_step_down_sent_at is None:
+            self._first_step_down_sent_at = now
+        if now >= self._first_step_down_sent_at + STEP_DOWN_TIMEOUT_SECONDS:
             self._may_step_down = False
             return []
-        if now < self._asked_at + STEP_DOWN_AGAIN_SECONDS:
+        if now < self._step_down_sent_at + STEP_DOWN_INTERVAL_SECONDS:
             return []
-        self._asked_at = now
+        self._step_down_sent_at = now
         return [StepDown(self._replaced, term)]
 
-    def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
-        """Tells whether no process uses the old primary any more."""
-        if self.stepped_down is not None:
+    def is_complete(self, registered: RegisteredProcesses, now: float) -> bool:
+        """Returns whether no process can still use the old primary."""
+        if self.final_status is not None:
             return True
-        if self._may_step_down or self._ban is None:
+        if self._may_step_down or self._ban_acknowledgements is None:
             return False
-        return self._ban.is_over(registered, now)
+        return self._ban_acknowledgements.is_over(registered, now)
--- a/src/dewledge/core/pooler/failover/loss_watch.py
+++ b/src/dewledge/core/pooler/failover/loss_watch.py
@@ -1,89 +1,93 @@
-"""Judges by a group's view whether its primary is to be replaced, without any test of its address.
+"""Detects from a group's view, without a connection test, that its primary has to be replaced.
 
-Inputs: the group's view (the store's table, as old as its last feed), the newest claim known, the
-seconds since each was first so. Decision: the loss to act upon. The primary leaves and a successor
-is there (draining); its entry has been gone for ENTRY_GONE_SECONDS (entry_gone); no primary has
-been known for NONE_KNOWN_SECONDS (none_known); the newest claim has forbidden the primary for
-UNFINISHED_SECONDS and brought no other (unfinished). Reason: these need no test of the primary.
-One that merely does not answer is judged by reach_check.py.
+The causes are: the primary is draining and a successor is available (draining); its entry has been
+missing for REMOVED_ENTRY_TIMEOUT_SECONDS (entry_gone); no primary has been known for
+NO_PRIMARY_TIMEOUT_SECONDS (none_known); the newest claim has forbidden the primary for
+UNFINISHED_CLAIM_TIMEOUT_SECONDS without leading to another primary (unfinished). reach_check.py
+handles a primary that does not answer.
 """
 
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import GroupView
-from dewledge.core.pooler.failover.candidates import eligible
+from dewledge.core.pooler.failover.candidates import eligible_databases
 from dewledge.core.pooler.failover.messages import LossCause
 from dewledge.core.pooler.failover.primary_lease import PrimaryLease
 
-ENTRY_GONE_SECONDS = 1.5
-"""Seconds since the primary's entry left the store's table until it is replaced; one that returns
-within them is kept."""
-NONE_KNOWN_SECONDS = 2.5
-"""Seconds without any known primary until one is chosen; longer than ENTRY_GONE_SECONDS."""
-CLAIMED_LEADER_SECONDS = 1.0
-"""Seconds until the database that the newest claim names is tried as primary: it has said so itself
-by then if it can."""
-UNFINISHED_SECONDS = 3.0
-"""Seconds that a claim may be without effect before its holder is taken for lost; as long as
-FOLLOW_LIMIT_SECONDS of claim_turn.py."""
+REMOVED_ENTRY_TIMEOUT_SECONDS = 1.5
+"""Seconds from the removal of the primary's entry from the store's table to its replacement. If the
+entry returns in that time, the primary stays."""
+NO_PRIMARY_TIMEOUT_SECONDS = 2.5
+"""Seconds without a known primary before one is selected; longer than
+REMOVED_ENTRY_TIMEOUT_SECONDS."""
+CLAIMED_LEADER_DELAY_SECONDS = 1.0
+"""Seconds before the database that the newest claim names is tried as primary: a database that can
+report its role has done so in that time."""
+UNFINISHED_CLAIM_TIMEOUT_SECONDS = 3.0
+"""Seconds that a claim may have no effect before its holder is considered lost; the same as
+CLAIM_HOLDER_TIMEOUT_SECONDS of claim_turn.py."""
 
 
 class Loss(msgspec.Struct, frozen=True):
-    """Why a primary is to be replaced, and which; no name where none is known."""
+    """Why a primary has to be replaced. `replaced`: its name, empty if no primary is known."""
 
     cause: LossCause
     replaced: str
 
 
 class LossWatch:
-    """Remembers since when the view has shown no primary, or one that the claim forbids."""
+    """Tracks since when a group has had no primary, or a primary that the newest claim forbids."""
 
     def __init__(self, lease: PrimaryLease) -> None:
         self._lease = lease
-        self._none_since: float | None = None
+        self._no_primary_since: float | None = None
         self._banned_since: float | None = None
 
-    def find(self, view: GroupView, now: float) -> Loss | None:
-        """Returns the loss to act upon now, None for none."""
+    def find_loss(self, view: GroupView, now: float) -> Loss | None:
+        """Returns the loss that requires a replacement now, None for none."""
         primary = view.primary
         if primary is None:
-            return self._find_none_known(view, now)
-        self._none_since = None
+            return self._find_missing_primary(view, now)
+        self._no_primary_since = None
         if self._lease.is_banned(primary.id):
-            return self._find_unfinished(primary.id, now)
+            return self._find_unfinished_claim(primary.id, now)
         self._banned_since = None
         if not primary.draining:
             return None
-        gone = primary.id in view.departed
+        is_entry_removed = primary.id in view.departed
         since = view.draining_since.get(primary.id, now)
-        if gone and now < since + ENTRY_GONE_SECONDS:
+        if is_entry_removed and now < since + REMOVED_ENTRY_TIMEOUT_SECONDS:
             return None
-        if not eligible(view, primary.id, frozenset()):
+        if not eligible_databases(view, primary.id, frozenset()):
             return None
-        return Loss(LossCause.ENTRY_GONE if gone else LossCause.DRAINING, primary.id)
+        return Loss(LossCause.ENTRY_GONE if is_entry_removed else LossCause.DRAINING, primary.id)
 
-    def claimed_leader(self, view: GroupView, now: float) -> str | None:
-        """Returns the database that the newest claim names, once it is to be tried as primary."""
+    def leader_to_try(self, view: GroupView, now: float) -> str | None:
+        """Returns the leader named by the newest claim once it should be tried as primary, or None.
+
+        None while the claim allows the current primary, and if the named database already calls
+        itself primary.
+        """
         claim = self._lease.claim
-        if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_SECONDS:
+        if self._banned_since is None or now < self._banned_since + CLAIMED_LEADER_DELAY_SECONDS:
             return None
         if claim is None or claim.leader not in view.databases or claim.leader in view.claims:
             return None
         return claim.leader
 
-    def _find_none_known(self, view: GroupView, now: float) -> Loss | None:
+    def _find_missing_primary(self, view: GroupView, now: float) -> Loss | None:
         if not view.databases:
             return None
-        if self._none_since is None:
-            self._none_since = now
-        if now < self._none_since + NONE_KNOWN_SECONDS:
+        if self._no_primary_since is None:
+            self._no_primary_since = now
+        if now < self._no_primary_since + NO_PRIMARY_TIMEOUT_SECONDS:
             return None
         return Loss(LossCause.NONE_KNOWN, "")
 
-    def _find_unfinished(self, primary: str, now: float) -> Loss | None:
-        """The newest claim does not allow the primary and has brought no other."""
+    def _find_unfinished_claim(self, primary: str, now: float) -> Loss | None:
+        """Returns the loss if the newest claim has forbidden the primary for too long."""
         if self._banned_since is None:
             self._banned_since = now
-        if now < self._banned_since + UNFINISHED_SECONDS:
+        if now < self._banned_since + UNFINISHED_CLAIM_TIMEOUT_SECONDS:
             return None
         return Loss(LossCause.UNFINISHED, primary)
--- a/src/dewledge/core/pooler/sessions/denials.py
+++ b/src/dewledge/core/pooler/sessions/denials.py
@@ -1,7 +1,4 @@
-"""The log of denied sessions: one line a second for each route, however many clients try.
-
-It owns the count of denials since the last line of each route; the events go to the process's log.
-"""
+"""Rate-limited log of denied sessions: one line per second and route, however many clients try."""
 
 from collections.abc import Callable
 
@@ -10,45 +7,45 @@
 from dewledge.core.pooler.events import SessionDenied
 from dewledge.core.pooler.scheduling import Scheduler
 
-LINE_SECONDS = 1.0
-"""Seconds between two lines of a route."""
+LOG_INTERVAL_SECONDS = 1.0
+"""Seconds between two log lines of a route."""
 
 
-class _LeftOut:
-    """Denials of a route since its last line."""
+class _SuppressedDenials:
+    """Denials on a route since its last log line."""
 
     def __init__(self) -> None:
         self.tries = 0
         self.last: SessionDenied | None = None
 
 
-class Denials:
-    """Records the first denial of a route at once, then a line a second with their count.
+class DenialLog:
+    """Logs the first denial on a route at once, then one line per second with their number.
 
-    Its state is bounded by the routes that are configured.
+    The state is bounded by the number of configured routes.
     """
 
     def __init__(self, scheduler: Scheduler, record: Callable[[SessionDenied], None]) -> None:
         self._scheduler = scheduler
         self._record = record
-        self._left_out: dict[str, _LeftOut] = {}
+        self._suppressed: dict[str, _SuppressedDenials] = {}
 
-    def note(self, session: str, route: str, configuration: int) -> None:
-        """No caller of the configuration has the credential that a session showed on a route."""
+    def record_denial(self, session: str, route: str, configuration: int) -> None:
+        """Records that a session presented a credential which no configured caller has."""
         denied = SessionDenied(session, route, configuration)
-        left_out = self._left_out.get(route)
-        if left_out is None:
+        suppressed = self._suppressed.get(route)
+        if suppressed is None:
             self._record(denied)
-            self._left_out[route] = _LeftOut()
-            self._scheduler.call_later(LINE_SECONDS, lambda: self._write(route))
+            self._suppressed[route] = _SuppressedDenials()
+            self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
         else:
-            left_out.tries += 1
-            left_out.last = denied
+            suppressed.tries += 1
+            suppressed.last = denied
 
-    def _write(self, route: str) -> None:
-        left_out = self._left_out.pop(route)
-        if left_out.last is None:
+    def _write_suppressed(self, route: str) -> None:
+        suppressed = self._suppressed.pop(route)
+        if suppressed.last is None:
             return
-        self._record(msgspec.structs.replace(left_out.last, tries=left_out.tries))
-        self._left_out[route] = _LeftOut()
-        self._scheduler.call_later(LINE_SECONDS, lambda: self._write(route))
+        self._record(msgspec.structs.replace(suppressed.last, tries=suppressed.tries))
+        self._suppressed[route] = _SuppressedDenials()
+        self._scheduler.call_later(LOG_INTERVAL_SECONDS, lambda: self._write_suppressed(route))
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -1,8 +1,8 @@
-"""Admission of one session's operations by their caller's rate limit.
+"""Admits a session's operations by the caller's rate limit.
 
-An operation is counted once, at its first statement for a database. It owns the application that
-waits and the rate-limit tokens that are kept for operations which were refused; whether there is a
-token is decided in core/pooler/rate_limits.
+An operation is counted once, at its first statement for a database. The module owns the pending
+application and the rate-limit tokens reserved for refused operations; core/pooler/rate_limits
+decides whether a token is available.
 """
 
 from collections.abc import Callable
@@ -19,15 +19,15 @@
 from dewledge.core.pooler.statements.statements import Statement
 from dewledge.core.shared.units import MILLISECONDS
 
-HELD_MS = 100
-"""Milliseconds: an operation that waited so long for its rate-limit token has a line in the log; a
-round trip is no wait."""
+MIN_LOGGED_WAIT_MS = 100
+"""Milliseconds: shortest wait for a rate-limit token that is logged; longer than a network round
+trip."""
 
 
-class Decision(msgspec.Struct, frozen=True):
-    """Whether an operation may begin. Moments of the steady clock, in seconds.
+class AdmissionDecision(msgspec.Struct, frozen=True):
+    """Whether an operation is admitted. Times in seconds of the steady clock.
 
-    refusal: None for one that may. arrived: when it asked.
+    refusal: None if the operation is admitted. arrived: when it requested admission.
     """
 
     refusal: Refusal | None
@@ -36,64 +36,67 @@
 
 
 class OperationAdmission:
-    """Of one session: at most one operation asks at a time."""
+    """Requests admission for the operations of a session, one at a time."""
 
     def __init__(self, session: str, services: PoolServices) -> None:
         self._session = session
         self._services = services
         self._application: Application | None = None
-        """Of the operation that waits."""
-        self._kept_tokens = KeptTokens()
-        """Of operations that were refused."""
+        """Application of the operation that waits for admission, None for none."""
+        self._reserved_tokens = KeptTokens()
+        """Rate-limit tokens reserved for operations of this session that were refused."""
 
     @property
-    def is_asking(self) -> bool:
-        """Whether an operation waits to be admitted."""
+    def is_waiting(self) -> bool:
+        """Whether an operation waits for admission."""
         return self._application is not None
 
-    def ask(
+    def request(
         self,
         state: SessionState,
         route: Route,
         statement: Statement,
-        decided: Callable[[Decision], None],
+        on_decided: Callable[[AdmissionDecision], None],
     ) -> None:
-        """Asks for an operation that begins with `statement`; may decide before it returns."""
+        """Requests admission of an operation whose first statement is `statement`.
+
+        on_decided: called with the decision, possibly before this method returns.
+        """
         arrived = self._services.scheduler.now()
         outcome: list[Refusal | None] = []
 
-        def take(refusal: Refusal | None) -> None:
+        def receive(refusal: Refusal | None) -> None:
             outcome.append(refusal)
             if self._application is not None:
                 self._application = None
-                decided(self._decide(state, route, statement, refusal, arrived))
+                on_decided(self._decide(state, route, statement, refusal, arrived))
 
-        application = self._services.admission.apply(self._wish(state, route), take)
+        application = self._services.admission.apply(self._admission_request(state, route), receive)
         if outcome:
-            decided(self._decide(state, route, statement, outcome[0], arrived))
+            on_decided(self._decide(state, route, statement, outcome[0], arrived))
         else:
             self._application = application
 
     def withdraw(self) -> None:
-        """The client is gone."""
+        """Withdraws a pending request: the client has left."""
         if self._application is not None:
             self._application.withdraw()
             self._application = None
 
-    def note_served(self, admitted_at: float) -> None:
-        """An admitted operation's first statement has been answered."""
+    def record_served(self, admitted_at: float) -> None:
+        """Records that an admitted operation's first statement was answered without a failure."""
         now = self._services.scheduler.now()
         self._services.admission.note_served(now - admitted_at)
 
-    def _wish(self, state: SessionState, route: Route) -> Wish:
-        """Returns what asks for admission, with the token that is kept for this moment."""
-        kept = self._kept_tokens.redeem(state.caller, self._services.scheduler.now())
+    def _admission_request(self, state: SessionState, route: Route) -> Wish:
+        """Returns the request for admission, with a token reserved for this session if any."""
+        reserved = self._reserved_tokens.redeem(state.caller, self._services.scheduler.now())
         policy = self._services.load_policy
         urgency = route.priority if policy.urgent_tokens else 0
         return Wish(
             state.caller,
             route.statement_timeout,
-            kept,
+            reserved,
             policy.kept_tokens,
             route.target_latency,
             urgency,
@@ -106,20 +109,22 @@
         statement: Statement,
         refusal: Refusal | None,
         arrived: float,
-    ) -> Decision:
-        decision = Decision(refusal, arrived, self._services.scheduler.now())
+    ) -> AdmissionDecision:
+        decision = AdmissionDecision(refusal, arrived, self._services.scheduler.now())
         waited_ms = int((decision.decided_at - arrived) * MILLISECONDS)
         if refusal is not None:
-            self._keep(state, route, refusal, arrived)
+            self._store_reservation(state, route, refusal, arrived)
             self._record_refusal(state, route, statement, refusal, waited_ms)
-        elif waited_ms >= HELD_MS:
+        elif waited_ms >= MIN_LOGGED_WAIT_MS:
             event = OperationHeld(self._session, state.caller, statement.id, waited_ms)
             self._services.record(event)
         return decision
 
-    def _keep(self, state: SessionState, route: Route, refusal: Refusal, arrived: float) -> None:
+    def _store_reservation(
+        self, state: SessionState, route: Route, refusal: Refusal, arrived: float
+    ) -> None:
         if refusal.kept is not None:
-            self._kept_tokens.keep(refusal.kept)
+            self._reserved_tokens.keep(refusal.kept)
             state.ticket = Ticket(arrived, refusal.kept.return_at, route.priority)
 
     def _record_refusal(
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -1,11 +1,12 @@
-"""The cases in which a primary is replaced, and those in which it is not."""
+"""When the failover state machine replaces a primary, and when it leaves the primary in place."""
 
 import unittest
 from collections.abc import Sequence
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooler.failover.candidates import panel
-from dewledge.core.pooler.failover.group_failover import NONE_REGISTERED, GroupFailover
+from dewledge.core.pooler.failover.claim_maintenance import STABLE_JUDGES_SECONDS
+from dewledge.core.pooler.failover.group_failover import NO_REGISTERED_PROCESSES, GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
@@ -29,15 +30,14 @@
     Ticked,
     WriteClaim,
 )
-from dewledge.core.pooler.failover.standing_claim import SETTLED_SECONDS
 from dewledge.core.shared.positions import LogPosition
-from tests.core.pooler.failover.test_phases import outside_table, undeclared
+from tests.core.pooler.failover.test_phases import outside_table, undeclared_effects
 
 MEMBERS = ("a", "b", "c")
 
 
 class FailoverCase(unittest.TestCase):
-    own_name = "a"
+    local_name = "a"
 
     def setUp(self) -> None:
         self.now = 1000.0
@@ -45,11 +45,11 @@
         self.view = GroupView("menus")
         self.revision = 0
         for name, role in (("p", "primary"), ("r1", "replica"), ("r2", "replica")):
-            self.announce(name, role)
+            self.register_database(name, role)
         self.failover = GroupFailover("menus", "a", self.events.append)
         self.effects: list[FailoverEffect] = []
 
-    def announce(self, name: str, role: str, draining: bool = False) -> None:
+    def register_database(self, name: str, role: str, draining: bool = False) -> None:
         self.revision += 1
         record = DatabaseRecord(
             name, "menus", "127.0.0.1:1", "z", DatabaseRole(role), draining, 3, self.revision
@@ -59,21 +59,21 @@
     def handle(
         self, event: FailoverEvent, members: Sequence[str] = MEMBERS
     ) -> Sequence[FailoverEffect]:
-        return self.take(event, members, NONE_REGISTERED)
+        return self.handle_with(event, members, NO_REGISTERED_PROCESSES)
 
-    def take(
+    def handle_with(
         self, event: FailoverEvent, members: Sequence[str], registered: RegisteredProcesses
     ) -> Sequence[FailoverEffect]:
-        before, known = self.failover.phase, len(self.events)
+        before, event_count = self.failover.phase, len(self.events)
         effects = self.failover.handle(event, self.view, members, self.now, registered)
-        changes = self.events[known:]
+        changes = self.events[event_count:]
         self.assertEqual(outside_table(before, changes), [])
         phases = [before, *(change.phase for change in changes)]
-        self.assertEqual(undeclared(phases, effects), [])
+        self.assertEqual(undeclared_effects(phases, effects), [])
         self.effects += effects
         return effects
 
-    def wait(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[FailoverEffect]:
+    def advance(self, seconds: float, members: Sequence[str] = MEMBERS) -> list[FailoverEffect]:
         before = len(self.effects)
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
@@ -84,238 +84,238 @@
         self.handle(PrimaryDoubted("p"))
         self.handle(ReachTested("p", False))
 
-    def confirm(self) -> None:
+    def confirm_loss(self) -> None:
         for process in ("b", "c"):
             self.handle(IndirectProbeReported(process, "p", False))
 
-    def replacements(self) -> list[FailoverEffect]:
-        """The claims to replace the primary; a standing claim replaces none."""
-        return [each for each in self.of(WriteClaim) if each != WriteClaim("", 0)]
+    def replacement_claims(self) -> list[FailoverEffect]:
+        """Returns the claims to replace the primary, without those of ClaimMaintenance."""
+        return [each for each in self.effects_of(WriteClaim) if each != WriteClaim("", 0)]
 
-    def of(self, kind: type[FailoverEffect]) -> list[FailoverEffect]:
+    def effects_of(self, kind: type[FailoverEffect]) -> list[FailoverEffect]:
         return [effect for effect in self.effects if isinstance(effect, kind)]
 
 
-class DoubtTest(FailoverCase):
-    def test_a_primary_that_can_be_reached_is_kept(self) -> None:
+class SuspicionTest(FailoverCase):
+    def test_reachable_primary_is_not_replaced(self) -> None:
         self.assertEqual(self.handle(PrimaryDoubted("p")), [TestReach("p")])
         self.handle(ReachTested("p", True))
-        self.wait(10.0)
-        self.assertEqual(self.replacements(), [])
+        self.advance(10.0)
+        self.assertEqual(self.replacement_claims(), [])
         self.assertIsNone(self.failover.doubted)
 
-    def test_a_primary_that_another_process_reaches_is_kept(self) -> None:
+    def test_primary_reached_by_another_process_is_not_replaced(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
         self.handle(IndirectProbeReported("c", "p", True))
         self.assertEqual(self.failover.phase, Phase.STEADY)
         self.assertEqual(self.failover.doubted, "p")
         self.assertEqual(self.failover.reached_by, "c")
-        self.assertEqual(self.replacements(), [])
+        self.assertEqual(self.replacement_claims(), [])
 
-    def test_it_is_tested_again_and_again_while_only_this_process_cannot_reach_it(self) -> None:
+    def test_check_is_repeated_while_only_this_process_cannot_reach_primary(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("c", "p", True))
-        tests = [e for e in self.wait(1.0) if isinstance(e, TestReach)]
+        tests = [e for e in self.advance(1.0) if isinstance(e, TestReach)]
         self.assertGreaterEqual(len(tests), 1)
         self.handle(ReachTested("p", True))
         self.assertIsNone(self.failover.doubted)
 
-    def test_when_all_agree_the_claim_is_written_at_once(self) -> None:
+    def test_claim_is_written_at_once_if_all_judges_agree(self) -> None:
         self.lose_primary()
-        self.confirm()
-        self.assertEqual(self.of(AskIndirectProbes), [AskIndirectProbes("p")])
-        self.assertEqual(self.replacements(), [WriteClaim("p", 0)])
+        self.confirm_loss()
+        self.assertEqual(self.effects_of(AskIndirectProbes), [AskIndirectProbes("p")])
+        self.assertEqual(self.replacement_claims(), [WriteClaim("p", 0)])
 
-    def test_a_majority_is_enough_after_a_while(self) -> None:
+    def test_majority_of_judges_is_enough_after_a_delay(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
-        self.wait(0.3)
-        self.assertEqual(self.replacements(), [])
-        self.wait(0.2)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(0.3)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(0.2)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
-    def test_a_process_that_is_cut_off_from_all_waits_much_longer(self) -> None:
+    def test_isolated_process_waits_longer_before_claiming(self) -> None:
         self.lose_primary()
-        self.wait(2.3)
-        self.assertEqual(self.replacements(), [])
-        self.wait(0.4)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(2.3)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(0.4)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
-    def test_doubt_about_a_replica_changes_nothing(self) -> None:
+    def test_suspected_replica_starts_no_check(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
         self.assertEqual(self.handle(PrimaryDoubted("r1")), [])
 
 
 class ClaimTest(FailoverCase):
-    def claim(self, token: int = 7) -> None:
+    def claim_lost_primary(self, token: int = 7) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("a", "p", token)))
 
-    def test_one_that_claims_later_follows_the_holder(self) -> None:
+    def test_process_follows_earlier_claim_holder(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
-        self.wait(2.0)
+        self.advance(2.0)
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
-        self.assertEqual(self.of(Promote), [])
+        self.assertEqual(self.effects_of(Promote), [])
 
-    def test_a_holder_without_effect_is_succeeded_with_a_later_row(self) -> None:
+    def test_holder_without_effect_is_succeeded_by_newer_claim(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("b", "p", 7)))
-        self.wait(3.1)
+        self.advance(3.1)
         self.lose_primary()
-        self.confirm()
-        self.wait(1.0)
-        self.assertEqual(self.of(WriteClaim)[-1], WriteClaim("p", 7))
+        self.confirm_loss()
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(WriteClaim)[-1], WriteClaim("p", 7))
 
-    def test_the_last_holder_acts_on_its_own_token_while_the_store_is_down(self) -> None:
+    def test_last_holder_promotes_under_its_token_while_store_is_down(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimRefused())
-        self.wait(1.0)
-        self.assertEqual(self.of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
 
-    def test_the_last_holder_does_not_wait_for_the_row(self) -> None:
+    def test_last_holder_does_not_wait_for_claim_write(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
-        self.assertEqual(self.of(WriteClaim), [WriteClaim("p", 5)])
+        self.confirm_loss()
+        self.assertEqual(self.effects_of(WriteClaim), [WriteClaim("p", 5)])
         self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
-    def test_a_token_that_another_has_overtaken_is_given_up(self) -> None:
+    def test_holder_with_outdated_refused_token_follows(self) -> None:
         self.handle(ClaimSeen(Claim("a", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.4)
+        self.advance(0.4)
         self.handle(ClaimSeen(Claim("b", "p", 8)))
         self.handle(PromotionAnswered("r1", False, True))
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
-    def test_the_new_primary_is_announced_once_it_says_that_it_leads(self) -> None:
-        self.claim()
+    def test_new_primary_is_announced_once_it_reports_leading(self) -> None:
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.6)
-        self.assertEqual(self.of(AnnounceLeader), [])
+        self.advance(0.6)
+        self.assertEqual(self.effects_of(AnnounceLeader), [])
         self.handle(StatusRead("r1", DatabaseStatus(True, 2, LogPosition(2, 4))))
-        self.assertEqual(self.of(AnnounceLeader), [AnnounceLeader("r1")])
+        self.assertEqual(self.effects_of(AnnounceLeader), [AnnounceLeader("r1")])
         self.view = self.view.with_leader("r1")
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
 
-    def test_another_process_does_nothing_without_a_claim(self) -> None:
+    def test_process_without_claim_promotes_nothing(self) -> None:
         self.handle(ClaimSeen(Claim("b", "x", 5)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         for _ in range(20):
-            self.wait(0.5)
+            self.advance(0.5)
             self.handle(ClaimRefused())
-        self.assertEqual(self.of(Promote), [])
+        self.assertEqual(self.effects_of(Promote), [])
 
-    def test_the_replica_that_received_most_takes_the_lead(self) -> None:
-        self.claim()
-        self.assertEqual(self.of(ReadStatus), [ReadStatus("r1"), ReadStatus("r2")])
+    def test_replica_with_highest_position_is_promoted(self) -> None:
+        self.claim_lost_primary()
+        self.assertEqual(self.effects_of(ReadStatus), [ReadStatus("r1"), ReadStatus("r2")])
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.handle(StatusRead("r2", DatabaseStatus(False, 1, LogPosition(1, 6))))
-        self.assertEqual(self.of(Promote), [Promote("r2", 7)])
+        self.assertEqual(self.effects_of(Promote), [Promote("r2", 7)])
 
-    def test_one_that_does_not_tell_is_waited_for_briefly(self) -> None:
-        self.claim()
+    def test_missing_status_delays_promotion_briefly(self) -> None:
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [])
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [Promote("r1", 7)])
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [])
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [Promote("r1", 7)])
 
-    def test_a_promotion_without_an_answer_is_asked_for_again_under_the_same_token(self) -> None:
-        self.claim()
+    def test_unanswered_promotion_is_retried_under_same_token(self) -> None:
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(2.0)
-        promotions = self.of(Promote)
+        self.advance(2.0)
+        promotions = self.effects_of(Promote)
         self.assertGreaterEqual(len(promotions), 2)
         self.assertEqual(set(promotions), {Promote("r1", 7)})
 
-    def test_a_token_refused_for_two_databases_is_not_used_again(self) -> None:
+    def test_token_refused_for_two_databases_is_not_reused(self) -> None:
         self.handle(ClaimSeen(Claim("a", "", 7)))
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         for _ in range(2):
-            self.wait(1.0)
-            (*_, promote) = self.of(Promote)
+            self.advance(1.0)
+            (*_, promote) = self.effects_of(Promote)
             self.handle(PromotionAnswered(promote.database, False, True))
         self.assertIs(self.failover.phase, Phase.FOLLOWING)
-        calls = len(self.of(Promote))
+        calls = len(self.effects_of(Promote))
         self.effects.clear()
         for _ in range(5):
             self.handle(PrimaryDoubted("p"))
             self.handle(ReachTested("p", False))
-            self.confirm()
-            self.wait(2.0)
+            self.confirm_loss()
+            self.advance(2.0)
         self.assertGreaterEqual(calls, 2)
-        self.assertEqual(self.of(Promote), [])
-        self.assertIn(WriteClaim("p", 7), self.of(WriteClaim))
+        self.assertEqual(self.effects_of(Promote), [])
+        self.assertIn(WriteClaim("p", 7), self.effects_of(WriteClaim))
         self.handle(ClaimSeen(Claim("a", "p", 9)))
-        self.wait(3.0)
-        self.assertEqual({each.fencing_token for each in self.of(Promote)}, {9})
+        self.advance(3.0)
+        self.assertEqual({each.fencing_token for each in self.effects_of(Promote)}, {9})
 
-    def test_a_refused_candidate_is_not_asked_for_again(self) -> None:
-        self.claim()
+    def test_refused_candidate_is_not_retried(self) -> None:
+        self.claim_lost_primary()
         for name in ("r1", "r2"):
             self.handle(StatusRead(name, DatabaseStatus(False, 1, LogPosition(1, 4))))
-        first = self.of(Promote)[0].database  # type: ignore[union-attr]
+        first = self.effects_of(Promote)[0].database  # type: ignore[union-attr]
         self.handle(PromotionAnswered(first, False, True))
-        self.assertNotEqual(self.of(Promote)[-1].database, first)  # type: ignore[union-attr]
+        self.assertNotEqual(self.effects_of(Promote)[-1].database, first)  # type: ignore[union-attr]
 
-    def test_it_is_over_when_another_primary_is_known(self) -> None:
-        self.claim()
+    def test_failover_ends_when_another_primary_is_known(self) -> None:
+        self.claim_lost_primary()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
-        self.wait(0.4)
-        self.announce("r1", "primary")
+        self.advance(0.4)
+        self.register_database("r1", "primary")
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
         self.assertIsNone(self.failover.doubted)
 
 
-class StandingClaimTest(FailoverCase):
-    def test_one_process_holds_the_claim_of_a_healthy_group(self) -> None:
+class ClaimMaintenanceTest(FailoverCase):
+    def test_single_process_claims_healthy_group(self) -> None:
         writers = []
         for name in MEMBERS:
             failover = GroupFailover("menus", name, self.events.append)
-            for now in (self.now, self.now + SETTLED_SECONDS):
+            for now in (self.now, self.now + STABLE_JUDGES_SECONDS):
                 effects = failover.handle(Ticked(), self.view, MEMBERS, now)
                 writers += [name for effect in effects if isinstance(effect, WriteClaim)]
         self.assertEqual(len(writers), 1)
 
-    def test_who_has_just_started_claims_nothing_before_the_others_are_known(self) -> None:
-        known = (
+    def test_new_process_claims_nothing_before_others_are_known(self) -> None:
+        known_processes = (
             (0.0, ["c"]),
             (0.1, ["b", "c"]),
             (0.2, MEMBERS),
-            (0.2 + 2 * SETTLED_SECONDS, MEMBERS),
+            (0.2 + 2 * STABLE_JUDGES_SECONDS, MEMBERS),
         )
         for name in MEMBERS[1:]:
             failover = GroupFailover("menus", name, self.events.append)
-            for after, members in known:
+            for after, members in known_processes:
                 effects = failover.handle(Ticked(), self.view, members, self.now + after)
                 self.assertEqual(effects, [], (name, after))
 
-    def test_where_it_is_held_nothing_is_written(self) -> None:
+    def test_no_claim_is_written_if_another_process_holds_one(self) -> None:
         self.handle(ClaimSeen(Claim("b", "", 3)))
-        self.wait(20.0)
-        self.assertEqual(self.of(WriteClaim), [])
+        self.advance(20.0)
+        self.assertEqual(self.effects_of(WriteClaim), [])
 
-    def test_a_standing_claim_is_not_followed(self) -> None:
+    def test_claim_that_replaces_no_primary_is_not_followed(self) -> None:
         self.lose_primary()
         self.handle(ClaimSeen(Claim("b", "", 3)))
         self.assertEqual(self.failover.phase, Phase.CHECKING)
 
 
-class PanelTest(unittest.TestCase):
-    def test_it_is_small_the_same_everywhere_and_another_for_each_group(self) -> None:
+class JudgesTest(unittest.TestCase):
+    def test_judges_are_few_and_the_same_on_all_processes(self) -> None:
         members = [f"node-{number}" for number in range(850)]
         first = panel("menus", members)
         self.assertEqual(len(first), 15)
@@ -323,7 +323,7 @@
         self.assertNotEqual(first, panel("permits", members))
         self.assertEqual(sorted(panel("menus", members[:7])), members[:7])
 
-    def test_one_that_does_not_judge_claims_after_those_that_do(self) -> None:
+    def test_process_outside_judges_claims_last(self) -> None:
         view = GroupView("menus")
         record = DatabaseRecord("p", "menus", "x", "z", DatabaseRole.PRIMARY, False, 3, 1)
         other = DatabaseRecord("r", "menus", "x", "z", DatabaseRole.REPLICA, False, 3, 2)
@@ -335,75 +335,75 @@
             self.assertEqual(failover.handle(Ticked(), view, MEMBERS, step * 0.04), [])
 
 
-class PlannedTest(FailoverCase):
-    def test_a_primary_that_says_it_leaves_is_replaced_without_doubt(self) -> None:
-        self.announce("p", "primary", draining=True)
-        self.wait(0.5)
-        self.assertEqual(len(self.replacements()), 1)
-        self.assertEqual(self.of(TestReach), [])
+class PlannedReplacementTest(FailoverCase):
+    def test_draining_primary_is_replaced_without_check(self) -> None:
+        self.register_database("p", "primary", draining=True)
+        self.advance(0.5)
+        self.assertEqual(len(self.replacement_claims()), 1)
+        self.assertEqual(self.effects_of(TestReach), [])
 
-    def plan(self) -> None:
-        self.announce("p", "primary", draining=True)
-        self.wait(0.5)
+    def claim_draining_primary(self) -> None:
+        self.register_database("p", "primary", draining=True)
+        self.advance(0.5)
         self.handle(ClaimSeen(Claim("a", "p", 7)))
 
-    def tell(self, **offsets: int) -> None:
+    def report_positions(self, **offsets: int) -> None:
         for name, offset in offsets.items():
             status = DatabaseStatus(name == "p", 1, LogPosition(1, offset))
             self.handle(StatusRead(name, status))
 
-    def test_the_successor_first_receives_what_the_leaving_primary_has(self) -> None:
-        self.plan()
-        self.tell(r1=4, r2=6, p=9)
-        self.wait(0.2)
-        self.assertEqual(self.of(Promote), [])
-        self.tell(r1=4, r2=9, p=9)
-        self.assertEqual(self.of(Promote), [Promote("r2", 7)])
+    def test_candidate_catches_up_before_promotion(self) -> None:
+        self.claim_draining_primary()
+        self.report_positions(r1=4, r2=6, p=9)
+        self.advance(0.2)
+        self.assertEqual(self.effects_of(Promote), [])
+        self.report_positions(r1=4, r2=9, p=9)
+        self.assertEqual(self.effects_of(Promote), [Promote("r2", 7)])
 
-    def test_one_that_never_catches_up_is_promoted_in_time_all_the_same(self) -> None:
-        self.plan()
+    def test_candidate_is_promoted_after_catch_up_timeout(self) -> None:
+        self.claim_draining_primary()
         for _ in range(30):
-            self.tell(r1=4, r2=6, p=9)
-            self.wait(0.1)
-        self.assertEqual(set(self.of(Promote)), {Promote("r2", 7)})
+            self.report_positions(r1=4, r2=6, p=9)
+            self.advance(0.1)
+        self.assertEqual(set(self.effects_of(Promote)), {Promote("r2", 7)})
 
-    def test_a_lost_primary_is_not_asked_what_it_has(self) -> None:
+    def test_lost_primary_is_not_asked_for_status(self) -> None:
         self.lose_primary()
-        self.confirm()
+        self.confirm_loss()
         self.handle(ClaimSeen(Claim("a", "p", 7)))
         self.assertNotIn(ReadStatus("p"), self.effects)
 
-    def test_one_whose_entry_is_gone_is_replaced_after_a_while(self) -> None:
+    def test_primary_with_removed_entry_is_replaced_after_timeout(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
-        self.wait(1.0)
-        self.assertEqual(self.replacements(), [])
-        self.wait(1.0)
-        self.assertEqual(len(self.replacements()), 1)
+        self.advance(1.0)
+        self.assertEqual(self.replacement_claims(), [])
+        self.advance(1.0)
+        self.assertEqual(len(self.replacement_claims()), 1)
 
-    def test_one_whose_entry_comes_back_stays(self) -> None:
+    def test_primary_whose_entry_returns_is_not_replaced(self) -> None:
         self.view = self.view.with_departure("p", 99, self.now)
-        self.wait(1.0)
+        self.advance(1.0)
         self.revision = 100
-        self.announce("p", "primary")
-        self.wait(3.0)
-        self.assertEqual(self.replacements(), [])
+        self.register_database("p", "primary")
+        self.advance(3.0)
+        self.assertEqual(self.replacement_claims(), [])
 
-    def test_with_no_other_database_nothing_is_claimed(self) -> None:
+    def test_no_claim_is_written_without_another_database(self) -> None:
         self.view = self.view.without("r1").without("r2")
-        self.announce("p", "primary", draining=True)
-        self.wait(3.0)
-        self.assertEqual(self.replacements(), [])
+        self.register_database("p", "primary", draining=True)
+        self.advance(3.0)
+        self.assertEqual(self.replacement_claims(), [])
 
-    def test_without_any_known_primary_one_is_made(self) -> None:
+    def test_group_without_known_primary_is_claimed(self) -> None:
         self.view = self.view.with_refuted("p")
-        self.wait(2.0)
-        self.assertEqual(self.of(WriteClaim), [])
-        self.wait(1.0)
-        self.assertEqual(self.of(WriteClaim), [WriteClaim("", 0)])
+        self.advance(2.0)
+        self.assertEqual(self.effects_of(WriteClaim), [])
+        self.advance(1.0)
+        self.assertEqual(self.effects_of(WriteClaim), [WriteClaim("", 0)])
 
 
-class RaceTest(FailoverCase):
-    def test_of_many_that_claim_at_once_only_the_holder_of_the_row_promotes(self) -> None:
+class ConcurrentClaimsTest(FailoverCase):
+    def test_only_one_process_promotes_under_each_token(self) -> None:
         contenders = {name: GroupFailover("menus", name, self.events.append) for name in MEMBERS}
         promotions = []
         row: Claim | None = None
