--- a/src/dewledge/core/pooler/failover/claim_acknowledgements.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -2,8 +2,8 @@
 
 A process uses a primary only under a lease, which the store or a quorum of voters confirms
 (primary_lease.py). A process that acknowledged the claim uses no primary that the claim forbids. A
-process that did not answer cannot have been confirmed after the claim was stored and a majority of
-each earlier set of voters knew it, so its lease has expired LEASE_SECONDS after the last of these.
+process that did not acknowledge it can renew its lease only until the store holds the claim and a
+majority of each earlier set of voters knows it; LEASE_SECONDS later, that lease has expired.
 """
 
 from collections.abc import Collection, Sequence
--- a/src/dewledge/core/pooler/failover/claim_maintenance.py
+++ b/src/dewledge/core/pooler/failover/claim_maintenance.py
@@ -1,9 +1,9 @@
 """Maintains the claim of a group whose primary is healthy; this claim replaces no primary.
 
-If the platform fences, a single process writes a claim in advance, so that it can act under it
-while the store is down. Otherwise the claim lists the current judges as voters. Sets of earlier
-voters stay in the claim until none of them can confirm an older claim, so that two disjoint
-majorities never count at the same time.
+If the platform fences old primaries, the first judge by rank writes a claim in advance, so that it
+can replace the primary even while the store is down. Otherwise the claim lists the current judges
+as voters. Sets of earlier voters stay in the claim until none of them can confirm an older claim,
+so that two disjoint majorities never count at the same time.
 """
 
 from collections.abc import Sequence
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -36,7 +36,7 @@
         self._claim_learned_at = LONG_AGO
         self._next_write_at = 0.0
         self._refused_fencing_token = 0
-        """Last token that the platform refused; this process acts again only under a newer one."""
+        """Last fencing token that the platform refused; only a newer one is used from then on."""
 
     @property
     def _is_unfenced(self) -> bool:
@@ -53,7 +53,7 @@
     def active_holder(self, replaced: str, now: float) -> str | None:
         """Returns the other process that may be replacing the same primary now, None for none.
 
-        Always None if the platform fences, as no process waits for a claim holder then.
+        Always None if the platform fences old primaries: no process waits for a claim holder then.
         """
         claim = self._lease.claim
         if not self._is_unfenced or claim is None or claim.holder == self._local_name:
@@ -90,7 +90,7 @@
     def usable_fencing_token(self) -> int:
         """Fencing token of an earlier claim of this process that it can reuse, 0 for none.
 
-        Always 0 unless the platform fences and so refuses the token if a newer one is in use.
+        Always 0 unless the platform checks fencing tokens: it refuses this one after a newer one.
         """
         claim = self._lease.claim
         if self._is_unfenced or claim is None or claim.holder != self._local_name:
--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -1,6 +1,7 @@
-"""Evidence of a reachability check: the result of the local test, and those of other processes.
+"""Test results of a reachability check, from this process and from the other judges of the group.
 
-Decides whether enough judges cannot reach the database to consider it lost. Used by reach_check.py.
+Decides whether enough judges cannot reach a database, so that it counts as lost. Judges are the
+processes that decide on the group's primary (candidates.py). Used by reach_check.py.
 """
 
 from collections.abc import Sequence
@@ -11,8 +12,8 @@
 """Seconds from the start of a check after which a majority of the judges is enough: two tests of at
 most 0.3 s, the second started 0.1 s after the first, and a datagram each way."""
 SOLE_DECISION_SECONDS = 2.5
-"""Seconds after which the local test alone is enough, if the platform fences: after many processes
-died, no majority can answer."""
+"""Seconds after which the local test alone is enough, in case most judges died and cannot answer.
+Only if the platform fences old primaries."""
 
 
 class ReachEvidence:
@@ -54,7 +55,7 @@
 
         Counts this process among them, so the result is valid only if `is_missed_locally`.
         elapsed: seconds since the check began.
-        may_decide_alone: whether the local test is enough after SOLE_DECISION_SECONDS.
+        may_decide_alone: whether the local test alone is enough after SOLE_DECISION_SECONDS.
         """
         unreachable_count = 1 + sum(not reaches for reaches in self._probe_results.values())
         if unreachable_count >= len(judges):
--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -1,6 +1,6 @@
 """State machine by which a process takes part in the failover of a group's primary.
 
-Turns events (test results, claims, statuses, ticks) into effects, and moves between phases by the
+Applies events (test results, claims, statuses, ticks), returns effects, and changes phases by the
 table in phases.py. loss_watch.py and reach_check.py decide whether the primary is lost,
 replacement.py replaces it, and claim_maintenance.py keeps the claim while the primary is healthy.
 
@@ -59,7 +59,7 @@
         record: Callable[[PhaseChanged], None],
         lease: PrimaryLease | None = None,
     ) -> None:
-        """lease: shared with the code that uses the primary; by default the platform fences.
+        """lease: shared with the code that uses the primary; the default assumes Fencing.PLATFORM.
 
         record: called with each change of phase.
         """
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -106,7 +106,10 @@
 
 
 class PromotionAnswered(msgspec.Struct, frozen=True):
-    """The platform answered a promotion request. fenced: it refused the fencing token."""
+    """The platform answered a promotion request.
+
+    fenced: it refused, because the fencing token is outdated or the database is not running.
+    """
 
     database: str
     accepted: bool
--- a/src/dewledge/core/pooler/failover/phases.py
+++ b/src/dewledge/core/pooler/failover/phases.py
@@ -60,7 +60,7 @@
     TOKEN_REFUSED = auto()
     """The platform refused a second candidate under the same fencing token."""
     TOKEN_TOO_OLD = auto()
-    """The platform refused a fencing token, and a newer claim is known."""
+    """The platform refused a promotion, and this process knows a newer claim than its own."""
     PROMOTION_WITHOUT_EFFECT = auto()
     """The promotion timed out without a new primary."""
     HOLDER_WITHOUT_EFFECT = auto()
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -17,8 +17,8 @@
 from dewledge.core.pooler.failover.messages import Claim
 
 LEASE_SECONDS = 1.75
-"""Seconds for which a confirmation is valid: leaves time for two questions to voters after
-CONFIRMATION_REFRESH_AGE_SECONDS (quorum_confirmation.py)."""
+"""Seconds for which a confirmation is valid. Voters are asked for a new one after
+CONFIRMATION_REFRESH_AGE_SECONDS (quorum_confirmation.py), twice if the first question is lost."""
 LONG_AGO = -1e9
 """Seconds of the steady clock: a time before any event, the initial value of recorded times."""
 
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -15,10 +15,10 @@
 from dewledge.core.pooler.failover.primary_lease import LONG_AGO, PrimaryLease
 
 CONFIRMATION_REFRESH_AGE_SECONDS = 1.25
-"""Seconds since the last confirmation after which voters are asked. While the store is reachable,
-confirmations are renewed within 1.2 s."""
+"""Seconds since the last confirmation after which voters are asked; longer than the time between
+two confirmations by a reachable store."""
 QUESTION_INTERVAL_SECONDS = 0.25
-"""Seconds between questions: allows two before LEASE_SECONDS."""
+"""Seconds between questions: short enough for two of them before the lease expires."""
 MAX_GROUPS_PER_QUESTION = 40
 """Groups in one question, so that it fits in a datagram (MAX_BYTES of peer_messages.py)."""
 
--- a/src/dewledge/core/pooler/failover/reach_limit.py
+++ b/src/dewledge/core/pooler/failover/reach_limit.py
@@ -1,8 +1,8 @@
 """Timeout for test connections to databases, adapted to observed connection times.
 
 The timeout is a moving average plus four mean deviations, as in TCP's retransmission timer
-(RFC 6298), within bounds. A short timeout matters because a check runs up to two tests in sequence
-before a lost primary is replaced. The lower bound keeps a short stall of this machine from making
+(RFC 6298), within bounds. A short timeout matters because a lost primary is replaced only after
+test connections to it have failed. The lower bound keeps a short stall of this machine from making
 every database look unreachable.
 """
 
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -43,8 +43,8 @@
 from dewledge.core.pooler.failover.survey import StatusSurvey
 
 STATUS_WAIT_SECONDS = 0.3
-"""Seconds that the selection waits for the statuses of all databases. If none has reported a
-status after twice that time, a database without a status may be selected."""
+"""Seconds that the selection waits for the statuses of all databases. If the platform fences old
+primaries and no database has reported a status after twice that time, one is selected without."""
 CATCH_UP_TIMEOUT_SECONDS = 2.0
 """Seconds that the candidate has to catch up with a draining primary that still serves."""
 FINAL_CATCH_UP_TIMEOUT_SECONDS = 0.6
@@ -115,9 +115,9 @@
         return replacement_claim(self._lease, situation.members, replaced, self.is_planned)
 
     def announce_if_leading(self, event: StatusRead) -> Sequence[FailoverEffect]:
-        """Returns the announcement of the new primary if the candidate reports that it leads.
+        """Returns the announcement of the candidate as primary if it reports that it leads.
 
-        Other processes then learn of the new primary without the store.
+        Other processes then learn of the new primary even while the store is down.
         """
         if event.database != self.candidate or event.status is None:
             return []
@@ -291,7 +291,7 @@
         return Step(effects)
 
     def _give_up(self, effects: list[FailoverEffect], situation: Situation, end: PhaseEnd) -> Step:
-        """Ends the replacement; if no promotion was ordered, the old primary stays primary."""
+        """Ends the replacement; without an order, an unreachable old primary stays primary."""
         old_primary = self._loss.replaced
         may_stay_primary = self._loss.cause is LossCause.UNREACHABLE and not self._has_promoted
         if self._is_unfenced and may_stay_primary and self.fencing_token:
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -35,7 +35,7 @@
 from dewledge.errors import ErrorCode
 
 MAX_PIPELINED_MESSAGES = 64
-"""Messages of a client in the queue: bounds its memory."""
+"""Messages that a client may have in the queue: limits the memory that it can use."""
 
 _TRANSACTION_ENDS = frozenset({StatementKind.COMMIT, StatementKind.ROLLBACK})
 _TRANSACTION_BEGINS = frozenset({StatementKind.BEGIN, StatementKind.BEGIN_READ_ONLY})
--- a/src/dewledge/core/pooler/sessions/client_transport.py
+++ b/src/dewledge/core/pooler/sessions/client_transport.py
@@ -1,4 +1,4 @@
-"""Protocol by which a session sends to its client; implemented by the shell."""
+"""Interface through which a session sends messages to its client; implemented in shell/pooler."""
 
 from typing import Protocol
 
--- a/src/dewledge/core/pooler/sessions/codec.py
+++ b/src/dewledge/core/pooler/sessions/codec.py
@@ -1,6 +1,6 @@
-"""Protocols of the codecs that translate messages of clients and databases to and from bytes.
+"""Interfaces of the codecs that translate messages of clients and databases to and from bytes.
 
-Implemented in platform/ and called by the shell; the core does not handle bytes.
+Implemented in platform/ and called from shell/; the modules in core/ do not handle bytes.
 """
 
 from collections.abc import Sequence
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -1,8 +1,8 @@
 """Admits a session's operations by the caller's rate limit.
 
-An operation is counted once, at its first statement for a database. The module owns the pending
-application and the rate-limit tokens reserved for refused operations; core/pooler/rate_limits
-decides whether a token is available.
+An operation (a single statement or a transaction) is counted once, at its first statement for a
+database. The module holds the request for admission that waits for a decision, and the rate-limit
+tokens reserved for refused operations; core/pooler/rate_limits decides whether a token is free.
 """
 
 from collections.abc import Callable
@@ -42,7 +42,7 @@
         self._session = session
         self._services = services
         self._application: Application | None = None
-        """Application of the operation that waits for admission, None for none."""
+        """Pending request for admission of an operation, None for none."""
         self._reserved_tokens = KeptTokens()
         """Rate-limit tokens reserved for operations of this session that were refused."""
 
--- a/src/dewledge/core/pooler/sessions/routes.py
+++ b/src/dewledge/core/pooler/sessions/routes.py
@@ -46,7 +46,7 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """A version of the operator's configuration. Immutable; a later version replaces it whole."""
+    """A version of the operator's configuration; replaced as a whole by the next version."""
 
     version: int
     routes: Mapping[str, Route]
@@ -64,7 +64,8 @@
     def authenticate(self, route: Route, digest: str) -> str | None:
         """Returns the name of the caller with this credential, None for an unknown credential.
 
-        Returns NO_CALLER if the route needs no credential; databases then see the proxy's own user.
+        Returns NO_CALLER if the route needs no credential; the proxy then connects to
+        databases as its own user.
         """
         if self.callers is None or route.is_public:
             return NO_CALLER
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -20,7 +20,7 @@
 """Ratio of read retries to all statements: low enough that retries of reads on an unresponsive
 connection holder add no noticeable load."""
 READ_RETRY_RESERVE = 20.0
-"""Reads that may be retried at once: as many as a process has running on a few holders."""
+"""Reads that may be retried at once while the retry budget is full, as it is at the start."""
 
 
 class PoolServices:
@@ -46,7 +46,7 @@
         self.second_reads = RetryBudget(READ_RETRY_RATIO, READ_RETRY_RESERVE)
         """Budget for retries of reads whose connection holder stopped answering."""
         self.returns: dict[str, ReturnMoments] = {}
-        """By group: retry times assigned to clients that no queue assigned one to."""
+        """By group: retry times for refused clients that got none from a queue."""
         self.admission: Admission = admission or AdmitsAll()
         """Decides whether a caller's operation may begin, before any work is done for it."""
         self.is_ending = False
@@ -63,11 +63,11 @@
         return any(group.view.databases for group in self.groups.values())
 
     def return_moments(self, group: str) -> ReturnMoments:
-        """Returns a group's retry times, for clients that no queue assigned one to."""
+        """Returns a group's retry times for refused clients that got none from a queue."""
         return self.returns.setdefault(group, ReturnMoments())
 
     def call_when_configured(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` once, when the process is configured."""
+        """Registers `callback` to be called once, when the process becomes configured."""
         self._configuration_waiters.append(callback)
 
     def wake_if_configured(self) -> None:
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -1,6 +1,7 @@
 """Applies a client's SET, PREPARE and DEALLOCATE to its session state.
 
-Only the proxy stores them; connection_setup.py applies them to a database connection before use.
+Only the proxy stores values and prepared statements; connection_setup.py applies them to a database
+connection before use.
 """
 
 from dewledge.core.pooler.sessions.session_state import (
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -1,7 +1,7 @@
 """Accepts or refuses the startup of a session.
 
-While the process has no configuration, the startup message waits up to STARTUP_WAIT_SECONDS: a
-process that has just started usually receives its configuration in that time.
+While the process has no configuration or knows no database, the startup message waits up to
+STARTUP_WAIT_SECONDS: a process that has just started usually learns both in that time.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 STARTUP_WAIT_SECONDS = 1.6
 """Seconds that a new session waits for the process's configuration; less than the 2 s after which
-clients leave."""
+clients give up."""
 
 
 class SessionStart:
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -17,9 +17,9 @@
 from dewledge.core.shared.positions import LogPosition
 
 MAX_SESSION_VALUES = 256
-"""Values that a session may set: bounds the memory of a client."""
+"""Values that a session may set at most: limits the memory that a client can use."""
 MAX_PREPARED_STATEMENTS = 256
-"""Statements that a session may prepare: bounds the memory of a client."""
+"""Statements that a session may prepare at most: limits the memory that a client can use."""
 
 
 class PreparedShape(msgspec.Struct, frozen=True):
@@ -75,7 +75,7 @@
     )
 
     def __init__(self, name: str, database: str, credential_digest: str = "") -> None:
-        """credential_digest: of the client's credential; the credential itself is not kept."""
+        """credential_digest: digest of the client's credential, stored instead of it."""
         self.name = name
         self.database = database
         self.credential_digest = credential_digest
