--- a/src/dewledge/core/pooler/failover/evidence.py
+++ b/src/dewledge/core/pooler/failover/evidence.py
@@ -34,12 +34,12 @@
             self._probe_results[event.process] = event.reachable
 
     @property
-    def is_reached_locally(self) -> bool:
+    def is_reachable_locally(self) -> bool:
         """Whether this process can reach the database."""
         return self._local_test is not None and self._local_test.reachable
 
     @property
-    def is_missed_locally(self) -> bool:
+    def is_unreachable_locally(self) -> bool:
         """Whether this process has tested the database and cannot reach it."""
         return self._local_test is not None and not self._local_test.reachable
 
@@ -53,7 +53,7 @@
     ) -> bool:
         """Returns whether enough judges cannot reach the database.
 
-        Counts this process among them, so the result is valid only if `is_missed_locally`.
+        Counts this process among them, so the result is valid only if `is_unreachable_locally`.
         elapsed: seconds since the check began.
         may_decide_alone: whether the local test alone is enough after SOLE_DECISION_SECONDS.
         """
--- a/src/dewledge/core/pooler/failover/reach_check.py
+++ b/src/dewledge/core/pooler/failover/reach_check.py
@@ -67,15 +67,15 @@
         elapsed: seconds since the check started.
         """
         evidence = self._evidence
-        if evidence.is_reached_locally:
+        if evidence.is_reachable_locally:
             self.clear_suspicion()
             return Step((), PhaseEnd.REACHABLE)
-        if evidence.is_missed_locally:
+        if evidence.is_unreachable_locally:
             self.suspected = self._database
         if evidence.reached_by:
             return self._end_reached_by_other(evidence.reached_by)
         is_confirmed = evidence.is_loss_confirmed(judges, elapsed, may_decide_alone)
-        if evidence.is_missed_locally and is_confirmed:
+        if evidence.is_unreachable_locally and is_confirmed:
             self.reached_by = None
             return Step((), PhaseEnd.LOST)
         effects = self._request_probes(elapsed)
@@ -85,15 +85,17 @@
 
     def _end_reached_by_other(self, processes: Sequence[str]) -> Step:
         """Ends the check: the primary stays and is used through a process that can reach it."""
-        if not self._evidence.is_missed_locally:
+        if not self._evidence.is_unreachable_locally:
             return Step()
         reached_by = self.reached_by if self.reached_by in processes else processes[0]
         self.reached_by = reached_by
         return Step((), PhaseEnd.REACHED_BY_OTHER, reached_by or "")
 
     def _request_probes(self, elapsed: float) -> Sequence[FailoverEffect]:
-        is_time = self._evidence.is_missed_locally or elapsed >= INDIRECT_PROBE_DELAY_SECONDS
-        if self._has_requested_probes or not is_time:
+        are_probes_due = (
+            self._evidence.is_unreachable_locally or elapsed >= INDIRECT_PROBE_DELAY_SECONDS
+        )
+        if self._has_requested_probes or not are_probes_due:
             return []
         self._has_requested_probes = True
         return [AskIndirectProbes(self._database)]
--- a/tests/core/pooler/failover/test_primary_lease.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -32,7 +32,7 @@
 
 
 class PrimaryLeaseTest(unittest.TestCase):
-    def test_when_a_database_may_be_used_as_primary(self) -> None:
+    def test_without_fencing_use_needs_confirmed_lease_and_allowing_claim(self) -> None:
         cases = (
             ("platform fences", Fencing.PLATFORM, None, "q", True),
             ("never confirmed", Fencing.PROCESSES, None, None, False),
@@ -138,7 +138,7 @@
         expected = WriteClaim("p", 0)
         self.assertEqual(replacement_claim(lease, VOTERS, "p", False), expected)
 
-    def test_leader_of_replacement_claim(self) -> None:
+    def test_replacement_claim_allows_old_primary_only_while_it_serves(self) -> None:
         cases = (
             ("no leader set, lost", None, False, ""),
             ("no leader set, still serves", None, True, "p"),
--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -291,7 +291,7 @@
         self.assertEqual(len(self.acquired), 2)
 
 
-class HolderOfCallerTest(unittest.TestCase):
+class HolderSelectionTest(unittest.TestCase):
     def test_all_processes_select_same_holder_for_caller(self) -> None:
         one = Holding(0, ("h1", "h2", "h3", "spare"), 3)
         other = Holding(0, ("h3", "h1", "h2", "spare"), 3)
