--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -63,7 +63,7 @@
         return claim.holder if claim.replaced and claim.replaced == replaced else None
 
     def schedule_first_write(self, judges: Sequence[str], now: float) -> None:
-        """Schedules the first write: by rank, and after the last claim holder's."""
+        """Schedules the first write: the last claim holder first, the other judges by rank."""
         claim = self._lease.claim
         names = list(judges)
         rank = names.index(self._local_name) if self._local_name in names else len(names)
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -79,7 +79,7 @@
                 pending.add(event.process, now)
 
     def claims_to_send(self, registered: RegisteredProcesses, now: float) -> Sequence[SendClaim]:
-        """Returns the next send of the claim, to all processes that have not acknowledged it."""
+        """Returns the claim to send now, if any, to all processes that have not acknowledged it."""
         acknowledgements = self._ban_acknowledgements or self._claim_acknowledgements
         if acknowledgements is None or now < self._claim_sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -62,7 +62,10 @@
         self.confirmed_at = max(self.confirmed_at, at)
 
     def is_confirmed(self, now: float) -> bool:
-        """Returns whether no claim unknown to this process can have taken effect by `now`."""
+        """Returns whether this process knows every claim that can have taken effect by `now`.
+
+        Always True if the platform fences old primaries.
+        """
         return self.fencing is Fencing.PLATFORM or now < self.confirmed_at + LEASE_SECONDS
 
     def is_banned(self, database_id: str) -> bool:
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -197,7 +197,7 @@
         return ordered if is_candidate and self._is_unfenced else None
 
     def _stop_unordered_leaders(self, names: Sequence[str], now: float) -> Sequence[FailoverEffect]:
-        """Asks databases to step down that lead without an order.
+        """Asks databases that lead without a promotion order to step down.
 
         Otherwise such a database would serve statements as soon as a claim names it leader, before
         its promotion.
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -1,7 +1,7 @@
 """State and services that all sessions of a process share.
 
-Owns the callbacks that wait for a configuration, the budget for read retries and the retry times
-that groups assign to refused clients; the process (shell/pooler) supplies the rest.
+Owns the callbacks that wait for a configuration, the budget for read retries and, per group, the
+retry times of refused clients; the process (shell/pooler) supplies the rest.
 """
 
 from collections.abc import Callable
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -1,4 +1,4 @@
-"""State of a client connection: values, prepared statements, open transaction, minimum position.
+"""State of a client connection: values, prepared statements, transaction, minimum log position.
 
 SessionTransactions, apply_session_change and StatementRun change the state. The state is never
 persisted and ends with the client's connection.
