--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -17,8 +17,8 @@
 from dewledge.core.pooler.failover.messages import Claim
 
 LEASE_SECONDS = 1.75
-"""Seconds for which a confirmation is valid: leaves time for two questions to voters after
-CONFIRMATION_REFRESH_AGE_SECONDS (quorum_confirmation.py)."""
+"""Seconds for which a confirmation is valid. Voters are asked for a new one after
+CONFIRMATION_REFRESH_AGE_SECONDS (quorum_confirmation.py), twice if the first question is lost."""
 LONG_AGO = -1e9
 """Seconds of the steady clock: a time before any event, the initial value of recorded times."""
 
@@ -62,7 +62,10 @@
         self.confirmed_at = max(self.confirmed_at, at)
 
     def is_confirmed(self, now: float) -> bool:
-        """Returns whether no claim unknown to this process can have taken effect by `now`."""
+        """Returns whether this process knows every claim that can have taken effect by `now`.
+
+        Always True if the platform fences old primaries.
+        """
         return self.fencing is Fencing.PLATFORM or now < self.confirmed_at + LEASE_SECONDS
 
     def is_banned(self, database_id: str) -> bool:
