--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -248,7 +248,7 @@
             b'"service":"s","maxAttempts":2,"maxStalenessMs":2500}],"services":[{"name":"s",'
             b'"maxConnections":36,"syncReplicas":1}],"limits":{"txIdleMs":3000}}'
         )
-        route = table.find("h")
+        route = table.find_route("h")
         assert route is not None
         self.assertEqual((route.statement_timeout, route.max_staleness), (0.8, 2.5))
         self.assertEqual(table.groups["s"].synchronous_replicas, 1)
