--- a/src/dewledge/core/pooler/databases/__init__.py
+++ b/src/dewledge/core/pooler/databases/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of the databases of a group: roles, positions, lag, silence."""
+"""State of the databases of a group: roles, log positions, replication lag, unresponsiveness."""
--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -1,16 +1,13 @@
-"""Whether a database is suspect because one statement gets no answer: one of five judgements.
-
-Inputs: when something of this statement was last sent, and when any statement of this process last
-had an answer of the database (steady clock, seconds).
-Decision: after `SUSPECT_AFTER_SECONDS` without any answer the database is suspect, and so is one
-from which no answer came between the sending and the statement's own timeout.
-What follows: the process has the database's address tested (`failover/`), nothing else. The
-statement itself waits on. Reason: a statement without an answer is no sign of a lost database while
-others get theirs, since a full database answers late; and each test costs a full database more.
-
-The other judgements: `database_silence` (statements no longer wait before a pool),
-`pool/connection_openings` (the last opening failed), `load/shown_failures` (reads prefer other
-databases), `load/holder_health` (a process that holds connections, not a database).
+"""Reports a database as suspect when a statement gets no answer from it.
+
+The database becomes suspect after `SUSPECT_AFTER_SECONDS` without an answer to any statement of
+this process, or when the statement times out and the database has answered nothing since it was
+sent. Answers to other statements prevent this, because an overloaded database answers late and each
+check adds to its load. A suspect database only has its address checked (`failover/`); the statement
+keeps waiting.
+
+Related checks: `database_silence` (stops queueing in a pool), `pool/connection_openings` (failed
+openings), `load/shown_failures` (order of databases for reads), `load/holder_health` (processes).
 """
 
 from collections.abc import Callable
@@ -24,17 +21,16 @@
 _FAILURES = frozenset(
     {ErrorCode.DATABASE_UNREACHABLE, ErrorCode.OVERLOADED, ErrorCode.STATEMENT_TIMEOUT}
 )
-"""Codes of answers that show that a database can't serve. One whose log is behind is judged by its
-lag (`replica_lag`)."""
+"""Error codes that count as a failure of the database. A replica that lags behind is not a failure;
+`replica_lag` handles it."""
 
 SUSPECT_AFTER_SECONDS = 0.25
-"""Seconds without any answer of a database, after which it is suspect: some round trips between
-regions and the work of the longest statements, and well under the time in which a lost primary is
-to be replaced. """
+"""Seconds without any answer after which a database is suspect. Covers several round trips between
+regions plus the longest statements, and leaves time to replace a lost primary."""
 
 
 class AnswerWatch:
-    """Watches the wait of one statement; `begin` starts it anew."""
+    """Watches for the answer to one statement. `begin` restarts the watch at each send."""
 
     def __init__(self, scheduler: Scheduler, group: Group, held: HeldConnection) -> None:
         self._scheduler = scheduler
@@ -43,13 +39,14 @@
         self.began_at = 0.0
 
     def begin(self) -> None:
-        """Something is sent to the database now."""
+        """Restarts the watch: a request is sent to the database now."""
         self.began_at = self._scheduler.now()
 
     def take(self, reply: Reply | None, statement: Statement | None) -> None:
-        """Notes what an answer shows: that the database is there, how far its log is, its slots.
+        """Records the outcome of a request, the database's log position and the use of its slot.
 
-        statement: what was answered; None for what the proxy sent of its own before it.
+        statement: the statement that was answered; None for a request of the proxy's connection
+        setup.
         """
         database_id = self._held.database_id
         if not database_id:
@@ -65,7 +62,10 @@
             pool.note_answer(statement.kind, reply, held, self._held.connection)
 
     def look(self, again: Callable[[float], None]) -> None:
-        """Suspects a database that has been silent for long enough, else looks `again` later."""
+        """Reports the database as suspect if its answer is overdue, else reschedules the check.
+
+        again: schedules the next check after a delay in seconds.
+        """
         if self._held.connection is None:
             return
         silent_since = max(self.began_at, self._group.heard_at(self._held.database_id))
@@ -76,7 +76,7 @@
             self._held.suspect()
 
     def limit_passed(self) -> None:
-        """The statement waits no longer: suspects a database that no answer has come from."""
+        """Reports the database as suspect on a statement timeout if it has answered nothing."""
         self._note_outcome(has_failed=True)
         if self._group.heard_at(self._held.database_id) <= self.began_at:
             self._held.suspect()
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -1,19 +1,12 @@
-"""Whether a database to which this process holds connections has stopped answering: its silence.
-
-Inputs: the statements that wait for an answer and the openings under way, each with the moment at
-which it was sent or asked for; the last answer of any kind; the usual time of a statement there
-(steady clock, seconds; own measurements of this process).
-Decision: silent if something is awaited and no answer came for `SILENT_AFTER_SECONDS` or
-`USUAL_FACTOR` usual times, `LONGEST_SECONDS` at most. Any answer ends it, a refusal too, so one
-that is full or slow is not taken for silent.
-What follows: nobody waits in this pool's queue; who comes is denied as for a database that can't be
-reached, but for one in `PROBE_SPACING_SECONDS`; a load report tells a window of 0; the event
-`DatabaseSilenceJudged`. Reason: the queue before it does not drain, while another database could
-serve the statement or a new primary is being found.
-
-Unlike `answer_watch` it judges for a whole pool and has statements moved on, but has no address
-tested. It is not asked where other processes hold the connections; those are judged by
-`load/holder_health`. Switched off by `[load] silent_databases`.
+"""Detects that a directly connected database has stopped answering (is silent).
+
+A database is silent while a statement or an opening is outstanding and no answer of any kind has
+arrived for `USUAL_FACTOR` usual statement times, between `SILENT_AFTER_SECONDS` and
+`LONGEST_SECONDS`. Any answer, including a refusal, ends the silence, so a full or slow database is
+not silent. The pool of a silent database denies statements as unreachable instead of queueing them,
+apart from one probe per `PROBE_SPACING_SECONDS`, because its queue would not drain while another
+database could serve them. Unlike `answer_watch`, it has no address checked. Databases reached
+through holders are not judged here (see `load/holder_health`). Setting: `[load] silent_databases`.
 """
 
 import math
@@ -22,28 +15,25 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
 SILENT_AFTER_SECONDS = 0.25
-"""Seconds; something is awaited and no answer came for so long: some round trips between regions
-and the work of the longest statements, as in `answer_watch`. """
+"""Seconds without an answer after which a database may be silent: several round trips between
+regions plus the longest statements, as in `answer_watch`."""
 USUAL_FACTOR = 3.0
-"""Usual times of a statement; a database whose statements take longer than `SILENT_AFTER_SECONDS`
-is silent after so many of them."""
+"""Factor on the usual time of a statement. Raises the limit for databases with long statements."""
 LONGEST_SECONDS = 0.6
-"""Seconds; the limit grows no further: most of a statement's time would be over, which is 0.8 s and
-more."""
+"""Seconds; upper bound of the limit, below the shortest usual statement timeout of 0.8 s."""
 PROBE_SPACING_SECONDS = 0.25
-"""Seconds; beside what is awaited one statement is let in so often, to show that the database is
-back."""
+"""Seconds between statements admitted to a silent database to detect its recovery."""
 
 SilenceCallback = Callable[[bool, float], None]
-"""Takes whether the database is silent, and for how long it was taken for silent until now."""
+"""Called with whether the database is silent, and for how many seconds it had been silent."""
 
 
 def ignore_silence(_is_silent: bool, _seconds: float) -> None:
-    """Nothing is told of silence."""
+    """Ignores changes of silence."""
 
 
 class DatabaseSilence:
-    """Of one pool; times of the steady clock, in seconds."""
+    """Tracks the outstanding requests and answers of a pool. Times: steady clock, seconds."""
 
     def __init__(
         self,
@@ -51,9 +41,9 @@
         is_judged: bool = True,
         changed: SilenceCallback = ignore_silence,
     ) -> None:
-        """`is_judged`: else no database is ever taken for silent.
+        """`is_judged`: whether silence is detected at all.
 
-        changed: called when silence is found, and when it ends.
+        changed: called when silence is detected, and when it ends.
         """
         self._clock = clock
         self._is_judged = is_judged
@@ -62,10 +52,10 @@
         self._probed_at = -math.inf
         self._found_at: float | None = None
         self._opening_since: list[float] = []
-        """When each connection that is being opened was asked for."""
+        """Start times of the openings in progress."""
 
     def note_sign(self) -> None:
-        """The database answered something."""
+        """Records an answer of any kind from the database, which ends its silence."""
         now = self._clock()
         self._heard_at = now
         if self._found_at is not None:
@@ -73,18 +63,18 @@
             self._found_at = None
 
     def opening_begins(self, at: float) -> None:
-        """A connection is asked for."""
+        """Records that an opening of a connection started."""
         self._opening_since.append(at)
 
     def opening_ends(self, began_at: float) -> None:
-        """It was opened, or refused."""
+        """Records that an opening ended, successfully or not."""
         self._opening_since.remove(began_at)
 
     def begins_at(self, lent: Iterable[DatabaseConnection], usual_seconds: float) -> float:
-        """Returns when it will be silent if no answer comes; infinite while none is awaited.
+        """Returns when the database becomes silent unless it answers; infinite if nothing is sent.
 
-        lent: the connections in use. usual_seconds: of a statement. Of a transaction it is not
-        known here since when its statement is awaited.
+        Connections in transactions are ignored: the time their statement was sent is not available.
+        lent: the connections in use. usual_seconds: the usual time of a statement.
         """
         if not self._is_judged:
             return math.inf
@@ -94,7 +84,10 @@
         return max(since, self._heard_at) + min(usual, LONGEST_SECONDS)
 
     def turns_away(self, begins_at: float) -> bool:
-        """Tells whether statements are not to wait here. begins_at: as was returned now."""
+        """Tells whether the database is silent now and statements must not queue for it.
+
+        begins_at: the current result of `begins_at`.
+        """
         now = self._clock()
         if now < begins_at:
             return False
@@ -104,7 +97,7 @@
         return True
 
     def may_probe(self) -> bool:
-        """Tells whether one that comes now is let in, and counts it as let in."""
+        """Tells whether a statement may probe the silent database now, and records the probe."""
         now = self._clock()
         if now < self._probed_at + PROBE_SPACING_SECONDS:
             return False
--- a/src/dewledge/core/pooler/databases/freshness.py
+++ b/src/dewledge/core/pooler/databases/freshness.py
@@ -1,9 +1,9 @@
-"""Which log position was surely the newest at a moment: what bounded staleness rests on.
+"""Records which log position covered all commits at which time, for reads of bounded staleness.
 
-An answer of a database that proved to be the primary when it answered holds every commit
-acknowledged before the statement was *sent*. So a pair (time of sending, position of the answer)
-stays true for good; a read that may be `bound` old needs any pair younger than that. No clock but
-the process's own steady one is used, and a process that stood still keeps only true pairs.
+An answer of a database that proved to be the primary covers every commit acknowledged before the
+statement was *sent*. The pair (time of sending, position of the answer) therefore never becomes
+invalid, and a read with staleness bound `bound` may use any pair younger than that. Only the steady
+clock of this process is used, so a pause of the process can't make a pair wrong.
 """
 
 from collections import deque
@@ -13,33 +13,33 @@
 from dewledge.core.shared.positions import LogPosition
 
 MIN_SPACING_SECONDS = 0.05
-"""Seconds between two proofs that are kept: bounds the history to some 200, at the price that a lag
-is known no better than this."""
+"""Seconds between two retained proofs. Bounds the history to about 200 entries, and is the
+resolution of estimated lags."""
 KEEP_SECONDS = 10.0
-"""Seconds; older proofs are dropped, which bounds the memory. A read that may be older than this
-rests on a younger proof."""
+"""Seconds for which proofs are retained, to bound memory. Reads with a larger staleness bound use a
+proof within this time."""
 
 
 class ProvenPosition(msgspec.Struct, frozen=True):
-    """Every commit acknowledged before `sent_at` (steady clock, seconds) is within `position`."""
+    """States that `position` covers every commit acknowledged before `sent_at` (steady clock)."""
 
     sent_at: float
     position: LogPosition
 
 
 class FreshnessHistory:
-    """The proven positions of one group, oldest first."""
+    """Holds the proven positions of a group, oldest first."""
 
     def __init__(self) -> None:
         self._proofs: deque[ProvenPosition] = deque()
 
     @property
     def newest(self) -> ProvenPosition | None:
-        """The proof of the latest sending."""
+        """The proof with the latest `sent_at`."""
         return self._proofs[-1] if self._proofs else None
 
     def record(self, sent_at: float, position: LogPosition) -> None:
-        """Notes a proof. Answers may come out of order; the later sending counts."""
+        """Adds a proof unless it is too close to the newest one, older, or of an earlier term."""
         newest = self.newest
         if newest is not None and sent_at < newest.sent_at + MIN_SPACING_SECONDS:
             return
@@ -50,15 +50,18 @@
             self._proofs.popleft()
 
     def first_above(self, position: LogPosition) -> float | None:
-        """Returns the time of the oldest proof above `position`, None if none is above it."""
+        """Returns `sent_at` of the oldest proof above `position`, None if there is none."""
         return next((proof.sent_at for proof in self._proofs if proof.position > position), None)
 
     def first_reaching(self, position: LogPosition) -> float | None:
-        """Returns the time of the oldest proof that holds `position`, None if none does."""
+        """Returns `sent_at` of the oldest proof at or above `position`, None if there is none."""
         return next((proof.sent_at for proof in self._proofs if proof.position >= position), None)
 
     def floor(self, arrived: float, bound: float) -> ProvenPosition | None:
-        """Returns the oldest proof that a read arrived at `arrived` may rest on, or None."""
+        """Returns the oldest proof that satisfies a read's staleness bound, or None.
+
+        arrived: when the read arrived. bound: its staleness bound in seconds.
+        """
         for proof in self._proofs:
             if proof.sent_at >= arrived - bound:
                 return proof
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -1,11 +1,11 @@
-"""One database group at work: its view, what is proven of it, its pools, its primary.
+"""The mutable state of a database group: its view, proven positions, pools and primary.
 
-`Group` joins the parts, which are in modules of their own: `group_view` (what is known of
-the databases), `group_pools`, `proof_seeking`, `read_order`, `replica_lag`.
+`Group` combines `group_view` (the registered databases and their roles), `group_pools`,
+`proof_seeking`, `read_order` and `replica_lag`.
 
-Who may use the primary now is decided here and in `failover/primary_lease`: `usable_primary` is the
-primary of the view, if it can be reached, if this process's lease allows it (`may_lead`), and if it
-has not been leaving for longer than the drain bound.
+`usable_primary` and `failover/primary_lease` decide whether this process may use the primary now:
+it must be reachable, directly or through a relay, this process's lease must allow it (`may_lead`),
+and it must not have been draining for longer than the drain bound.
 """
 
 from collections.abc import Callable, Sequence
@@ -34,7 +34,7 @@
 
 
 class Group:
-    """The mutable holder of a group's immutable view."""
+    """Holds a group's current view and everything this process tracks about its databases."""
 
     def __init__(
         self,
@@ -49,21 +49,24 @@
         judges_silence: bool = True,
         is_fair: bool = True,
     ) -> None:
-        """`direct_opener`: opens connections that other processes' statements may use.
-
-        right: the lease of the primary; by default the platform fences. choice: of databases for
-        reads by load reports; None for own counts. judges_silence: of databases that are reached
-        directly; see DatabaseSilence. is_fair: callers get fair shares of slots and connections.
+        """`opener`: opens connections, or channels through holders, for this process's clients.
+
+        drain_bound: seconds for which a draining database still gets new work. direct_opener: opens
+        connections to databases for statements of other processes. right: the lease on the primary;
+        by default the platform fences old primaries. choice: orders databases for reads by load
+        reports; None to order them by local counts and distance. judges_silence: whether silence of
+        directly reached databases is detected. is_fair: whether callers get fair shares of slots
+        and connections.
         """
         self.view = GroupView(name)
         self.right = right or PrimaryLease(Fencing.PLATFORM)
         self.history = FreshnessHistory()
         self.choice = choice
-        """By what databases are chosen for reads; None for own counts and the distance."""
+        """Orders databases for reads by load; None to use local counts and the distance."""
         self.record: Callable[[PoolingEvent], None] = lambda event: None
-        """Called with what is to be logged of the group's databases."""
+        """Logs events of the group's databases."""
         self.relay: str | None = None
-        """The address of a process that reaches a database which this one does not."""
+        """The address of a process that can reach the database that this process can't reach."""
         self._clock = clock
         self._drain_bound = drain_bound
         self._doubted: str | None = None
@@ -77,15 +80,15 @@
 
     @property
     def pools(self) -> dict[str, ConnectionPool]:
-        """The pools for the statements of this process's clients, by database."""
+        """The pools for statements of this process's clients, by database id."""
         return self._pools.own
 
     def set_connection_limit(self, limit: int) -> None:
-        """Has this process hold up to `limit` connections to each database of the group itself."""
+        """Makes this process connect directly to each database, with up to `limit` connections."""
         self.set_holdings(lambda _record: Holding(limit))
 
     def set_holdings(self, find: Callable[[DatabaseRecord], Holding]) -> None:
-        """Sets by what rule this process reaches each database."""
+        """Sets the function that decides how this process reaches each database."""
         self._pools.set_holdings(find)
 
     def holding(self, database_id: str) -> Holding:
@@ -93,11 +96,11 @@
         return self._pools.holding(database_id)
 
     def pool(self, database_id: str) -> ConnectionPool:
-        """Returns the pool before a database, for the statements of this process's clients."""
+        """Returns the pool of a database for statements of this process's clients."""
         return self._pools.pool(database_id)
 
     def lending_pool(self, database_id: str) -> ConnectionPool:
-        """Returns the pool for other processes' statements: always of connections held here."""
+        """Returns the pool for statements of other processes; its connections are always direct."""
         return self._pools.lending_pool(database_id)
 
     def all_pools(self) -> Sequence[ConnectionPool]:
@@ -105,12 +108,12 @@
         return self._pools.all()
 
     def trim_connections(self) -> None:
-        """Closes connections that nobody has used for a while."""
+        """Closes connections that have been idle for a while."""
         for pool in self.all_pools():
             pool.trim()
 
     def change_view(self, view: GroupView) -> None:
-        """Takes the next view, ends pools of databases that leave, wakes who waits."""
+        """Replaces the view, retires pools of removed databases and wakes waiting statements."""
         self.view = view
         self._pools.follow_view(self.may_serve)
         if self.usable_primary is not None:
@@ -118,7 +121,7 @@
 
     @property
     def usable_primary(self) -> DatabaseRecord | None:
-        """The primary, unless it has been leaving for too long to be given new work."""
+        """The primary if it can be reached and may be used now, else None."""
         primary = self.view.primary
         if primary is None or (primary.id == self._doubted and self.relay is None):
             return None
@@ -130,19 +133,20 @@
     def may_lead(self, database_id: str) -> bool:
         """Tells whether this process may use a database as primary now.
 
-        Asked before a statement is sent, and again when its answer comes.
+        Must be checked before a statement is sent and again when its answer arrives.
         """
         return self.right.allows(database_id, self._clock())
 
     def right_confirmed(self) -> None:
-        """The lease of primaries has been renewed."""
+        """Wakes statements that wait for a primary after the lease was renewed."""
         if self._primary_waiters and self.usable_primary is not None:
             self._wake_waiters()
 
     def set_doubt(self, database_id: str | None, relay: str | None) -> None:
-        """Notes which database cannot be reached, and the process that can stand between.
+        """Sets the database suspected to be unreachable, and a relay process that can reach it.
 
-        Without one no statement goes there while it is the primary.
+        Without a relay no statement is sent to that database while it is the primary. None means
+        no database, or no relay.
         """
         if (database_id, relay) == (self._doubted, self.relay):
             return
@@ -155,38 +159,38 @@
             self._wake_waiters()
 
     def relay_to(self, database_id: str) -> str | None:
-        """Returns the address of the process through which a database is reached, if any."""
+        """Returns the address of the relay through which a database is reached, None for none."""
         return self.relay if database_id == self._doubted else None
 
     def record_proof(self, sent_at: float, position: LogPosition) -> None:
-        """Notes that every commit acknowledged before `sent_at` is within `position`."""
+        """Records that `position` covers every commit acknowledged before `sent_at`."""
         self._seeking.record(sent_at, position)
 
     def may_seek_proof(self) -> bool:
-        """Tells whether a read without a floor should go to the primary to get one.
+        """Tells whether a read without a floor should go to the primary to obtain one.
 
-        While another is on its way there, its answer will serve both.
+        False while another read is doing so, because its answer serves both.
         """
         return self._seeking.may_begin()
 
     def begin_seeking(self) -> None:
-        """A read goes to the primary, and its answer will be a floor for others."""
+        """Records that a read was sent to the primary to obtain a floor."""
         self._seeking.begin()
 
     def end_seeking(self) -> None:
-        """That read has ended, with an answer or without."""
+        """Records that this read ended, with or without an answer."""
         self._seeking.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` once when a floor is known, or when one should be sought anew."""
+        """Calls `callback` once when a proof arrives or the read that requested one has ended."""
         self._seeking.wait(callback)
 
     def wait_for_primary(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` once when a primary is known."""
+        """Calls `callback` once when there is a usable primary."""
         self._primary_waiters.append(callback)
 
     def refute_primary(self, database_id: str) -> None:
-        """Notes that a database refused work because it is not the primary."""
+        """Records that a database refused a statement because it is not the primary."""
         self.change_view(self.view.with_refuted(database_id))
 
     def targets(self, route: Route, writes: bool, need: ReadNeed) -> Sequence[Target]:
@@ -206,7 +210,7 @@
         return self._reads.targets(options, self.choice)
 
     def observe_position(self, database_id: str, position: LogPosition) -> None:
-        """Notes the position in a database's answer, and that it answered."""
+        """Records the log position in a database's answer, and the time of the answer."""
         now = self._clock()
         self._heard_at[database_id] = now
         self._lags.observe(database_id, position, now)
@@ -216,37 +220,40 @@
         return self._heard_at.get(database_id, LONG_AGO)
 
     def note_tried(self, database_id: str) -> None:
-        """Notes that a statement is given to a database, so that its answer is awaited first."""
+        """Records that a statement goes to a database; its answer updates lag and load there."""
         self._lags.note_tried(database_id, self._clock())
         if self.choice is not None:
             self.choice.book.note_sent(database_id)
 
     def note_outcome(self, database_id: str, has_failed: bool, seconds: float) -> None:
-        """Notes whether a database did what was asked of it, so many seconds later."""
+        """Records whether a request to a database failed, and how many seconds it took."""
         if self.choice is not None:
             self.choice.failures.note(database_id, has_failed, self._clock(), seconds)
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        """Takes what a process that holds connections to a database reported of its load."""
+        """Records a load report for a database from a process that holds connections to it."""
         if self.choice is not None:
             self.choice.book.take(database_id, holder, report, self._clock())
 
     def load_report(self, database_id: str) -> LoadReport | None:
-        """Returns the report of the load before a database; None if loads are not reported."""
+        """Returns this process's load report for a database; None if reports are disabled."""
         return None if self.choice is None else report_of(self.lending_pool(database_id))
 
     def roll_back(self, connection: DatabaseConnection, scheduler: Scheduler) -> None:
-        """Ends a transaction on a connection, then takes the connection back into its pool."""
+        """Rolls back a transaction on a client's connection, then releases it to its pool."""
         self.roll_back_on(connection, self.pool(connection.database_id), scheduler)
 
     def roll_back_on(
         self, connection: DatabaseConnection, pool: ConnectionPool, scheduler: Scheduler
     ) -> None:
-        """Ends a transaction on a connection of `pool`, then gives the connection back."""
+        """Rolls back a transaction on a connection, then releases it to `pool`."""
         roll_back_then_release(connection, pool, scheduler)
 
     def may_serve(self, database_id: str) -> bool:
-        """Tells whether a database may be given new work."""
+        """Tells whether a database may get new work.
+
+        A draining replica may not; a draining primary may until the drain bound.
+        """
         if not self.view.takes_work(database_id, self._clock(), self._drain_bound):
             return False
         return database_id not in self.view.draining_since or self._is_primary(database_id)
--- a/src/dewledge/core/pooler/databases/group_pools.py
+++ b/src/dewledge/core/pooler/databases/group_pools.py
@@ -1,8 +1,9 @@
-"""The pools before the databases of one group, and how this process reaches each database.
+"""The connection pools of a group, and how this process reaches each database.
 
-Owns the pools of this process's clients, the pools lent to other processes, and the holdings: by
-which connections or through which processes a database is reached. The rule that finds a holding is
-set by the process; a holding is kept until the rule is set anew.
+There is a pool per database for this process's clients, and one for other processes where the
+clients' pool is not direct. A holding says whether a database is reached by direct connections or
+through other processes; the function that finds it is set by the process, and its results are
+cached until it is replaced.
 """
 
 from collections.abc import Callable, Sequence
@@ -15,7 +16,7 @@
 
 
 class GroupPools:
-    """One group's. A pool is made when it is first asked for."""
+    """Creates the pools of a group on first use, and keeps them in line with the holdings."""
 
     def __init__(
         self,
@@ -24,15 +25,14 @@
         opener: Opener,
         direct_opener: Opener,
     ) -> None:
-        """`find_record`: the record of a database now, by its id.
+        """`find_record`: returns the current record of a database id, None if it is unknown.
 
-        direct_opener: opens connections that other processes' statements may use.
+        direct_opener: opens connections to databases for statements of other processes.
         """
         self.own: dict[str, ConnectionPool] = {}
-        """By database, for the statements of this process's clients."""
+        """By database id, for statements of this process's clients."""
         self._lent: dict[str, ConnectionPool] = {}
-        """By database that this process does not hold, for statements that peers send all the
-        same."""
+        """By database id, for statements that peers send although this process is not a holder."""
         self._make = make
         self._find_record = find_record
         self._opener = opener
@@ -41,7 +41,10 @@
         self._holdings: dict[str, Holding] = {}
 
     def set_holdings(self, find: Callable[[DatabaseRecord], Holding]) -> None:
-        """Sets by what rule this process reaches each database."""
+        """Sets the function that decides how this process reaches each database.
+
+        Existing pools get the new limit; a pool whose route changes closes its idle connections.
+        """
         self._find_holding = find
         before, self._holdings = self._holdings, {}
         for database_id, pool in self.own.items():
@@ -63,7 +66,7 @@
         return known
 
     def pool(self, database_id: str) -> ConnectionPool:
-        """Returns the pool before a database, for the statements of this process's clients."""
+        """Returns the pool of a database for statements of this process's clients."""
         pool = self.own.get(database_id)
         if pool is None:
             holding = self.holding(database_id)
@@ -72,7 +75,7 @@
         return pool
 
     def lending_pool(self, database_id: str) -> ConnectionPool:
-        """Returns the pool for other processes' statements: always of connections held here."""
+        """Returns the pool for statements of other processes; its connections are always direct."""
         if self.holding(database_id).is_direct:
             return self.pool(database_id)
         pool = self._lent.get(database_id)
@@ -87,9 +90,9 @@
         return [*self.own.values(), *self._lent.values()]
 
     def follow_view(self, may_serve: Callable[[str], bool]) -> None:
-        """Ends the pools of databases that have left, and idle connections of those that leave.
+        """Retires the pools of removed databases, and closes idle connections to draining ones.
 
-        may_serve: tells whether a database may be given new work.
+        may_serve: tells whether a database may get new work.
         """
         for pools in (self.own, self._lent):
             for database_id, pool in list(pools.items()):
--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -1,9 +1,9 @@
-"""What a process knows of one database group: databases, roles, who leads, who leaves.
+"""An immutable view of a database group: its databases, their roles, the primary, draining.
 
-Immutable; each event gives the next view. Inputs are the databases' own entries in the store, with
-the store's revision, and what databases said of themselves in answers. It decides which database is
-the primary by these words (`GroupView.primary`); whether this process may use it is decided in
-`databases/group` and `failover/primary_lease`.
+Each change returns a new view. It is built from the databases' entries in the store, ordered by the
+store's revision, and from answers in which a database refused to act as primary.
+`GroupView.primary` is the primary by these reports; `databases/group` and `failover/primary_lease`
+decide whether this process may use it.
 """
 
 from enum import StrEnum
@@ -11,20 +11,21 @@
 import msgspec
 
 LONG_AGO = -1e9
-"""Seconds of the steady clock; earlier than any moment of a running process."""
+"""Seconds of the steady clock; earlier than any time in the life of the process."""
 
 
 class DatabaseRole(StrEnum):
-    """How a database sees itself."""
+    """The role that a database reports for itself."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
 
 
 class DatabaseRecord(msgspec.Struct, frozen=True):
-    """One database as it registers itself.
+    """The entry with which a database registers itself in the store.
 
-    revision: of the store's entry; a later one is newer.
+    address: "ip:port". draining: whether it is about to stop. slots: statements that it runs at
+    once, 0 if not reported. revision: the store's revision of the entry; higher is newer.
     """
 
     id: str
@@ -38,12 +39,12 @@
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """The databases of one group.
+    """The databases of a group, by database id.
 
-    claims: for each database that calls itself primary, the revision at which it began to.
-    refuted: databases that refused work as not being primary, with the revision of that record.
-    draining_since: when this process learned that a database leaves (steady clock, seconds).
-    departed: databases whose entries went away.
+    claims: the revision at which a database first reported itself as primary, while it does so.
+    refuted: the revision of its record when a database refused work because it was not primary.
+    draining_since: when this process learned that a database drains (steady clock, seconds).
+    departed: databases whose entries were removed from the store.
     """
 
     name: str
@@ -55,7 +56,7 @@
 
     @property
     def primary(self) -> DatabaseRecord | None:
-        """The database that last began to call itself primary and was not refuted since."""
+        """The database with the newest unrefuted claim to be primary, None if there is none."""
         candidates = [
             (revision, name)
             for name, revision in self.claims.items()
@@ -66,7 +67,8 @@
     def with_record(self, record: DatabaseRecord, now: float) -> "GroupView":
         """Returns the view after a database registered or changed its entry.
 
-        One that is first seen leaving may have begun to long ago: it gets no new work.
+        A database that is already draining in its first record gets no new work, since it may have
+        started to drain at any time before.
         """
         known = self.databases.get(record.id)
         if known is not None and known.revision >= record.revision:
@@ -91,7 +93,7 @@
         )
 
     def with_departure(self, database_id: str, revision: int, now: float) -> "GroupView":
-        """Returns the view after an entry went away: the database may serve on, but it leaves."""
+        """Returns the view after an entry was removed: the database counts as draining."""
         record = self.databases.get(database_id)
         if record is None or record.revision >= revision:
             return self
@@ -100,9 +102,9 @@
         return msgspec.structs.replace(view, departed=view.departed | {database_id})
 
     def with_leader(self, database_id: str) -> "GroupView":
-        """Returns the view after a process reported that a database leads.
+        """Returns the view after a process reported that a database is primary.
 
-        Its own entry may tell so later; another that begins to call itself primary counts more.
+        This may precede the database's own entry. A later claim of another database outranks it.
         """
         record = self.databases.get(database_id)
         if record is None or record.draining or record == self.primary:
@@ -114,7 +116,7 @@
         )
 
     def without(self, database_id: str) -> "GroupView":
-        """Returns the view without a database that has left for good."""
+        """Returns the view without a database that was removed permanently."""
         databases = {name: known for name, known in self.databases.items() if name != database_id}
         claims = {name: since for name, since in self.claims.items() if name != database_id}
         since = {name: at for name, at in self.draining_since.items() if name != database_id}
@@ -123,12 +125,12 @@
         )
 
     def takes_work(self, database_id: str, now: float, bound: float) -> bool:
-        """Tells whether new work may go to a database: not later than `bound` after it leaves."""
+        """Tells whether a database may get new work: until `bound` seconds after it drains."""
         since = self.draining_since.get(database_id)
         return since is None or now < since + bound
 
     def with_refuted(self, database_id: str) -> "GroupView":
-        """Returns the view after a database refused work because it is not the primary."""
+        """Returns the view after a database refused a statement because it is not the primary."""
         record = self.databases.get(database_id)
         if record is None:
             return self
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -1,7 +1,8 @@
-"""How reads of one group get a proven position to rest on, where none is young enough.
+"""Coordinates the reads of a group that need a proven log position when none is recent enough.
 
-A read without a floor has to go to the primary; its answer is then a floor for the reads after it.
-So that not all reads of a moment go there, one does and the others wait for its answer.
+A read without a floor (the minimum position that a replica must show) has to go to the primary, and
+its answer is a floor for later reads. One read goes there while concurrent reads wait for its
+answer, so that the primary is not flooded.
 """
 
 from collections.abc import Callable
@@ -11,12 +12,12 @@
 from dewledge.core.shared.positions import LogPosition
 
 SEEK_AGAIN_SECONDS = 0.1
-"""Seconds; a read that seeks a floor at the primary has others wait for its answer for so long,
-then another may seek: more than a round trip between regions, little of a read's time."""
+"""Seconds for which other reads wait for a read that was sent to the primary to obtain a floor;
+afterwards another read may be sent. Longer than a round trip between regions."""
 
 
 class ProofSeeking:
-    """One group's; times of the steady clock, seconds."""
+    """Lets one read of a group at a time obtain a floor. Times: steady clock, seconds."""
 
     def __init__(self, history: FreshnessHistory, clock: Callable[[], float]) -> None:
         self._history = history
@@ -25,28 +26,28 @@
         self._waiters: list[Callable[[], None]] = []
 
     def record(self, sent_at: float, position: LogPosition) -> None:
-        """Notes that every commit acknowledged before `sent_at` is within `position`."""
+        """Records that `position` covers every commit acknowledged before `sent_at`."""
         self._history.record(sent_at, position)
         self._wake()
 
     def may_begin(self) -> bool:
-        """Tells whether a read without a floor should go to the primary to get one.
+        """Tells whether a read without a floor should go to the primary to obtain one.
 
-        While another is on its way there, its answer will serve both.
+        False while another read is doing so, because its answer serves both.
         """
         return self._clock() >= self._seeking_since + SEEK_AGAIN_SECONDS
 
     def begin(self) -> None:
-        """A read goes to the primary, and its answer will be a floor for others."""
+        """Records that a read was sent to the primary to obtain a floor."""
         self._seeking_since = self._clock()
 
     def end(self) -> None:
-        """That read has ended, with an answer or without."""
+        """Records that this read ended, with or without an answer, and wakes waiting reads."""
         self._seeking_since = LONG_AGO
         self._wake()
 
     def wait(self, callback: Callable[[], None]) -> None:
-        """Calls `callback` once when a floor is known, or when one should be sought anew."""
+        """Calls `callback` once when a proof arrives or the read that requested one has ended."""
         self._waiters.append(callback)
 
     def _wake(self) -> None:
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -1,8 +1,8 @@
-"""Puts together what is known of a group's databases to order them for one read.
+"""Collects the data by which a group's databases are ordered for one read.
 
-Inputs, of this moment: the pools of this process, the predicted lags of replicas, the distance, and
-what holders reported of the load, where that is used. The order itself is decided in
-`statements/targets` (by own counts) or `load/choice` (by expected completion).
+The data are the pools of this process, predicted replica lags, distances and, if enabled, reported
+loads. The order is computed by `statements/targets` from local counts, or by `load/choice` from
+expected completion times.
 """
 
 from collections.abc import Callable, Sequence
@@ -24,15 +24,16 @@
 from dewledge.core.shared.positions import LogPosition
 
 UNREACHABLE_LOAD = 1000
-"""Statements; added to the load of a database that could not be reached a moment ago: more than any
-real load, so that it comes last."""
+"""Statements added to the load of a database that was unreachable recently: more than any real
+load, so that it sorts last."""
 
 
 class ReadOptions(msgspec.Struct, frozen=True):
-    """Among which databases one read is ordered.
+    """The candidates and constraints of a read.
 
-    floor: the position that a replica must show. primary: that may be used now, under
-    `primary_proof`. excluded: a database that cannot be reached. caller: whose read it is.
+    floor: the minimum position that a replica must show, None if none is proven. primary: the
+    usable primary, None for none. primary_proof: how the primary proves its role for this read.
+    excluded: the id of a database that can't be reached. caller: the caller that sent the read.
     """
 
     view: GroupView
@@ -44,7 +45,7 @@
 
 
 class ReadOrder:
-    """One group's."""
+    """Orders the databases of a group for reads."""
 
     def __init__(
         self, locality: Locality, clock: Callable[[], float], lags: ReplicaLags, pools: GroupPools
@@ -57,7 +58,7 @@
     def targets(self, options: ReadOptions, choice: ReadChoice | None) -> Sequence[Target]:
         """Returns the databases that may serve a read, best first.
 
-        choice: by expected completion; None orders by own counts and the distance.
+        choice: orders by expected completion; None to order by local counts and distance.
         """
         if choice is None:
             return read_targets(
--- a/src/dewledge/core/pooler/databases/replica_lag.py
+++ b/src/dewledge/core/pooler/databases/replica_lag.py
@@ -1,8 +1,9 @@
-"""Which databases probably lack a log position: predicted from the positions of their answers.
+"""Predicts which databases have not yet applied a log position.
 
-A statement under a floor that a replica lacks is refused there and has to go elsewhere, often to
-another region. Each answer carries the position of its database; what the primary had proven by
-then tells how far behind that is. A prediction that is wrong costs a detour, never a stale answer.
+A replica refuses a statement whose floor it has not reached, and the statement has to go to another
+database, often in another region. The lag is estimated by comparing the position in a replica's
+answer with the positions proven by the primary. A wrong prediction costs such a detour, never a
+stale answer.
 """
 
 import msgspec
@@ -11,17 +12,17 @@
 from dewledge.core.shared.positions import LogPosition
 
 SPAN_SECONDS = 0.5
-"""Seconds; the estimate is the largest lag seen in this span and the one before it."""
+"""Seconds of a span; the estimate is the largest lag observed in the current and previous span."""
 TRY_AGAIN_SECONDS = 1.0
-"""Seconds; a database that has not been heard of for so long gets one statement to see: in a lag of
-many seconds that is one detour a second for each process."""
+"""Seconds without an answer after which a lagging database gets one statement to refresh its
+estimate. Bounds the cost of a long lag to one detour per second and process."""
 
 
 class LagEstimate(msgspec.Struct):
-    """How far behind one database was seen to be, lags in seconds, times of the steady clock.
+    """The observed lag of a database, in seconds. Times: steady clock.
 
-    span_began_at, largest_in_span: of the span at hand. largest_before: in the span before it.
-    heard_at: when it last answered, or was last given a statement to see.
+    span_began_at: start of the current span. largest_in_span, largest_before: largest lag in the
+    current and in the previous span. heard_at: when it last answered or was sent a statement.
     """
 
     span_began_at: float
@@ -31,14 +32,14 @@
 
     @property
     def seconds(self) -> float:
-        """The lag to reckon with."""
+        """The estimated lag: the largest one of both spans."""
         return max(self.largest_in_span, self.largest_before)
 
     def take(self, seen: float, now: float) -> None:
-        """Takes the lag that an answer showed."""
+        """Records the lag observed in an answer."""
         elapsed = now - self.span_began_at
         if elapsed >= SPAN_SECONDS:
-            # What is older than two spans says nothing of now.
+            # Lags older than two spans are discarded.
             self.largest_before = self.largest_in_span if elapsed < 2 * SPAN_SECONDS else 0.0
             self.largest_in_span = 0.0
             self.span_began_at = now
@@ -47,14 +48,14 @@
 
 
 class ReplicaLags:
-    """The estimates of one group."""
+    """Holds the lag estimates of the databases of a group."""
 
     def __init__(self, history: FreshnessHistory) -> None:
         self._history = history
         self._estimates: dict[str, LagEstimate] = {}
 
     def observe(self, database_id: str, position: LogPosition, now: float) -> None:
-        """Takes the position in an answer that came at `now`."""
+        """Updates a database's estimate from the position in an answer that arrived at `now`."""
         lacking_since = self._history.first_above(position)
         seen = 0.0 if lacking_since is None else max(now - lacking_since, 0.0)
         estimate = self._estimates.get(database_id)
@@ -64,13 +65,13 @@
             estimate.take(seen, now)
 
     def lacks(self, database_id: str, floor: LogPosition, now: float) -> bool:
-        """Tells whether a database probably lacks `floor`; never of one not heard of lately."""
+        """Tells whether a database probably lacks `floor`; False without a recent answer."""
         return self.wait_for(database_id, floor, now) > 0.0
 
     def wait_for(self, database_id: str, floor: LogPosition, now: float) -> float:
         """Returns the seconds until a database probably has `floor`; 0 if it may have it now.
 
-        Proofs are noted `MIN_SPACING_SECONDS` apart, so a lag is known no better than that.
+        Proofs are recorded `MIN_SPACING_SECONDS` apart, so that much is added for accuracy.
         """
         estimate = self._estimates.get(database_id)
         if estimate is None or now > estimate.heard_at + TRY_AGAIN_SECONDS:
@@ -81,7 +82,7 @@
         return remaining + MIN_SPACING_SECONDS if remaining > 0.0 else 0.0
 
     def note_tried(self, database_id: str, now: float) -> None:
-        """A statement goes to a database: others need not try it before it has answered."""
+        """Records that a statement was sent to a database, so that others await its answer."""
         estimate = self._estimates.get(database_id)
         if estimate is not None:
             estimate.heard_at = max(estimate.heard_at, now)
