--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -18,7 +18,7 @@
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.errors import ErrorCode
 
-_FAILURES = frozenset(
+_FAILURE_CODES = frozenset(
     {ErrorCode.DATABASE_UNREACHABLE, ErrorCode.OVERLOADED, ErrorCode.STATEMENT_TIMEOUT}
 )
 """Error codes that count as a failure of the database. A replica that lags behind is not a failure;
@@ -32,15 +32,15 @@
 class AnswerWatch:
     """Watches for the answer to one statement. `begin` restarts the watch at each send."""
 
-    def __init__(self, scheduler: Scheduler, group: Group, held: HeldConnection) -> None:
+    def __init__(self, scheduler: Scheduler, group: Group, held_connection: HeldConnection) -> None:
         self._scheduler = scheduler
         self._group = group
-        self._held = held
-        self.began_at = 0.0
+        self._held_connection = held_connection
+        self.sent_at = 0.0
 
     def begin(self) -> None:
         """Restarts the watch: a request is sent to the database now."""
-        self.began_at = self._scheduler.now()
+        self.sent_at = self._scheduler.now()
 
     def take(self, reply: Reply | None, statement: Statement | None) -> None:
         """Records the outcome of a request, the database's log position and the use of its slot.
@@ -48,43 +48,45 @@
         statement: the statement that was answered; None for a request of the proxy's connection
         setup.
         """
-        database_id = self._held.database_id
+        database_id = self._held_connection.database_id
         if not database_id:
             return
-        self._note_outcome(has_failed=reply is None or _fails(reply))
+        self._record_outcome(has_failed=reply is None or _is_failure(reply))
         if reply is None:
             return
         if reply.position is not None:
             self._group.observe_position(database_id, reply.position)
         if statement is not None:
-            held = self._scheduler.now() - self.began_at
+            held_seconds = self._scheduler.now() - self.sent_at
             pool = self._group.pool(database_id)
-            pool.note_answer(statement.kind, reply, held, self._held.connection)
+            pool.note_answer(statement.kind, reply, held_seconds, self._held_connection.connection)
 
-    def look(self, again: Callable[[float], None]) -> None:
+    def look(self, reschedule: Callable[[float], None]) -> None:
         """Reports the database as suspect if its answer is overdue, else reschedules the check.
 
-        again: schedules the next check after a delay in seconds.
+        reschedule: schedules the next check after a delay in seconds.
         """
-        if self._held.connection is None:
+        if self._held_connection.connection is None:
             return
-        silent_since = max(self.began_at, self._group.heard_at(self._held.database_id))
+        silent_since = max(
+            self.sent_at, self._group.last_answer_at(self._held_connection.database_id)
+        )
         remaining = silent_since + SUSPECT_AFTER_SECONDS - self._scheduler.now()
         if remaining > 0:
-            again(remaining)
+            reschedule(remaining)
         else:
-            self._held.suspect()
+            self._held_connection.suspect()
 
     def limit_passed(self) -> None:
         """Reports the database as suspect on a statement timeout if it has answered nothing."""
-        self._note_outcome(has_failed=True)
-        if self._group.heard_at(self._held.database_id) <= self.began_at:
-            self._held.suspect()
+        self._record_outcome(has_failed=True)
+        if self._group.last_answer_at(self._held_connection.database_id) <= self.sent_at:
+            self._held_connection.suspect()
 
-    def _note_outcome(self, has_failed: bool) -> None:
-        elapsed = self._scheduler.now() - self.began_at
-        self._group.note_outcome(self._held.database_id, has_failed, elapsed)
+    def _record_outcome(self, has_failed: bool) -> None:
+        elapsed = self._scheduler.now() - self.sent_at
+        self._group.record_outcome(self._held_connection.database_id, has_failed, elapsed)
 
 
-def _fails(reply: Reply) -> bool:
-    return reply.failure is not None and reply.failure.code in _FAILURES
+def _is_failure(reply: Reply) -> bool:
+    return reply.failure is not None and reply.failure.code in _FAILURE_CODES
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -1,12 +1,13 @@
 """Detects that a directly connected database has stopped answering (is silent).
 
 A database is silent while a statement or an opening is outstanding and no answer of any kind has
-arrived for `USUAL_FACTOR` usual statement times, between `SILENT_AFTER_SECONDS` and
-`LONGEST_SECONDS`. Any answer, including a refusal, ends the silence, so a full or slow database is
-not silent. The pool of a silent database denies statements as unreachable instead of queueing them,
-apart from one probe per `PROBE_SPACING_SECONDS`, because its queue would not drain while another
-database could serve them. Unlike `answer_watch`, it has no address checked. Databases reached
-through holders are not judged here (see `load/holder_health`). Setting: `[load] silent_databases`.
+arrived for `USUAL_TIME_FACTOR` usual statement times, between `MIN_SILENCE_SECONDS` and
+`MAX_SILENCE_SECONDS`. Any answer, including a refusal, ends the silence, so a full or slow database
+is not silent. The pool of a silent database denies statements as unreachable instead of queueing
+them, apart from one probe per `PROBE_INTERVAL_SECONDS`, because its queue would not drain while
+another database could serve them. Unlike `answer_watch`, it has no address checked. Databases
+reached through holders are not judged here (see `load/holder_health`). Setting:
+`[load] silent_databases`.
 """
 
 import math
@@ -14,14 +15,14 @@
 
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
-SILENT_AFTER_SECONDS = 0.25
+MIN_SILENCE_SECONDS = 0.25
 """Seconds without an answer after which a database may be silent: several round trips between
 regions plus the longest statements, as in `answer_watch`."""
-USUAL_FACTOR = 3.0
+USUAL_TIME_FACTOR = 3.0
 """Factor on the usual time of a statement. Raises the limit for databases with long statements."""
-LONGEST_SECONDS = 0.6
+MAX_SILENCE_SECONDS = 0.6
 """Seconds; upper bound of the limit, below the shortest usual statement timeout of 0.8 s."""
-PROBE_SPACING_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 0.25
 """Seconds between statements admitted to a silent database to detect its recovery."""
 
 SilenceCallback = Callable[[bool, float], None]
@@ -39,49 +40,53 @@
         self,
         clock: Callable[[], float],
         is_judged: bool = True,
-        changed: SilenceCallback = ignore_silence,
+        on_change: SilenceCallback = ignore_silence,
     ) -> None:
         """`is_judged`: whether silence is detected at all.
 
-        changed: called when silence is detected, and when it ends.
+        on_change: called when silence is detected, and when it ends.
         """
         self._clock = clock
         self._is_judged = is_judged
-        self._changed = changed
-        self._heard_at = -math.inf
+        self._on_change = on_change
+        self._answered_at = -math.inf
         self._probed_at = -math.inf
-        self._found_at: float | None = None
-        self._opening_since: list[float] = []
+        self._silent_since: float | None = None
+        self._opening_starts: list[float] = []
         """Start times of the openings in progress."""
 
     def note_sign(self) -> None:
         """Records an answer of any kind from the database, which ends its silence."""
         now = self._clock()
-        self._heard_at = now
-        if self._found_at is not None:
-            self._changed(False, now - self._found_at)
-            self._found_at = None
+        self._answered_at = now
+        if self._silent_since is not None:
+            self._on_change(False, now - self._silent_since)
+            self._silent_since = None
 
     def opening_begins(self, at: float) -> None:
         """Records that an opening of a connection started."""
-        self._opening_since.append(at)
+        self._opening_starts.append(at)
 
     def opening_ends(self, began_at: float) -> None:
         """Records that an opening ended, successfully or not."""
-        self._opening_since.remove(began_at)
+        self._opening_starts.remove(began_at)
 
-    def begins_at(self, lent: Iterable[DatabaseConnection], usual_seconds: float) -> float:
+    def begins_at(
+        self, connections_in_use: Iterable[DatabaseConnection], usual_seconds: float
+    ) -> float:
         """Returns when the database becomes silent unless it answers; infinite if nothing is sent.
 
         Connections in transactions are ignored: the time their statement was sent is not available.
-        lent: the connections in use. usual_seconds: the usual time of a statement.
+        usual_seconds: the usual time of a statement.
         """
         if not self._is_judged:
             return math.inf
-        awaited = [each.lent_at for each in lent if each.is_single and each.unanswered]
-        since = min([*awaited, *self._opening_since], default=math.inf)
-        usual = max(usual_seconds * USUAL_FACTOR, SILENT_AFTER_SECONDS)
-        return max(since, self._heard_at) + min(usual, LONGEST_SECONDS)
+        awaited = [
+            each.lent_at for each in connections_in_use if each.is_single and each.unanswered
+        ]
+        since = min([*awaited, *self._opening_starts], default=math.inf)
+        usual = max(usual_seconds * USUAL_TIME_FACTOR, MIN_SILENCE_SECONDS)
+        return max(since, self._answered_at) + min(usual, MAX_SILENCE_SECONDS)
 
     def turns_away(self, begins_at: float) -> bool:
         """Tells whether the database is silent now and statements must not queue for it.
@@ -91,15 +96,15 @@
         now = self._clock()
         if now < begins_at:
             return False
-        if self._found_at is None:
-            self._found_at = now
-            self._changed(True, 0.0)
+        if self._silent_since is None:
+            self._silent_since = now
+            self._on_change(True, 0.0)
         return True
 
     def may_probe(self) -> bool:
         """Tells whether a statement may probe the silent database now, and records the probe."""
         now = self._clock()
-        if now < self._probed_at + PROBE_SPACING_SECONDS:
+        if now < self._probed_at + PROBE_INTERVAL_SECONDS:
             return False
         self._probed_at = now
         return True
--- a/src/dewledge/core/pooler/databases/freshness.py
+++ b/src/dewledge/core/pooler/databases/freshness.py
@@ -12,10 +12,10 @@
 
 from dewledge.core.shared.positions import LogPosition
 
-MIN_SPACING_SECONDS = 0.05
+MIN_PROOF_INTERVAL_SECONDS = 0.05
 """Seconds between two retained proofs. Bounds the history to about 200 entries, and is the
 resolution of estimated lags."""
-KEEP_SECONDS = 10.0
+RETENTION_SECONDS = 10.0
 """Seconds for which proofs are retained, to bound memory. Reads with a larger staleness bound use a
 proof within this time."""
 
@@ -41,12 +41,12 @@
     def record(self, sent_at: float, position: LogPosition) -> None:
         """Adds a proof unless it is too close to the newest one, older, or of an earlier term."""
         newest = self.newest
-        if newest is not None and sent_at < newest.sent_at + MIN_SPACING_SECONDS:
+        if newest is not None and sent_at < newest.sent_at + MIN_PROOF_INTERVAL_SECONDS:
             return
         if newest is not None and position.term < newest.position.term:
             return
         self._proofs.append(ProvenPosition(sent_at, position))
-        while self._proofs[0].sent_at < sent_at - KEEP_SECONDS:
+        while self._proofs[0].sent_at < sent_at - RETENTION_SECONDS:
             self._proofs.popleft()
 
     def first_above(self, position: LogPosition) -> float | None:
@@ -57,12 +57,12 @@
         """Returns `sent_at` of the oldest proof at or above `position`, None if there is none."""
         return next((proof.sent_at for proof in self._proofs if proof.position >= position), None)
 
-    def floor(self, arrived: float, bound: float) -> ProvenPosition | None:
+    def floor(self, arrived_at: float, max_staleness: float) -> ProvenPosition | None:
         """Returns the oldest proof that satisfies a read's staleness bound, or None.
 
         arrived: when the read arrived. bound: its staleness bound in seconds.
         """
         for proof in self._proofs:
-            if proof.sent_at >= arrived - bound:
+            if proof.sent_at >= arrived_at - max_staleness:
                 return proof
         return None
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.databases.group_pools import GroupPools
 from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
 from dewledge.core.pooler.databases.locality import Locality
-from dewledge.core.pooler.databases.proof_seeking import ProofSeeking
+from dewledge.core.pooler.databases.proof_seeking import ProofRequest
 from dewledge.core.pooler.databases.read_order import ReadOptions, ReadOrder
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
 from dewledge.core.pooler.events import PoolingEvent
@@ -39,7 +39,7 @@
     def __init__(
         self,
         name: str,
-        place: Locality,
+        locality: Locality,
         opener: Opener,
         clock: Callable[[], float],
         drain_bound: float,
@@ -69,19 +69,19 @@
         """The address of a process that can reach the database that this process can't reach."""
         self._clock = clock
         self._drain_bound = drain_bound
-        self._doubted: str | None = None
-        self._heard_at: dict[str, float] = {}
+        self._suspected: str | None = None
+        self._answered_at: dict[str, float] = {}
         self._lags = ReplicaLags(self.history)
-        self._seeking = ProofSeeking(self.history, clock)
+        self._proof_request = ProofRequest(self.history, clock)
         self._primary_waiters: list[Callable[[], None]] = []
-        make = PoolFactory(name, clock, self._record, judges_silence, is_fair)
+        make = PoolFactory(name, clock, self._record_event, judges_silence, is_fair)
         self._pools = GroupPools(make, self._find_record, opener, direct_opener or opener)
-        self._reads = ReadOrder(place, clock, self._lags, self._pools)
+        self._reads = ReadOrder(locality, clock, self._lags, self._pools)
 
     @property
     def pools(self) -> dict[str, ConnectionPool]:
         """The pools for statements of this process's clients, by database id."""
-        return self._pools.own
+        return self._pools.client_pools
 
     def set_connection_limit(self, limit: int) -> None:
         """Makes this process connect directly to each database, with up to `limit` connections."""
@@ -99,13 +99,13 @@
         """Returns the pool of a database for statements of this process's clients."""
         return self._pools.pool(database_id)
 
-    def lending_pool(self, database_id: str) -> ConnectionPool:
+    def peer_pool(self, database_id: str) -> ConnectionPool:
         """Returns the pool for statements of other processes; its connections are always direct."""
-        return self._pools.lending_pool(database_id)
+        return self._pools.peer_pool(database_id)
 
     def all_pools(self) -> Sequence[ConnectionPool]:
         """Returns the pools of all databases."""
-        return self._pools.all()
+        return self._pools.all_pools()
 
     def trim_connections(self) -> None:
         """Closes connections that have been idle for a while."""
@@ -123,11 +123,11 @@
     def usable_primary(self) -> DatabaseRecord | None:
         """The primary if it can be reached and may be used now, else None."""
         primary = self.view.primary
-        if primary is None or (primary.id == self._doubted and self.relay is None):
+        if primary is None or (primary.id == self._suspected and self.relay is None):
             return None
         if not self.may_lead(primary.id):
             return None
-        usable = self.view.takes_work(primary.id, self._clock(), self._drain_bound)
+        usable = self.view.accepts_work(primary.id, self._clock(), self._drain_bound)
         return primary if usable else None
 
     def may_lead(self, database_id: str) -> bool:
@@ -148,9 +148,9 @@
         Without a relay no statement is sent to that database while it is the primary. None means
         no database, or no relay.
         """
-        if (database_id, relay) == (self._doubted, self.relay):
+        if (database_id, relay) == (self._suspected, self.relay):
             return
-        self._doubted = database_id
+        self._suspected = database_id
         self.relay = relay
         if database_id is not None:
             self.pool(database_id).close_idle()
@@ -160,30 +160,30 @@
 
     def relay_to(self, database_id: str) -> str | None:
         """Returns the address of the relay through which a database is reached, None for none."""
-        return self.relay if database_id == self._doubted else None
+        return self.relay if database_id == self._suspected else None
 
     def record_proof(self, sent_at: float, position: LogPosition) -> None:
         """Records that `position` covers every commit acknowledged before `sent_at`."""
-        self._seeking.record(sent_at, position)
+        self._proof_request.record(sent_at, position)
 
     def may_seek_proof(self) -> bool:
         """Tells whether a read without a floor should go to the primary to obtain one.
 
         False while another read is doing so, because its answer serves both.
         """
-        return self._seeking.may_begin()
+        return self._proof_request.may_begin()
 
     def begin_seeking(self) -> None:
         """Records that a read was sent to the primary to obtain a floor."""
-        self._seeking.begin()
+        self._proof_request.begin()
 
     def end_seeking(self) -> None:
         """Records that this read ended, with or without an answer."""
-        self._seeking.end()
+        self._proof_request.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when a proof arrives or the read that requested one has ended."""
-        self._seeking.wait(callback)
+        self._proof_request.wait(callback)
 
     def wait_for_primary(self, callback: Callable[[], None]) -> None:
         """Calls `callback` once when there is a usable primary."""
@@ -204,7 +204,7 @@
             read_floor(route, self.history, need),
             primary,
             Proof.RIGHT if is_proven else Proof.LEAD,
-            self._doubted if self.relay is None else None,
+            self._suspected if self.relay is None else None,
             need.caller,
         )
         return self._reads.targets(options, self.choice)
@@ -212,20 +212,20 @@
     def observe_position(self, database_id: str, position: LogPosition) -> None:
         """Records the log position in a database's answer, and the time of the answer."""
         now = self._clock()
-        self._heard_at[database_id] = now
+        self._answered_at[database_id] = now
         self._lags.observe(database_id, position, now)
 
-    def heard_at(self, database_id: str) -> float:
+    def last_answer_at(self, database_id: str) -> float:
         """Returns when a database last answered a statement of this process."""
-        return self._heard_at.get(database_id, LONG_AGO)
+        return self._answered_at.get(database_id, LONG_AGO)
 
     def note_tried(self, database_id: str) -> None:
         """Records that a statement goes to a database; its answer updates lag and load there."""
-        self._lags.note_tried(database_id, self._clock())
+        self._lags.record_sent(database_id, self._clock())
         if self.choice is not None:
             self.choice.book.note_sent(database_id)
 
-    def note_outcome(self, database_id: str, has_failed: bool, seconds: float) -> None:
+    def record_outcome(self, database_id: str, has_failed: bool, seconds: float) -> None:
         """Records whether a request to a database failed, and how many seconds it took."""
         if self.choice is not None:
             self.choice.failures.note(database_id, has_failed, self._clock(), seconds)
@@ -237,7 +237,7 @@
 
     def load_report(self, database_id: str) -> LoadReport | None:
         """Returns this process's load report for a database; None if reports are disabled."""
-        return None if self.choice is None else report_of(self.lending_pool(database_id))
+        return None if self.choice is None else report_of(self.peer_pool(database_id))
 
     def roll_back(self, connection: DatabaseConnection, scheduler: Scheduler) -> None:
         """Rolls back a transaction on a client's connection, then releases it to its pool."""
@@ -254,7 +254,7 @@
 
         A draining replica may not; a draining primary may until the drain bound.
         """
-        if not self.view.takes_work(database_id, self._clock(), self._drain_bound):
+        if not self.view.accepts_work(database_id, self._clock(), self._drain_bound):
             return False
         return database_id not in self.view.draining_since or self._is_primary(database_id)
 
@@ -270,5 +270,5 @@
     def _find_record(self, database_id: str) -> DatabaseRecord | None:
         return self.view.databases.get(database_id)
 
-    def _record(self, event: PoolingEvent) -> None:
+    def _record_event(self, event: PoolingEvent) -> None:
         self.record(event)
--- a/src/dewledge/core/pooler/databases/group_pools.py
+++ b/src/dewledge/core/pooler/databases/group_pools.py
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        make: PoolFactory,
+        make_pool: PoolFactory,
         find_record: Callable[[str], DatabaseRecord | None],
         opener: Opener,
         direct_opener: Opener,
@@ -29,11 +29,11 @@
 
         direct_opener: opens connections to databases for statements of other processes.
         """
-        self.own: dict[str, ConnectionPool] = {}
+        self.client_pools: dict[str, ConnectionPool] = {}
         """By database id, for statements of this process's clients."""
-        self._lent: dict[str, ConnectionPool] = {}
+        self._peer_pools: dict[str, ConnectionPool] = {}
         """By database id, for statements that peers send although this process is not a holder."""
-        self._make = make
+        self._make_pool = make_pool
         self._find_record = find_record
         self._opener = opener
         self._direct_opener = direct_opener
@@ -46,55 +46,55 @@
         Existing pools get the new limit; a pool whose route changes closes its idle connections.
         """
         self._find_holding = find
-        before, self._holdings = self._holdings, {}
-        for database_id, pool in self.own.items():
+        previous, self._holdings = self._holdings, {}
+        for database_id, pool in self.client_pools.items():
             holding = self.holding(database_id)
-            known = before.get(database_id)
+            previous_holding = previous.get(database_id)
             pool.change_limit(pool_limit(holding))
-            if known is not None and known.is_direct != holding.is_direct:
-                pool.renew(self._make.window(database_id, holding))
+            if previous_holding is not None and previous_holding.is_direct != holding.is_direct:
+                pool.renew(self._make_pool.window(database_id, holding))
 
     def holding(self, database_id: str) -> Holding:
         """Returns how this process reaches a database."""
-        known = self._holdings.get(database_id)
+        holding = self._holdings.get(database_id)
         record = self._find_record(database_id)
-        if known is None:
-            known = Holding(1)
+        if holding is None:
+            holding = Holding(1)
             if record is not None and self._find_holding is not None:
-                known = self._find_holding(record)
-                self._holdings[database_id] = known
-        return known
+                holding = self._find_holding(record)
+                self._holdings[database_id] = holding
+        return holding
 
     def pool(self, database_id: str) -> ConnectionPool:
         """Returns the pool of a database for statements of this process's clients."""
-        pool = self.own.get(database_id)
+        pool = self.client_pools.get(database_id)
         if pool is None:
             holding = self.holding(database_id)
-            pool = self._make(database_id, pool_limit(holding), self._opener, holding)
-            self.own[database_id] = pool
+            pool = self._make_pool(database_id, pool_limit(holding), self._opener, holding)
+            self.client_pools[database_id] = pool
         return pool
 
-    def lending_pool(self, database_id: str) -> ConnectionPool:
+    def peer_pool(self, database_id: str) -> ConnectionPool:
         """Returns the pool for statements of other processes; its connections are always direct."""
         if self.holding(database_id).is_direct:
             return self.pool(database_id)
-        pool = self._lent.get(database_id)
+        pool = self._peer_pools.get(database_id)
         if pool is None:
             limit = FALLBACK_CONNECTIONS
-            pool = self._make(database_id, limit, self._direct_opener, Holding(limit))
-            self._lent[database_id] = pool
+            pool = self._make_pool(database_id, limit, self._direct_opener, Holding(limit))
+            self._peer_pools[database_id] = pool
         return pool
 
-    def all(self) -> Sequence[ConnectionPool]:
+    def all_pools(self) -> Sequence[ConnectionPool]:
         """Returns the pools of all databases."""
-        return [*self.own.values(), *self._lent.values()]
+        return [*self.client_pools.values(), *self._peer_pools.values()]
 
     def follow_view(self, may_serve: Callable[[str], bool]) -> None:
         """Retires the pools of removed databases, and closes idle connections to draining ones.
 
         may_serve: tells whether a database may get new work.
         """
-        for pools in (self.own, self._lent):
+        for pools in (self.client_pools, self._peer_pools):
             for database_id, pool in list(pools.items()):
                 if self._find_record(database_id) is None:
                     pool.retire()
--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -70,8 +70,8 @@
         A database that is already draining in its first record gets no new work, since it may have
         started to drain at any time before.
         """
-        known = self.databases.get(record.id)
-        if known is not None and known.revision >= record.revision:
+        previous = self.databases.get(record.id)
+        if previous is not None and previous.revision >= record.revision:
             return self
         claims = dict(self.claims)
         if record.role is DatabaseRole.PRIMARY:
@@ -80,7 +80,7 @@
             claims.pop(record.id, None)
         since = dict(self.draining_since)
         if record.draining:
-            since.setdefault(record.id, now if known is not None else LONG_AGO)
+            since.setdefault(record.id, now if previous is not None else LONG_AGO)
         else:
             since.pop(record.id, None)
         databases = {**self.databases, record.id: record}
@@ -109,7 +109,7 @@
         record = self.databases.get(database_id)
         if record is None or record.draining or record == self.primary:
             return self
-        newest = max(known.revision for known in self.databases.values())
+        newest = max(each.revision for each in self.databases.values())
         refuted = {name: at for name, at in self.refuted.items() if name != database_id}
         return msgspec.structs.replace(
             self, claims={**self.claims, database_id: newest}, refuted=refuted
@@ -117,14 +117,14 @@
 
     def without(self, database_id: str) -> "GroupView":
         """Returns the view without a database that was removed permanently."""
-        databases = {name: known for name, known in self.databases.items() if name != database_id}
+        databases = {name: record for name, record in self.databases.items() if name != database_id}
         claims = {name: since for name, since in self.claims.items() if name != database_id}
         since = {name: at for name, at in self.draining_since.items() if name != database_id}
         return msgspec.structs.replace(
             self, databases=databases, claims=claims, draining_since=since
         )
 
-    def takes_work(self, database_id: str, now: float, bound: float) -> bool:
+    def accepts_work(self, database_id: str, now: float, bound: float) -> bool:
         """Tells whether a database may get new work: until `bound` seconds after it drains."""
         since = self.draining_since.get(database_id)
         return since is None or now < since + bound
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -16,13 +16,13 @@
 afterwards another read may be sent. Longer than a round trip between regions."""
 
 
-class ProofSeeking:
+class ProofRequest:
     """Lets one read of a group at a time obtain a floor. Times: steady clock, seconds."""
 
     def __init__(self, history: FreshnessHistory, clock: Callable[[], float]) -> None:
         self._history = history
         self._clock = clock
-        self._seeking_since = LONG_AGO
+        self._requested_at = LONG_AGO
         self._waiters: list[Callable[[], None]] = []
 
     def record(self, sent_at: float, position: LogPosition) -> None:
@@ -35,15 +35,15 @@
 
         False while another read is doing so, because its answer serves both.
         """
-        return self._clock() >= self._seeking_since + SEEK_AGAIN_SECONDS
+        return self._clock() >= self._requested_at + SEEK_AGAIN_SECONDS
 
     def begin(self) -> None:
         """Records that a read was sent to the primary to obtain a floor."""
-        self._seeking_since = self._clock()
+        self._requested_at = self._clock()
 
     def end(self) -> None:
         """Records that this read ended, with or without an answer, and wakes waiting reads."""
-        self._seeking_since = LONG_AGO
+        self._requested_at = LONG_AGO
         self._wake()
 
     def wait(self, callback: Callable[[], None]) -> None:
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -100,13 +100,15 @@
     ) -> Completion:
         primary = options.view.primary
         leads = primary is not None and primary.id == record.id
-        lacking = 0.0 if leads else self._lags.wait_for(record.id, floor, self._clock())
+        lacking = (
+            0.0 if leads else self._lags.seconds_until_applied(record.id, floor, self._clock())
+        )
         is_direct = self._pools.holding(record.id).is_direct
-        pool, steps = self._pools.own.get(record.id), self._distance(record)
+        pool, steps = self._pools.client_pools.get(record.id), self._distance(record)
         return choice.completion(record, pool, is_direct, options.caller, steps, lacking, leads)
 
     def _load(self, record: DatabaseRecord) -> int:
-        pool = self._pools.own.get(record.id)
+        pool = self._pools.client_pools.get(record.id)
         if pool is None:
             return 0
         return pool.load + (UNREACHABLE_LOAD if pool.is_unreachable else 0)
--- a/src/dewledge/core/pooler/databases/replica_lag.py
+++ b/src/dewledge/core/pooler/databases/replica_lag.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from dewledge.core.pooler.databases.freshness import MIN_SPACING_SECONDS, FreshnessHistory
+from dewledge.core.pooler.databases.freshness import MIN_PROOF_INTERVAL_SECONDS, FreshnessHistory
 from dewledge.core.shared.positions import LogPosition
 
 SPAN_SECONDS = 0.5
 """Seconds of a span; the estimate is the largest lag observed in the current and previous span."""
-TRY_AGAIN_SECONDS = 1.0
+MAX_ESTIMATE_AGE_SECONDS = 1.0
 """Seconds without an answer after which a lagging database gets one statement to refresh its
 estimate. Bounds the cost of a long lag to one detour per second and process."""
 
@@ -35,7 +35,7 @@
         """The estimated lag: the largest one of both spans."""
         return max(self.largest_in_span, self.largest_before)
 
-    def take(self, seen: float, now: float) -> None:
+    def record(self, lag: float, now: float) -> None:
         """Records the lag observed in an answer."""
         elapsed = now - self.span_began_at
         if elapsed >= SPAN_SECONDS:
@@ -43,7 +43,7 @@
             self.largest_before = self.largest_in_span if elapsed < 2 * SPAN_SECONDS else 0.0
             self.largest_in_span = 0.0
             self.span_began_at = now
-        self.largest_in_span = max(self.largest_in_span, seen)
+        self.largest_in_span = max(self.largest_in_span, lag)
         self.heard_at = now
 
 
@@ -57,31 +57,31 @@
     def observe(self, database_id: str, position: LogPosition, now: float) -> None:
         """Updates a database's estimate from the position in an answer that arrived at `now`."""
         lacking_since = self._history.first_above(position)
-        seen = 0.0 if lacking_since is None else max(now - lacking_since, 0.0)
+        lag = 0.0 if lacking_since is None else max(now - lacking_since, 0.0)
         estimate = self._estimates.get(database_id)
         if estimate is None:
-            self._estimates[database_id] = LagEstimate(now, seen, 0.0, now)
+            self._estimates[database_id] = LagEstimate(now, lag, 0.0, now)
         else:
-            estimate.take(seen, now)
+            estimate.record(lag, now)
 
     def lacks(self, database_id: str, floor: LogPosition, now: float) -> bool:
         """Tells whether a database probably lacks `floor`; False without a recent answer."""
-        return self.wait_for(database_id, floor, now) > 0.0
+        return self.seconds_until_applied(database_id, floor, now) > 0.0
 
-    def wait_for(self, database_id: str, floor: LogPosition, now: float) -> float:
+    def seconds_until_applied(self, database_id: str, floor: LogPosition, now: float) -> float:
         """Returns the seconds until a database probably has `floor`; 0 if it may have it now.
 
-        Proofs are recorded `MIN_SPACING_SECONDS` apart, so that much is added for accuracy.
+        Proofs are recorded `MIN_PROOF_INTERVAL_SECONDS` apart, so that much is added for accuracy.
         """
         estimate = self._estimates.get(database_id)
-        if estimate is None or now > estimate.heard_at + TRY_AGAIN_SECONDS:
+        if estimate is None or now > estimate.heard_at + MAX_ESTIMATE_AGE_SECONDS:
             return 0.0
         since = self._history.first_reaching(floor)
         age = 0.0 if since is None else now - since
         remaining = estimate.seconds - age
-        return remaining + MIN_SPACING_SECONDS if remaining > 0.0 else 0.0
+        return remaining + MIN_PROOF_INTERVAL_SECONDS if remaining > 0.0 else 0.0
 
-    def note_tried(self, database_id: str, now: float) -> None:
+    def record_sent(self, database_id: str, now: float) -> None:
         """Records that a statement was sent to a database, so that others await its answer."""
         estimate = self._estimates.get(database_id)
         if estimate is not None:
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -67,7 +67,7 @@
         self._services = services
         self._group = group
         self._database_id = database_id
-        self._pool: ConnectionPool = group.lending_pool(database_id)
+        self._pool: ConnectionPool = group.peer_pool(database_id)
         self._transport = transport
         self._kept = KeptSession(name, caller)
         self._queue: deque[ChannelStatement] = deque()
@@ -139,7 +139,7 @@
         if self._services.is_ending or not self._group.may_serve(self._database_id):
             self._refuse(Failure(ErrorCode.OVERLOADED, "not served here any more"))
             return
-        self._pool = self._group.lending_pool(self._database_id)
+        self._pool = self._group.peer_pool(self._database_id)
         self._wait.begin(self._pool, message, self._kept.state)
 
     def _given(self, connection: DatabaseConnection) -> None:
--- a/tests/core/pooler/sharing/test_channel_session.py
+++ b/tests/core/pooler/sharing/test_channel_session.py
@@ -107,7 +107,7 @@
         while self.scheduler.time < end:
             self.scheduler.advance(min(0.1, end - self.scheduler.time))
             if runs_others:
-                pool = self.holder.group.lending_pool("p")
+                pool = self.holder.group.peer_pool("p")
                 pool.note_answer(StatementKind.READ, Reply(TransactionState.IDLE))
 
     def test_a_burst_is_served_as_far_as_it_can_be_in_its_time(self) -> None:
@@ -183,7 +183,7 @@
         for session in warm:
             session.start(StatementKind.WRITE, argument="t d")
         self.scheduler.advance(0.1)
-        pool = self.holder.group.lending_pool("p")
+        pool = self.holder.group.peer_pool("p")
         refused = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED))
         for _ in range(20):
             pool.note_answer(StatementKind.READ, refused)
@@ -206,7 +206,7 @@
         for session in warm:
             session.start(StatementKind.WRITE, argument="t d")
         self.scheduler.advance(0.1)
-        pool = self.holder.group.lending_pool("p")
+        pool = self.holder.group.peer_pool("p")
         refused = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED))
         for _ in range(20):
             pool.note_answer(StatementKind.READ, refused)
--- a/tests/core/pooler/test_freshness.py
+++ b/tests/core/pooler/test_freshness.py
@@ -88,9 +88,9 @@
     def test_an_entry_that_goes_and_comes_back(self) -> None:
         view = GroupView(GROUP).with_record(record("a", 1, "primary"), 0.0)
         view = view.with_departure("a", 2, 10.0)
-        self.assertFalse(view.takes_work("a", 16.0, 5.0))
+        self.assertFalse(view.accepts_work("a", 16.0, 5.0))
         view = view.with_record(record("a", 3, "primary"), 20.0)
-        self.assertTrue(view.takes_work("a", 99.0, 5.0))
+        self.assertTrue(view.accepts_work("a", 99.0, 5.0))
         self.assertEqual(view.departed, frozenset())
 
 
--- a/tests/core/pooler/test_replica_lag.py
+++ b/tests/core/pooler/test_replica_lag.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.databases.freshness import FreshnessHistory
-from dewledge.core.pooler.databases.replica_lag import TRY_AGAIN_SECONDS, ReplicaLags
+from dewledge.core.pooler.databases.replica_lag import MAX_ESTIMATE_AGE_SECONDS, ReplicaLags
 from dewledge.core.shared.positions import LogPosition
 
 NOW = 1000.0
@@ -35,9 +35,11 @@
         self.lags.observe("r", at(9), NOW + 2.0)
         for offset, seconds in ((19, 0.95), (15, 0.55), (12, 0.25), (9, 0.0), (3, 0.0)):
             with self.subTest(offset):
-                waits = self.lags.wait_for("r", at(offset), NOW + 2.0)
+                waits = self.lags.seconds_until_applied("r", at(offset), NOW + 2.0)
                 self.assertAlmostEqual(waits, seconds)
-        self.assertEqual(self.lags.wait_for("r", at(19), NOW + 9.0), 0.0, "due for a trial")
+        self.assertEqual(
+            self.lags.seconds_until_applied("r", at(19), NOW + 9.0), 0.0, "due for a trial"
+        )
 
     def test_one_that_has_all_that_is_proven_lacks_nothing(self) -> None:
         self.lags.observe("r", at(19), NOW + 2.0)
@@ -49,14 +51,14 @@
 
     def test_it_is_tried_once_after_a_while_without_answers(self) -> None:
         self.lags.observe("r", at(0), NOW + 2.0)
-        later = NOW + 2.0 + TRY_AGAIN_SECONDS + 0.1
+        later = NOW + 2.0 + MAX_ESTIMATE_AGE_SECONDS + 0.1
         self.assertFalse(self.lags.lacks("r", at(19), later))
-        self.lags.note_tried("r", later)
+        self.lags.record_sent("r", later)
         self.assertTrue(self.lags.lacks("r", at(19), later))
 
     def test_it_stays_due_for_a_trial_until_a_statement_goes_there(self) -> None:
         self.lags.observe("r", at(0), NOW + 2.0)
-        later = NOW + 2.0 + TRY_AGAIN_SECONDS + 0.1
+        later = NOW + 2.0 + MAX_ESTIMATE_AGE_SECONDS + 0.1
         self.assertFalse(self.lags.lacks("r", at(19), later))
         self.assertFalse(self.lags.lacks("r", at(19), later), "nothing has gone there yet")
 
@@ -77,8 +79,8 @@
             self.history.record(NOW + 0.1 * step, at(step))
         self.lags.observe("r", at(25), NOW + 9.9)
         self.assertTrue(self.lags.lacks("r", at(60), NOW + 10.0))
-        trial = NOW + 9.9 + TRY_AGAIN_SECONDS + 0.1
-        self.lags.note_tried("r", trial)
+        trial = NOW + 9.9 + MAX_ESTIMATE_AGE_SECONDS + 0.1
+        self.lags.record_sent("r", trial)
         self.lags.observe("r", at(99), trial + 0.05)
         self.assertFalse(self.lags.lacks("r", at(99), trial + 0.1))
 
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -3,10 +3,10 @@
 import unittest
 
 from dewledge.core.pooler.databases.database_silence import (
-    LONGEST_SECONDS,
-    PROBE_SPACING_SECONDS,
-    SILENT_AFTER_SECONDS,
-    USUAL_FACTOR,
+    MAX_SILENCE_SECONDS,
+    MIN_SILENCE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    USUAL_TIME_FACTOR,
     DatabaseSilence,
 )
 from dewledge.core.pooler.databases.group import Group
@@ -39,7 +39,7 @@
         self.scheduler = ModelScheduler()
         self.seen: list[bool] = []
         self.silence = DatabaseSilence(
-            self.scheduler.now, changed=lambda is_silent, _: self.seen.append(is_silent)
+            self.scheduler.now, on_change=lambda is_silent, _: self.seen.append(is_silent)
         )
 
     def begins_in(self, usual: float = 0.0) -> float:
@@ -52,10 +52,10 @@
     def test_how_long_an_answer_may_be_out(self) -> None:
         self.silence.opening_begins(self.scheduler.now())
         for usual, limit in (
-            (0.0, SILENT_AFTER_SECONDS),
-            (0.05, SILENT_AFTER_SECONDS),
-            (0.15, 0.15 * USUAL_FACTOR),
-            (5.0, LONGEST_SECONDS),
+            (0.0, MIN_SILENCE_SECONDS),
+            (0.05, MIN_SILENCE_SECONDS),
+            (0.15, 0.15 * USUAL_TIME_FACTOR),
+            (5.0, MAX_SILENCE_SECONDS),
         ):
             with self.subTest(usual):
                 self.assertAlmostEqual(self.begins_in(usual), limit)
@@ -65,7 +65,7 @@
         self.silence.opening_begins(began_at)
         self.scheduler.advance(0.2)
         self.silence.note_sign()
-        self.assertAlmostEqual(self.begins_in(), SILENT_AFTER_SECONDS)
+        self.assertAlmostEqual(self.begins_in(), MIN_SILENCE_SECONDS)
         self.silence.opening_ends(began_at)
         self.assertEqual(self.begins_in(), float("inf"))
 
@@ -83,7 +83,7 @@
         tried = 0
         for _ in range(100):
             tried += self.silence.may_probe()
-            self.scheduler.advance(PROBE_SPACING_SECONDS / 10)
+            self.scheduler.advance(PROBE_INTERVAL_SECONDS / 10)
         self.assertIn(tried, range(9, 12))
 
 
@@ -119,7 +119,7 @@
                 self.model.databases["p"].silent = True
                 waiting = self.ask(pool)
                 for _ in range(10):
-                    self.scheduler.advance(SILENT_AFTER_SECONDS / 5)
+                    self.scheduler.advance(MIN_SILENCE_SECONDS / 5)
                     pool.judge(waiting)
                 self.ask(pool)
                 self.ask(pool)
@@ -134,7 +134,7 @@
         self.scheduler.advance(UNDER_WAY_SECONDS)
         self.model.databases["p"].silent = True
         for _ in range(20):
-            self.scheduler.advance(SILENT_AFTER_SECONDS * 0.8)
+            self.scheduler.advance(MIN_SILENCE_SECONDS * 0.8)
             pool.note_answer(StatementKind.READ, BUSY)
             self.assertFalse(pool.is_silent)
 
