--- a/src/dewledge/core/pooler/__init__.py
+++ b/src/dewledge/core/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""Decision core of the pooler: sessions over shared connections, without sockets or clock."""
+"""Core logic of the pooler: sessions over shared connections, without I/O or a system clock."""
--- a/src/dewledge/core/pooler/coordination_store.py
+++ b/src/dewledge/core/pooler/coordination_store.py
@@ -1,4 +1,4 @@
-"""The table store as a contract: rows with versions, a feed of changes, conditional writes."""
+"""Interface of the table store: versioned rows, a change feed and conditional writes."""
 
 from typing import Protocol
 
@@ -7,18 +7,17 @@
 from dewledge.errors import ErrorCode, StoreError
 
 CALL_LIMIT_SECONDS = 1.0
-"""Seconds that one call to the store may take, beside what a feed is asked to wait: a silent store
-is noticed within this."""
+"""Timeout of a call to the store, excluding the time that a feed is asked to wait."""
 
 
 class HistoryLost(StoreError):
-    """The feed cannot go on from the version asked for; the table must be read anew."""
+    """Raised if the feed cannot continue from the requested version; read the table again."""
 
     code = ErrorCode.NOT_FOUND
 
 
 class StoreRow(msgspec.Struct, frozen=True):
-    """One row; `gone` marks one that was removed."""
+    """A row of a table. gone: whether the row was removed."""
 
     key: str
     value: bytes
@@ -27,7 +26,7 @@
 
 
 class TableRows(msgspec.Struct, frozen=True):
-    """A whole table at one version. `store_time`: the store's steady clock, seconds."""
+    """A whole table at one version. store_time: the store's steady clock, seconds."""
 
     rows: tuple[StoreRow, ...]
     version: int
@@ -35,14 +34,14 @@
 
 
 class FeedAnswer(msgspec.Struct, frozen=True):
-    """The rows that changed, in order, and the version to go on from."""
+    """The changed rows, in order, and the version from which to continue."""
 
     rows: tuple[StoreRow, ...]
     version: int
 
 
 class StoreWrite(msgspec.Struct, frozen=True):
-    """One row to put if it still has the version `expected`; 0: if it is not there."""
+    """A write of a row on condition that its version is `expected`; 0 if it must not exist."""
 
     table: str
     key: str
@@ -51,29 +50,30 @@
 
 
 class CoordinationStore(Protocol):
-    """What the product needs of a table store. Calls block; all raise StoreError."""
+    """The operations required of a table store. Calls block; all may raise StoreError."""
 
     def change_address(self, address: str) -> None:
-        """Sends later calls to another "ip:port"."""
+        """Sends subsequent calls to another address ("ip:port")."""
 
     def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
-        """Returns all rows of a table. `limit`: seconds for each call that it takes."""
+        """Returns all rows of a table. limit: timeout in seconds of each call to the store."""
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
-        """Returns one row, None if it is not there."""
+        """Returns one row, None if it does not exist."""
 
     def watch_table(self, table: str, after: int, wait: float) -> FeedAnswer:
-        """Returns changes after a version, waiting `wait` seconds. Raises HistoryLost."""
+        """Returns changes after a version, waiting up to `wait` seconds. Raises HistoryLost."""
 
     def write(self, write: StoreWrite) -> int:
         """Returns the new version. Raises StoreConditionFailed, StoreOutcomeUnknown."""
 
 
 class PromotionCalls(Protocol):
-    """Calls that the platform takes from the holder of a lease, guarded by a fencing token."""
+    """Calls to the platform by the holder of a lease, guarded by a fencing token."""
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
-        """Returns whether it was taken; False for an old token or a database that is not running.
+        """Promotes a database to primary. Raises StoreError.
 
-        Raises StoreError.
+        Returns whether the platform accepted the call; False if the token is outdated or the
+        database is not running.
         """
--- a/src/dewledge/core/pooler/events.py
+++ b/src/dewledge/core/pooler/events.py
@@ -1,4 +1,4 @@
-"""What the pooling part logs: one event for each decision that touches a statement."""
+"""Events that the pooler logs, one for each decision that affects a statement."""
 
 import msgspec
 
@@ -6,18 +6,17 @@
 
 
 class PoolingEvent(msgspec.Struct, frozen=True):
-    """The root of the events; field names are those of the log line."""
+    """Base class of the events. Class and field names determine the log line."""
 
 
 class StatementAnswered(PoolingEvent, frozen=True):
     """A statement got its final answer.
 
-    caller: whose it is, empty where nobody has to show a token.
-    way: each attempt as database:proof:outcome, in order.
-    floor: the position the read had to show. waited_ms: from arrival to the answer.
-    target_ms: within which the route wants its operations answered. expected_ms: from the choice
-    of the last database to the answer, as it was expected then; word_age_ms: of the word of the
-    load there. Both are -1 where the database was not chosen by that.
+    caller: the caller that sent it, empty if callers need no token. way: the attempts in order,
+    each as database:proof:outcome. floor: the minimum position for a read. waited_ms: time from
+    arrival to answer. target_ms: target latency of the route. expected_ms: expected time from the
+    choice of the last database to its answer. word_age_ms: age of the load report used for that
+    choice. Both are -1 if the database was not chosen by expected completion.
     """
 
     statement: str
@@ -38,9 +37,9 @@
 
 
 class SessionDenied(PoolingEvent, frozen=True):
-    """No caller of the configuration in force has the client's token.
+    """A session was denied because no caller of the active configuration has its token.
 
-    tries: so many since the last line of the route; session: the last of them.
+    tries: denied sessions of the route since its last log line; session: the latest of them.
     """
 
     session: str
@@ -50,11 +49,12 @@
 
 
 class OperationNotAdmitted(PoolingEvent, frozen=True):
-    """A caller's operation was refused before any work.
+    """A caller's operation was refused by rate limiting before any work was done.
 
-    cause: OVER_LIMIT, or NO_GRANTOR: no process that grants was reached and the own reserve was
-    used up. come_back_ms: what the client was told. is_kept: the token of that moment is kept for
-    its session. waited_ms: for the decision. urgency: of the route.
+    cause: OVER_LIMIT, or NO_GRANTOR if no process that grants rate-limit tokens was reached and the
+    local reserve was used up. come_back_ms: milliseconds after which the client may retry. is_kept:
+    whether the token of that time is reserved for the session. waited_ms: duration of the decision.
+    urgency: priority of the route.
     """
 
     session: str
@@ -69,7 +69,7 @@
 
 
 class OperationHeld(PoolingEvent, frozen=True):
-    """An operation was admitted after it had waited for its token for `waited_ms`."""
+    """An operation was admitted after waiting `waited_ms` for a rate-limit token."""
 
     session: str
     caller: str
@@ -86,7 +86,7 @@
 
 
 class PrimaryRefuted(PoolingEvent, frozen=True):
-    """A database refused work because it is not the primary."""
+    """A database refused a statement because it is not the primary."""
 
     group: str
     database: str
@@ -94,9 +94,9 @@
 
 
 class DatabaseFull(PoolingEvent, frozen=True):
-    """A database had no slot for a statement, so that statements wait for their turn here.
+    """A database had no free slot for a statement, so statements queue in this process.
 
-    window: how many may be there from this process. widest: how many it has connections for.
+    window: statements that this process may run there at once. widest: upper bound of the window.
     """
 
     group: str
@@ -106,16 +106,16 @@
 
 
 class DatabaseHasRoom(PoolingEvent, frozen=True):
-    """A database that was full runs all that this process has connections for again."""
+    """A database that was full accepts statements on all connections of this process again."""
 
     group: str
     database: str
 
 
 class DatabaseSilenceJudged(PoolingEvent, frozen=True):
-    """A database to which this process holds connections fell silent, or answers again.
+    """A directly connected database stopped answering, or answers again.
 
-    lasted_ms: for how long it was taken for silent; 0 where it is only now.
+    lasted_ms: how long it was considered silent; 0 at the start of the silence.
     """
 
     group: str
@@ -125,10 +125,10 @@
 
 
 class CallerHeldToShare(PoolingEvent, frozen=True):
-    """A statement of `served` went before earlier ones of a caller above its share of a database.
+    """Queued statements of a caller over its fair share were overtaken by one of caller `served`.
 
-    Told once a second at most for each database. waiting: how many of that caller wait, the first
-    of them for `waited_ms`.
+    Logged at most once a second per database. waiting: queued statements of the overtaken caller.
+    waited_ms: how long the first of them has waited.
     """
 
     group: str
@@ -140,10 +140,11 @@
 
 
 class WaitRefused(PoolingEvent, frozen=True):
-    """A statement was refused by the queue before a database, as it can't be served in its time.
+    """The queue of a database refused a statement that it could not serve in time.
 
-    expected_ms: the wait that was expected, -1 where nothing was measured; age_ms: of the newest
-    measurement that it rests on. left_ms: until its latest start. come_back_ms: what it was told.
+    expected_ms: the expected wait, -1 if unknown. age_ms: age of the newest sample of the estimate.
+    left_ms: time left until the latest start. come_back_ms: milliseconds after which the client may
+    retry.
     """
 
     group: str
@@ -157,17 +158,17 @@
 
 
 class ProcessStoodStill(PoolingEvent, frozen=True):
-    """The process did nothing for a while, so what waited here waited for that."""
+    """The process was paused, which delayed everything that was waiting in it."""
 
     stood_still_ms: int
 
 
 class HolderJudged(PoolingEvent, frozen=True):
-    """A process that holds connections is judged anew by its signs of life.
+    """The state of a connection holder changed, judged by the responses on its link.
 
-    peer: its address. state: usable, doubted or silent. silence_ms: since its last sign of life,
-    while one was due. due: answers awaited. usual_ms: usual time of a sign of life, 0 if not known.
-    lasted_ms: how long the state before was believed.
+    peer: its address. state: usable, doubted (suspected) or silent. silence_ms: time without any
+    response while one was outstanding. due: outstanding answers. usual_ms: usual time of a
+    response, 0 if unknown. lasted_ms: how long the previous state lasted.
     """
 
     peer: str
--- a/src/dewledge/core/pooler/sharing/__init__.py
+++ b/src/dewledge/core/pooler/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Processes that lend each other database connections, so that few hold those of one database."""
+"""Sharing of database connections between processes, to limit the connections to each database."""
--- a/src/dewledge/core/pooler/sharing/channel_proofs.py
+++ b/src/dewledge/core/pooler/sharing/channel_proofs.py
@@ -1,6 +1,6 @@
-"""What a channel's answers prove of the database and its group, and what peers are told of it.
+"""Derives proven log positions from the answers on a channel, and reports the newest to the peer.
 
-Relies on the group's history of log positions, which all sessions of this process share.
+Proven positions go into the group's history, which all sessions of this process share.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class ChannelProofs:
-    """Follows the answers on one channel."""
+    """Processes the answers on one channel."""
 
     __slots__ = ("_group", "_now", "_primary_proof")
 
@@ -31,9 +31,10 @@
         writes: bool,
         sent_at: float,
     ) -> None:
-        """Takes the answer of a statement that was sent at a time (steady clock, seconds).
+        """Updates the proven position, the view of the primary and the connection from an answer.
 
-        statement: None where the answer belongs to none. writes: whether the statement does.
+        statement: the answered statement, None if the answer has none. writes: whether it writes.
+        sent_at: when the statement was sent (steady clock, seconds).
         """
         code = None if reply.failure is None else reply.failure.code
         if code is None and statement is not None and reply.position is not None:
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -1,13 +1,11 @@
-"""The holder's end of a channel: one peer's statements on a shared database connection.
-
-To the peer a channel looks like a connection to the database of its own. Values and prepared names
-are kept here and given to whichever connection runs the next statement; a transaction keeps its
-connection until it ends. What was surely not sent is answered as refused; a connection lost after
-sending ends the channel, so that the peer, which knows what it sent, decides.
-
-Owns the queue of the peer's statements, the statement under way and its connection. Relies on
-`channel_wait` for a connection, `kept_session` for what the peer has set, `slot_retry` for what is
-sent once more, `channel_proofs` for what answers prove.
+"""The holder's end of a channel: runs one peer's statements on shared database connections.
+
+To the peer a channel behaves like a dedicated connection to the database. Session values and
+prepared statements are stored here and applied to the connection that runs the next statement; a
+transaction keeps its connection until it ends. A statement that was certainly not sent is answered
+with a failure. If the connection is lost after sending, the channel ends and the peer decides what
+to do with the statement. `channel_wait` waits for a connection, `slot_retry` resends statements
+that found no free slot, and `channel_proofs` evaluates answers.
 """
 
 from collections import deque
@@ -35,24 +33,24 @@
 from dewledge.errors import ErrorCode
 
 SETUP_LIMIT_SECONDS = 0.3
-"""For the setup of a connection; less than a peer gives its own (0.4 s)."""
+"""Timeout of the setup of a connection; shorter than the peer's own setup timeout (0.4 s)."""
 MAX_PIPELINED = 300
-"""Statements of a peer that wait on one channel: one statement and its setup are at most 256 values
-(MAX_VALUES), a discard and a prepared name. """
+"""Statements of a peer queued on a channel. A statement with its setup needs at most 256 values
+(MAX_VALUES), a discard and a prepared statement."""
 
 
 class ChannelTransport(Protocol):
-    """Takes a channel's answers to the peer."""
+    """Sends a channel's answers to the peer."""
 
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
-        """Answers the oldest statement that has no answer; with what is proven of the log."""
+        """Answers the oldest unanswered statement, with the newest proven log position."""
 
     def send_ended(self) -> None:
-        """Tells that the channel is over; what has no answer is in doubt."""
+        """Reports that the channel ended; the outcome of unanswered statements is unknown."""
 
 
 class ChannelSession:
-    """The state machine of one channel. Statements run one after the other."""
+    """Runs the statements of a channel one after another."""
 
     def __init__(
         self,
@@ -63,7 +61,7 @@
         transport: ChannelTransport,
         caller: str = NO_CALLER,
     ) -> None:
-        """`caller`: whose statements come on this channel."""
+        """`name`: identifies the peer's session. caller: the caller whose statements it sends."""
         self._services = services
         self._group = group
         self._database_id = database_id
@@ -83,11 +81,11 @@
 
     @property
     def at_rest(self) -> bool:
-        """Whether nothing runs here and no transaction is open."""
+        """Whether no statement is running and no transaction is open."""
         return self._current is None and self._connection is None
 
     def handle(self, message: ChannelStatement) -> None:
-        """Takes the next statement of the peer."""
+        """Queues the next statement of the peer; ends the channel if too many are queued."""
         if self._ended:
             return
         if len(self._queue) >= MAX_PIPELINED:
@@ -97,7 +95,10 @@
         self._serve_queue()
 
     def close(self) -> None:
-        """The peer gave the channel up, or its link is lost: rolls back what is open."""
+        """Ends the session after the peer closed the channel or the link to it was lost.
+
+        An open transaction is rolled back; a connection with a running statement is closed.
+        """
         if self._ended:
             return
         self._ended = True
@@ -124,7 +125,7 @@
             self._transport.send_reply(Reply(self._transaction_state), self._proofs.newest())
             return
         if self._kept.lacks_name_of(statement):
-            self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"))
+            self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "unknown prepared statement"))
             return
         self._current = message
         self._slots.allow(self._wait.longest(message))
@@ -137,7 +138,9 @@
 
     def _acquire(self, message: ChannelStatement) -> None:
         if self._services.is_ending or not self._group.may_serve(self._database_id):
-            self._refuse(Failure(ErrorCode.OVERLOADED, "not served here any more"))
+            self._refuse(
+                Failure(ErrorCode.OVERLOADED, "this process no longer serves the database")
+            )
             return
         self._pool = self._group.peer_pool(self._database_id)
         self._wait.begin(self._pool, message, self._kept.state)
@@ -178,7 +181,7 @@
         if self._is_open:
             self._end_channel()
         else:
-            self._refuse(Failure(ErrorCode.DATABASE_UNREACHABLE, "the connection was lost before"))
+            self._refuse(Failure(ErrorCode.DATABASE_UNREACHABLE, "connection lost before sending"))
 
     def _send(
         self,
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -1,7 +1,7 @@
-"""The wait of a peer's statement for one of the connections held here.
+"""Waits for a connection of this holder on behalf of a peer's statement.
 
-Owns the statement's stay in the pool's queue and the times that bound it, all from what the peer
-said of the statement. Relies on the pool, which judges who may wait.
+Queues the statement in the pool, with deadlines taken from the peer's message. The pool decides
+whether the statement may wait.
 """
 
 import math
@@ -28,12 +28,12 @@
 from dewledge.errors import ErrorCode
 
 QUEUE_LIMIT_SECONDS = 0.25
-"""For a connection or slot, where the peer does not say how long a statement may wait and where
-waits are not judged by use: a quarter of the latency aimed at on the slowest routes seen, 1 s."""
+"""Limit of the wait for a connection or slot if the peer sends none, and upper bound of the peer's
+limit while useful waits are disabled: a quarter of a usual target latency of 1 s."""
 
 
 class ChannelWait:
-    """At most one statement of a channel waits. `given` or `refused` ends the wait."""
+    """Waits for one statement of a channel at a time; `given` or `refused` ends the wait."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         return self._services.load_policy.useful_waits
 
     def longest(self, message: ChannelStatement) -> float:
-        """Returns for how long, in seconds, a statement may wait for a connection or a slot."""
+        """Returns how many seconds a statement may wait for a connection or a slot."""
         if message.wait_seconds is None:
             return QUEUE_LIMIT_SECONDS
         if self._is_useful:
@@ -65,7 +65,7 @@
         return min(message.wait_seconds, QUEUE_LIMIT_SECONDS)
 
     def begin(self, pool: ConnectionPool, message: ChannelStatement, state: SessionState) -> None:
-        """Has a statement that came now wait; it may be served or refused before this returns."""
+        """Queues a newly arrived statement; it may be served or refused before this returns."""
         demand = _demand_of(message.statement.kind)
         deadlines = self._deadlines(message)
         waiter = Waiter(message.priority, self._take, self._denied, demand, state.caller, deadlines)
@@ -76,7 +76,7 @@
         self._judge_later(pool, waiter)
 
     def end(self) -> None:
-        """Nobody waits any more."""
+        """Withdraws the waiting statement, if any, from the queue."""
         self._timer.clear()
         waiter, self._waiter = self._waiter, None
         if waiter is not None:
@@ -91,7 +91,7 @@
         return WaitDeadlines(now - message.waited_seconds, now, in_time, latest)
 
     def _judge_later(self, pool: ConnectionPool, waiter: Waiter) -> None:
-        """Has the queue judge a statement that waits there anew, when it is time."""
+        """Reevaluates a queued statement whenever the queue's verdict expires."""
         if self._waiter is not waiter or not self._is_useful:
             return
         verdict = pool.judge(waiter)
@@ -109,11 +109,11 @@
         self._timer.clear()
         if denial is Denial.UNREACHABLE:
             self._services.suspect(self._group.view.name, self._database_id)
-            self._refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "no connection"))
+            self._refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "database unreachable"))
         elif waiter is not None and waiter.refusal is not None:
             self._refuse_for_room(waiter, waiter.refusal)
         else:
-            self._refused(Failure(ErrorCode.OVERLOADED, f"denied: {denial}"))
+            self._refused(Failure(ErrorCode.OVERLOADED, f"connection denied: {denial}"))
 
     def _refuse_for_room(self, waiter: Waiter, refusal: Refuse) -> None:
         group, now = self._group.view.name, self._services.scheduler.now()
@@ -124,7 +124,7 @@
     def _waited_too_long(self) -> None:
         if self._waiter is not None:
             self.end()
-            self._refused(Failure(ErrorCode.OVERLOADED, "no connection in time"))
+            self._refused(Failure(ErrorCode.OVERLOADED, "no connection available in time"))
 
 
 def _demand_of(kind: StatementKind) -> Demand:
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -1,13 +1,10 @@
-"""Which processes hold connections to a database, and how many each. Pure functions.
+"""Decides which processes hold connections to a database, and how many each. Pure functions.
 
-While the connections of a database suffice for all processes, each holds an equal share. With more
-processes only a few hold them, chosen by rendezvous hashing, the nearest to the database first; the
-others send their statements through these. Two processes that disagree for a moment are harmless:
-the database's own limit is the guard, and it refuses a connection before anything runs.
-
-Inputs: the members and their zones, as the store's table tells them; a database's limit of
-connections, of the configuration in force. Decision: how many connections this process may hold to
-a database, or through which processes it goes.
+While a database allows enough connections for all processes, each holds an equal part of them.
+Otherwise only a few processes, the holders, connect: those nearest to the database first, ordered
+by rendezvous hashing within the same distance. The other processes send their statements through
+holders. Processes with different views of the members do no harm, because the database enforces its
+connection limit before it runs anything.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -19,25 +16,25 @@
 from dewledge.core.pooler.sharing.members import Member
 
 RESERVED_SHARE = 0.1
-"""Ratio; of a database's limit, kept free for processes that have just started."""
+"""Ratio of a database's connection limit that is reserved for processes that have just started."""
 LEAST_DIRECT_SHARE = 3
-"""Connections for each process; with less, only holders connect."""
+"""Connections per process below which only holders connect to the database."""
 CONNECTIONS_PER_HOLDER = 8
-"""Connections planned for each holder of a database."""
+"""Connections planned per holder of a database."""
 LEAST_HOLDERS = 2
-"""Holders of one database, so that the loss of one leaves another."""
+"""Holders of a database, so that at least one remains if another is lost."""
 FALLBACK_CONNECTIONS = 2
-"""Connections of a process that can reach none of the holders."""
+"""Connections that a process which can't reach any holder may open itself."""
 RESERVE_HOLDERS = 3
-"""Processes that are tried when no holder can be reached."""
+"""Processes that are tried in turn when no holder can be reached."""
 
 
 class Holding(msgspec.Struct, frozen=True):
-    """How one process reaches one database.
+    """How a process reaches a database: by its own connections or through holders.
 
-    connections: how many it may hold itself, 0 for one that goes through `holders`.
-    holders: names in the order in which this process tries them.
-    main: how many of them, from the first, hold connections; the others stand in.
+    connections: connections that the process may hold; 0 if it goes through `holders`.
+    holders: names of processes in the order in which this process tries them.
+    main: number of leading entries of `holders` that are holders; the rest are substitutes.
     """
 
     connections: int
@@ -46,13 +43,14 @@
 
     @property
     def is_direct(self) -> bool:
-        """Whether this process holds connections itself."""
+        """Whether the process holds connections itself."""
         return self.connections > 0
 
     def holders_for(self, caller: str) -> Sequence[str]:
-        """Returns the holders in the order to try for a caller's statements.
+        """Returns the holders in the order in which to try them for a caller's statements.
 
-        A connection serves one caller only, so all processes go to the same holder for it.
+        All processes prefer the same holder for a caller, because a connection serves only one
+        caller.
         """
         if caller == NO_CALLER:
             return self.holders
@@ -61,12 +59,12 @@
 
 
 def share_of_connections(limit: int, processes: int) -> int:
-    """Returns the equal share of a database's limit among the processes that connect to it."""
+    """Returns the connections per process if `processes` divide a database's limit equally."""
     return usable_connections(limit) // max(processes, 1)
 
 
 def usable_connections(limit: int) -> int:
-    """Returns how many of a database's connections may be planned for."""
+    """Returns a database's connection limit minus the reserve, at least 1."""
     return max(limit - max(int(limit * RESERVED_SHARE), 1), 1)
 
 
@@ -79,7 +77,8 @@
 ) -> Holding:
     """Returns how the process `own_name` reaches a database.
 
-    distance: of a zone from the database's zone, 0 for the same.
+    limit: the database's connection limit. distance: returns the distance of a zone from the
+    database's zone, 0 for the same zone.
     """
     share = share_of_connections(limit, len(members))
     if share >= LEAST_DIRECT_SHARE:
@@ -103,7 +102,7 @@
 def rank_members(
     database_id: str, members: Mapping[str, Member], distance: Callable[[str], int]
 ) -> Sequence[str]:
-    """Returns the processes in the order in which they become holders of a database."""
+    """Returns all processes in the order of preference as holders of a database."""
 
     def order(name: str) -> tuple[int, int, str]:
         weight = xxhash.xxh3_64_intdigest(f"{database_id} {name}".encode())
--- a/src/dewledge/core/pooler/sharing/kept_session.py
+++ b/src/dewledge/core/pooler/sharing/kept_session.py
@@ -1,6 +1,6 @@
-"""What a peer's channel has set: values and prepared names, kept at the holder.
+"""Session state of a peer's channel, stored at the holder: session values, prepared statements.
 
-Owns the state of one channel's session; a connection is given it before a statement runs there.
+The state is applied to a database connection before a statement of the channel runs on it.
 """
 
 from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
@@ -14,11 +14,11 @@
         StatementKind.DISCARD,
     }
 )
-"""Statements that change what is kept and reach no database."""
+"""Kinds of statements that change only the stored session state and are not sent to a database."""
 
 
 class KeptSession:
-    """The session's state of one channel."""
+    """Stores the session state of a channel."""
 
     __slots__ = ("state",)
 
@@ -27,11 +27,11 @@
         self.state.caller = caller
 
     def keeps(self, statement: Statement) -> bool:
-        """Tells whether a statement changes only what is kept here."""
+        """Tells whether a statement changes only the stored session state."""
         return statement.kind in _KEPT_HERE
 
     def change(self, statement: Statement) -> None:
-        """Takes a statement that is kept here."""
+        """Applies a statement for which `keeps` is true to the stored state."""
         state = self.state
         if statement.kind is StatementKind.SET_VALUE:
             state.values[statement.name] = statement.argument
@@ -45,12 +45,12 @@
             state.prepared.clear()
 
     def lacks_name_of(self, statement: Statement) -> bool:
-        """Tells whether a statement executes a name that was never prepared."""
+        """Tells whether a statement executes a prepared statement that does not exist."""
         is_execute = statement.kind is StatementKind.EXECUTE
         return is_execute and statement.name not in self.state.prepared
 
     def writes(self, statement: Statement) -> bool:
-        """Tells whether a statement writes, be it by what its name stands for."""
+        """Tells whether a statement writes, directly or by executing a prepared write."""
         if statement.kind is StatementKind.WRITE:
             return True
         shape = self.state.prepared.get(statement.name)
--- a/src/dewledge/core/pooler/sharing/members.py
+++ b/src/dewledge/core/pooler/sharing/members.py
@@ -1,13 +1,14 @@
-"""A process that serves, as the others know it from its row in the store."""
+"""The row in the store with which a serving process announces itself to other processes."""
 
 import msgspec
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Where a process takes peers' datagrams and links ("ip:port"), and its zone.
+    """The peer address of a process and its zone.
 
-    start: differs at each start of the process, so that it writes its row anew; empty where a row
-    need not show a new start and is kept from one start to the next.
+    peer_address: where it accepts datagrams and links of peers ("ip:port"). start: identifies the
+    current start of the process, so that a restart rewrites the row; empty if restarts should leave
+    the row unchanged.
     """
 
     peer_address: str
--- a/src/dewledge/core/pooler/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -1,7 +1,8 @@
-"""What two processes say to each other on a link. Typed; cbor2 arrays on the wire.
+"""The messages that two processes exchange on a link, encoded as CBOR arrays.
 
-A link is dialled by the process that needs something. It carries channels, each of which stands for
-one connection to a database that the other process holds, and questions for the store's tables.
+A link is opened by the process that needs a service of the other. It carries channels, each of
+which acts as a connection to a database that the other process is connected to, and requests for
+changes of the store's tables.
 """
 
 import math
@@ -22,36 +23,37 @@
 from dewledge.errors import ErrorCode, ProtocolError
 
 WAIT_SHARE = 0.85
-"""Ratio; of the time left for a statement to get a slot; the rest is for the way to the holder and
-back, 30 ms of the 200 that are usual: a round trip between regions."""
+"""Ratio of a statement's remaining wait time that the holder may use. The rest covers the round
+trip to the holder: 30 ms of a usual 200 ms, a round trip between regions."""
 
 
 class LinkMessage(msgspec.Struct, frozen=True, array_like=True):
-    """The root of all messages."""
+    """Base class of all messages."""
 
 
 class LinkOpened(LinkMessage, frozen=True, tag="hello"):
-    """The first message of the process that dialled."""
+    """Opens the link; the first message of the process that connected."""
 
     name: str
 
 
 class Ping(LinkMessage, frozen=True, tag="ping"):
-    """Asks for a sign of life."""
+    """Checks that the other process responds."""
 
 
 class Pong(LinkMessage, frozen=True, tag="pong"):
-    """The sign of life."""
+    """The answer to a ping."""
 
 
 class Leaving(LinkMessage, frozen=True, tag="leaving"):
-    """The process that was dialled ends soon: nothing new should begin on this link."""
+    """Announces that the sender stops soon, so that no new work should start on this link."""
 
 
 class ChannelOpened(LinkMessage, frozen=True, tag="open"):
-    """A channel to a database. Its number is assigned by the process that dialled.
+    """Opens a channel to a database.
 
-    caller: whose statements it carries, empty where callers need no credential.
+    channel: its number, assigned by the process that opened the link. caller: the caller whose
+    statements it carries, empty if callers need no credential.
     """
 
     channel: int
@@ -60,11 +62,12 @@
 
 
 class ChannelStatement(LinkMessage, frozen=True, tag="ask"):
-    """A statement on a channel; answers come in order. Fields as in Statement.
+    """A statement on a channel; answers are sent in the same order. Other fields as in Statement.
 
-    wait_seconds: it is to be refused without a slot within this; None for the holder's own limit.
-    in_time_seconds: with a slot within this it is answered within its latency target; None where
-    that is not told. waited_seconds: since its operation first came, refusals included.
+    wait_seconds: the holder refuses the statement if it gets no slot within this time; None for the
+    holder's default limit. in_time_seconds: a statement that gets a slot within this time meets its
+    latency target; None if unknown. waited_seconds: time since its operation first arrived,
+    including earlier refusals.
     """
 
     channel: int
@@ -82,21 +85,22 @@
 
     @property
     def statement(self) -> Statement:
-        """The statement itself."""
+        """The statement without the fields of the channel."""
         return Statement(self.id, self.kind, self.text, self.name, self.argument, self.writes)
 
 
 class ProvenAge(msgspec.Struct, frozen=True, array_like=True):
-    """Every commit acknowledged `age_seconds` before the message was sent is within `position`."""
+    """States that `position` covers every commit acknowledged `age_seconds` before sending."""
 
     position: LogPosition
     age_seconds: float
 
 
 class ChannelReply(LinkMessage, frozen=True, tag="reply"):
-    """The answer to the oldest statement on the channel that has none.
+    """The answer to the oldest unanswered statement on the channel.
 
-    come_back_ms: of a refusal, when there will be room. load: before the channel's database.
+    come_back_ms: milliseconds after which a refused statement may be retried. load: the load of the
+    channel's database, None if unchanged or not reported.
     """
 
     channel: int
@@ -112,35 +116,36 @@
 
     @property
     def reply(self) -> Reply:
-        """The answer as the database's connection would give it."""
+        """The answer in the form that a database connection returns."""
         failure = None if self.code is None else Failure(self.code, self.message, self.come_back_ms)
         return Reply(self.state, self.rows, self.signature, failure, self.position)
 
 
 class ChannelEnded(LinkMessage, frozen=True, tag="end"):
-    """The connection behind a channel is lost; what was not answered is in doubt."""
+    """Reports a lost connection; the outcome of unanswered statements is unknown."""
 
     channel: int
 
 
 class ChannelClosed(LinkMessage, frozen=True, tag="close"):
-    """The process that dialled gives a channel up; what is open there is rolled back."""
+    """Closes a channel from the side that opened it; an open transaction is rolled back."""
 
     channel: int
 
 
 class TablePosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far a follower is in one table."""
+    """The version of a table that a follower has."""
 
     table: str
     version: int
 
 
 class FollowTables(LinkMessage, frozen=True, tag="follow"):
-    """Asks for what has changed; answered when something has, or after a moment.
+    """Requests changes of tables; answered when there are changes, or after a short time.
 
-    takes_large: large changes are to be sent too; else they are only told of, and the asker reads
-    them from the store, whose link is the wider one. compares_keys: see TableDelta.keys_digest.
+    number: identifies the request. takes_large: whether large changes are sent too; otherwise they
+    are only announced and the follower reads them from the store, which has a faster link.
+    compares_keys: see TableDelta.keys_digest.
     """
 
     number: int
@@ -150,11 +155,11 @@
 
 
 class TableNews(msgspec.Struct, frozen=True, array_like=True):
-    """One table's part of an answer.
+    """The changes of a single table in an answer.
 
-    age_seconds: between the time at which the table was surely the store's newest and the sending;
-    negative where the sender has never read it.
-    is_withheld: there are changes, too large to be sent.
+    age_seconds: age, at sending, of the sender's last confirmation that its table was up to date;
+    negative if it has never read the table. is_withheld: whether there are changes that are too
+    large to be sent.
     """
 
     table: str
@@ -164,10 +169,10 @@
 
 
 class TablesAnswered(LinkMessage, frozen=True, tag="tables"):
-    """The answer to FollowTables of the same number.
+    """The answer to the FollowTables request with the same number.
 
-    held_seconds: for which the sender kept the question; the answer is true that much later than
-    the question was asked.
+    held_seconds: how long the sender delayed the answer; the answer reflects the tables that much
+    later than the request.
     """
 
     number: int
@@ -191,9 +196,9 @@
 
 
 def wait_at_holder(wait_until: float, now: float) -> float | None:
-    """Returns for how long, in seconds, a holder may have a statement wait; None for its own limit.
+    """Returns how many seconds a holder may let a statement wait; None for the holder's default.
 
-    wait_until: when the statement is to be refused here (steady clock, seconds).
+    wait_until: when this process refuses the statement (steady clock, seconds); infinite for none.
     """
     if math.isinf(wait_until):
         return None
@@ -201,7 +206,7 @@
 
 
 def waited_already(arrived: float, now: float) -> float:
-    """Returns the seconds since an operation first came, 0 where that is not known."""
+    """Returns the seconds since an operation first arrived; 0 if `arrived` is infinite."""
     return 0.0 if math.isinf(arrived) else round(max(now - arrived, 0.0), 3)
 
 
@@ -214,7 +219,7 @@
     in_time_seconds: float | None = None,
     waited_seconds: float = 0.0,
 ) -> ChannelStatement:
-    """Returns the message of a statement."""
+    """Returns the message that carries a statement."""
     return ChannelStatement(
         channel,
         statement.id,
@@ -237,7 +242,7 @@
     proof: ProvenAge | None = None,
     load: LoadReport | None = None,
 ) -> ChannelReply:
-    """Returns the message of an answer."""
+    """Returns the message that carries an answer."""
     failure = reply.failure
     return ChannelReply(
         channel,
@@ -254,16 +259,16 @@
 
 
 def encode(message: PeerLinkMessage) -> bytes:
-    """Returns a message as cbor2."""
+    """Returns a message encoded as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode(data: bytes) -> PeerLinkMessage:
-    """Returns the message of a frame. Raises ProtocolError."""
+    """Returns the message decoded from a frame. Raises ProtocolError."""
     try:
         message: PeerLinkMessage = msgspec.convert(
             cbor2.loads(data), type=PeerLinkMessage, builtin_types=(bytes,)
         )
     except (cbor2.CBORError, ValueError, TypeError, OverflowError, RecursionError) as error:
-        raise ProtocolError(f"not a message of a link: {error}") from error
+        raise ProtocolError(f"invalid link message: {error}") from error
     return message
--- a/src/dewledge/core/pooler/sharing/packing.py
+++ b/src/dewledge/core/pooler/sharing/packing.py
@@ -1,6 +1,6 @@
-"""Values of rows on links: large ones compressed, since the links of small machines are narrow.
+"""Encodes the values of table rows for links; large ones are compressed to save bandwidth.
 
-Owns the encoding: a byte that tells the kind, then the value.
+An encoded value consists of one byte for the encoding, followed by the plain or compressed value.
 """
 
 import zlib
@@ -8,32 +8,32 @@
 from dewledge.errors import ProtocolError
 
 LEAST_COMPRESSED_BYTES = 1024
-"""Of a value; smaller ones go as they are."""
+"""Size from which values are compressed."""
 MAX_VALUE_BYTES = 8 * 1024 * 1024
-"""Of a value that was compressed; a longer one is refused."""
+"""Size limit of a decompressed value; a larger one is rejected."""
 _PLAIN = b"\x00"
 _COMPRESSED = b"\x01"
 
 
 def pack_value(value: bytes) -> bytes:
-    """Returns a value as it goes over a link."""
+    """Returns a value encoded for a link, compressed if it is large."""
     if len(value) < LEAST_COMPRESSED_BYTES:
         return _PLAIN + value
     return _COMPRESSED + zlib.compress(value)
 
 
 def unpack_value(data: bytes) -> bytes:
-    """Returns the value that was packed. Raises ProtocolError."""
+    """Returns the value encoded by `pack_value`. Raises ProtocolError."""
     kind, body = data[:1], data[1:]
     if kind == _PLAIN:
         return body
     if kind != _COMPRESSED:
-        raise ProtocolError("a packed value of an unknown kind")
+        raise ProtocolError("packed value has an unknown encoding")
     reader = zlib.decompressobj()
     try:
         value = reader.decompress(body, MAX_VALUE_BYTES)
     except zlib.error as error:
-        raise ProtocolError(f"a packed value that cannot be read: {error}") from error
+        raise ProtocolError(f"packed value cannot be decompressed: {error}") from error
     if not reader.eof:
-        raise ProtocolError("a packed value that is cut off or too long")
+        raise ProtocolError("packed value is truncated or too long")
     return value
--- a/src/dewledge/core/pooler/sharing/primary_proof.py
+++ b/src/dewledge/core/pooler/sharing/primary_proof.py
@@ -1,22 +1,21 @@
-"""Which answers on one connection prove that the database leads.
+"""Decides which successful answers on a connection prove that the database is the primary.
 
-Inputs: the statements that succeeded on the connection, in order. Decision: whether the answer
-came from a primary. Reason: only a primary opens a plain transaction, and a database that has lost
-the lead refuses each statement in one, but for a commit that wrote nothing.
+Only a primary opens a plain (not read-only) transaction and executes writes, and a database that is
+no longer primary refuses every statement in a plain transaction except a commit without writes.
 """
 
 from dewledge.core.pooler.statements.statements import StatementKind
 
 
 class PrimaryProof:
-    """Follows the successful statements of one connection."""
+    """Tracks the transaction state of a connection from its successful statements."""
 
     def __init__(self) -> None:
         self._is_plain = False
         self._wrote = False
 
     def proves(self, kind: StatementKind, writes: bool) -> bool:
-        """Takes a statement that succeeded; tells whether its answer came from a primary."""
+        """Records a successful statement; returns whether its success proves the primary role."""
         if kind is StatementKind.BEGIN:
             self._is_plain, self._wrote = True, False
             return True
--- a/src/dewledge/core/pooler/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -1,8 +1,9 @@
-"""Which processes read the store's tables themselves, and whom the others follow. Pure functions.
+"""Decides which processes read the store's tables, and from whom the others get the changes.
 
-A few read; the others ask one of those, or one that asks one of those: a tree over the members in
-an order that each process works out for itself. A follower whose source is behind tries another,
-and at last reads by itself, so a wrong view of the members costs calls and not correctness.
+A few processes, the readers, read the store. The others follow a reader, directly or through other
+followers; the tree is computed by each process from the list of members. A follower whose source
+lags behind tries another one and finally reads the store itself, so a wrong member list costs extra
+calls but never correctness. The functions are pure.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -13,17 +14,17 @@
 from dewledge.core.pooler.sharing.members import Member
 
 MOST_READING_ALL = 3
-"""Processes; where there are no more, each reads the store itself."""
+"""Processes up to which every process reads the store itself."""
 READERS = 2
-"""Processes that read where not all do: one of each of two regions, or two of the only region, so
-that one may be lost."""
+"""Processes that read the store if not all do: one in each of two regions, or two in the only
+region, so that the loss of one is tolerated."""
 FOLLOWERS_PER_PROCESS = 8
-"""Followers; few, since a process sends each change once to every follower, over the link of a
-small machine."""
+"""Followers per process. A process sends each change to each of its followers, so more would
+overload the network link of a small machine."""
 
 
 class ReadingPlan(msgspec.Struct, frozen=True):
-    """Whether this process reads the store, and whom it follows, first choice first."""
+    """Whether a process reads the store, else the processes to follow in order of preference."""
 
     is_reader: bool
     sources: tuple[str, ...] = ()
@@ -32,9 +33,9 @@
 def reading_plan(
     own_name: str, members: Mapping[str, Member], region_of: Callable[[str], str]
 ) -> ReadingPlan:
-    """Returns what the process `own_name` does among `members`, itself one of them.
+    """Returns the plan of the process `own_name`, which must be one of `members`.
 
-    region_of: of a zone.
+    region_of: returns the region of a zone.
     """
     if len(members) <= MOST_READING_ALL:
         return ReadingPlan(True)
@@ -60,7 +61,7 @@
 def _by_region(
     members: Mapping[str, Member], region_of: Callable[[str], str]
 ) -> Mapping[str, Sequence[str]]:
-    """Returns the names of each region in the order in which they become readers."""
+    """Returns the processes of each region in the order of preference as readers."""
     regions: dict[str, list[str]] = {}
     for name in sorted(members, key=_weight):
         regions.setdefault(region_of(members[name].zone), []).append(name)
--- a/src/dewledge/core/pooler/sharing/single_timer.py
+++ b/src/dewledge/core/pooler/sharing/single_timer.py
@@ -1,4 +1,4 @@
-"""One call that is due later; a newer one takes its place."""
+"""A timer with at most one pending call."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 
 
 class SingleTimer:
-    """At most one call is due at a time."""
+    """Schedules one call at a time; starting a new one cancels the pending one."""
 
     __slots__ = ("_call", "_scheduler")
 
@@ -15,12 +15,12 @@
         self._call: ScheduledCall | None = None
 
     def start(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` after `seconds`, and not what was due before."""
+        """Calls `callback` after `seconds` instead of the pending call, if any."""
         self.clear()
         self._call = self._scheduler.call_later(seconds, callback)
 
     def clear(self) -> None:
-        """Nothing is due any more."""
+        """Cancels the pending call, if any."""
         if self._call is not None:
             self._call.cancel()
             self._call = None
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -1,10 +1,9 @@
-"""Decides whether a holder sends a peer's statement once more that found no slot at the database.
+"""Decides whether a holder resends a peer's statement that the database refused as overloaded.
 
-Inputs: the database's answer; until when the statement may be sent (steady clock, seconds, from the
-time that the peer gave it); when it was first sent; when the database last ran anything of this
-process. Decision: send again after a pause, or pass the refusal on with a time to return. Reason:
-the statement keeps its connection while it is sent again, so later statements queue behind it;
-a database that has run nothing for EXHAUSTED_SECONDS is not worth the rest of the statement's time.
+The statement is resent after a pause until its time limit, which the peer has set, or until the
+database has run nothing of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a
+time at which to retry. A statement that is resent keeps its connection, so later statements queue
+behind it.
 """
 
 import math
@@ -19,12 +18,11 @@
 from dewledge.errors import ErrorCode
 
 SLOT_PAUSE_SECONDS = 0.01
-"""Mean pause before a statement that found no slot is sent once more, drawn anew each time: 5 to 15
-ms."""
+"""Mean pause before a statement is resent; the actual pause varies randomly from 5 to 15 ms."""
 
 
 class SlotRetry:
-    """The tries of a channel's current statement at one database."""
+    """Tracks the attempts to run a channel's current statement."""
 
     __slots__ = ("_first_sent_at", "_refuse_at", "_services")
 
@@ -32,26 +30,25 @@
         self._services = services
         self._first_sent_at = 0.0
         self._refuse_at = 0.0
-        """Until then a statement may be sent again that found no slot."""
+        """When resending stops (steady clock, seconds)."""
 
     def allow(self, seconds: float) -> None:
-        """Sets until when a statement that came now may be sent."""
+        """Starts the time limit of a newly arrived statement."""
         self._refuse_at = self._services.scheduler.now() + seconds
 
     def first_sent(self, at: float) -> None:
-        """The statement was sent for the first time."""
+        """Records when the statement was first sent."""
         self._first_sent_at = at
 
     @property
     def held_seconds(self) -> float:
-        """How long ago the statement was first sent."""
+        """The seconds since the statement was first sent."""
         return self._services.scheduler.now() - self._first_sent_at
 
     def is_due(self, reply: Reply, present: TransactionState, pool: ConnectionPool) -> bool:
-        """Tells whether the database refused because it had no slot, and is to be asked once more.
+        """Tells whether the database refused for lack of a slot and the statement is to be resent.
 
-        `present`: the channel's state. A statement in a transaction has cost work already, which a
-        refusal would throw away.
+        present: the transaction state of the channel before the answer.
         """
         if not is_full(reply):
             return False
@@ -60,20 +57,20 @@
         return reply.state is present and now < self._refuse_at and not is_exhausted
 
     def pause(self) -> float:
-        """Returns the seconds until the next try."""
+        """Returns the seconds to wait before the next attempt."""
         return SLOT_PAUSE_SECONDS * random.uniform(0.5, 1.5)
 
     def _is_exhausted(self, now: float, present: TransactionState, pool: ConnectionPool) -> bool:
-        """Tells whether the database has run nothing of this process for as long as one may try.
+        """Tells whether the database has run nothing of this process for EXHAUSTED_SECONDS.
 
-        A statement in a transaction goes on to its end.
+        False in a transaction, whose completed work a refusal would waste.
         """
         if present is TransactionState.OPEN or not self._services.load_policy.useful_waits:
             return False
         return now - max(self._first_sent_at, pool.served_at) >= EXHAUSTED_SECONDS
 
     def with_return(self, reply: Reply, pool: ConnectionPool) -> Reply:
-        """Adds a time to return to the refusal of a statement that got no slot in its time."""
+        """Adds a retry time to the refusal of a statement that got no slot in time."""
         if not self._services.load_policy.useful_waits:
             return reply
         come_back_ms = math.ceil(pool.promise_return() * MILLISECONDS)
@@ -82,5 +79,5 @@
 
 
 def is_full(reply: Reply) -> bool:
-    """Tells whether a database refused because it had no slot."""
+    """Tells whether a database refused a statement for lack of a free slot."""
     return reply.failure is not None and reply.failure.code is ErrorCode.OVERLOADED
--- a/src/dewledge/core/pooler/sharing/table_cache.py
+++ b/src/dewledge/core/pooler/sharing/table_cache.py
@@ -1,6 +1,7 @@
-"""One table of the store as this process knows it: kept so that others may follow it from here.
+"""A cached copy of a table of the store, from which other processes can follow its changes.
 
-Owns the rows and the version. Decides which rows a follower at a version lacks.
+Holds the rows at a version and recently removed rows, and computes the changes that a follower at
+an older version lacks.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,14 +12,16 @@
 from dewledge.core.pooler.coordination_store import StoreRow
 
 MAX_REMOVED = 2000
-"""Rows that were removed and are remembered; a follower further behind gets the whole table."""
+"""Rows remembered as removed; a follower that is further behind gets the whole table."""
 
 
 class TableDelta(msgspec.Struct, frozen=True, array_like=True):
-    """What has changed after a version. is_whole: all rows, and no others are there any more.
+    """The rows of a table that changed after a version.
 
-    keys_digest: of all keys that are there, where the sender does not know which rows have gone:
-    a receiver that has other keys after these changes lacks a removal, and needs the whole table.
+    version: the version that the receiver has afterwards. is_whole: whether `rows` is the complete
+    table. keys_digest: digest of all existing keys, sent if the sender does not have all removals;
+    a receiver whose keys differ after applying the changes has missed a removal and needs the whole
+    table.
     """
 
     rows: tuple[StoreRow, ...]
@@ -28,24 +31,24 @@
 
 
 class TableCache:
-    """The rows of a table at one version, and the removed ones of a while."""
+    """Caches the rows of a table at one version and its recently removed rows."""
 
     def __init__(self) -> None:
         self.version = -1
-        """Of the store; -1 before anything is known."""
+        """The store's version of the cached rows; -1 before the table was read."""
         self._rows: dict[str, StoreRow] = {}
         self._removed: dict[str, StoreRow] = {}
         self._complete_after = 0
-        """Removals after this version are all remembered."""
+        """The version after which all removals are remembered."""
         self._keys_digest = 0
 
     @property
     def is_known(self) -> bool:
-        """Whether the table was ever read."""
+        """Whether the table was read at least once."""
         return self.version >= 0
 
     def replace(self, rows: Sequence[StoreRow], version: int) -> None:
-        """Takes the whole table at a version."""
+        """Replaces the cached table with all rows at a version."""
         self._rows = {row.key: row for row in rows}
         self._removed = {}
         self._complete_after = version
@@ -53,7 +56,7 @@
         self.version = version
 
     def update(self, rows: Sequence[StoreRow], version: int) -> None:
-        """Takes the rows that changed up to a version, in order."""
+        """Applies the rows that changed up to a version, in order of their versions."""
         for row in rows:
             known = self._rows.get(row.key) or self._removed.get(row.key)
             if known is not None and known.version >= row.version:
@@ -70,7 +73,7 @@
         self.version = max(self.version, version)
 
     def agrees_with(self, delta: TableDelta) -> bool:
-        """Tells whether the changes lead from what is known here to all that the sender knows."""
+        """Tells whether applying the changes results in the sender's set of keys."""
         if delta.keys_digest is None:
             return True
         digest = self._keys_digest
@@ -80,10 +83,10 @@
         return digest == delta.keys_digest
 
     def delta(self, after: int, compares_keys: bool = False) -> TableDelta:
-        """Returns what a follower at version `after` lacks.
+        """Returns the changes that a follower at version `after` lacks.
 
-        compares_keys: it takes changes without removals and compares keys, in place of the whole
-        table, which a source that has just started would otherwise send to each follower.
+        compares_keys: whether the follower accepts changes without removals plus a digest of keys.
+        This avoids sending the whole table to every follower after this process has restarted.
         """
         changed = [row for row in self._rows.values() if row.version > after]
         if after < self._complete_after:
@@ -103,7 +106,7 @@
 
 
 def _digest(keys: Iterable[str]) -> int:
-    """Returns a digest that does not hang on the order, so that one key changes it cheaply."""
+    """Returns a digest that is independent of the order, so that it can be updated per key."""
     digest = 0
     for key in keys:
         digest ^= _key_digest(key)
