--- a/src/dewledge/core/pooler/sharing/channel_proofs.py
+++ b/src/dewledge/core/pooler/sharing/channel_proofs.py
@@ -23,7 +23,7 @@
         self._now = now
         self._primary_proof = PrimaryProof()
 
-    def learn(
+    def update(
         self,
         connection: DatabaseConnection,
         reply: Reply,
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -17,11 +17,11 @@
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.channel_proofs import ChannelProofs
+from dewledge.core.pooler.sharing.channel_state import ChannelState
 from dewledge.core.pooler.sharing.channel_wait import ChannelWait
-from dewledge.core.pooler.sharing.kept_session import KeptSession
 from dewledge.core.pooler.sharing.messages import ChannelStatement, ProvenAge
 from dewledge.core.pooler.sharing.single_timer import SingleTimer
-from dewledge.core.pooler.sharing.slot_retry import SlotRetry, is_full
+from dewledge.core.pooler.sharing.slot_retry import SlotRetry, is_overloaded
 from dewledge.core.pooler.statements.connection_setup import plan_setup, send_setup
 from dewledge.core.pooler.statements.statements import (
     Failure,
@@ -32,9 +32,9 @@
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
-SETUP_LIMIT_SECONDS = 0.3
+SETUP_TIMEOUT_SECONDS = 0.3
 """Timeout of the setup of a connection; shorter than the peer's own setup timeout (0.4 s)."""
-MAX_PIPELINED = 300
+MAX_QUEUED_STATEMENTS = 300
 """Statements of a peer queued on a channel. A statement with its setup needs at most 256 values
 (MAX_VALUES), a discard and a prepared statement."""
 
@@ -67,15 +67,15 @@
         self._database_id = database_id
         self._pool: ConnectionPool = group.peer_pool(database_id)
         self._transport = transport
-        self._kept = KeptSession(name, caller)
+        self._state = ChannelState(name, caller)
         self._queue: deque[ChannelStatement] = deque()
         self._current: ChannelStatement | None = None
         self._connection: DatabaseConnection | None = None
-        self._wait = ChannelWait(services, group, database_id, self._given, self._refuse)
+        self._wait = ChannelWait(services, group, database_id, self._on_connection, self._refuse)
         self._timer = SingleTimer(services.scheduler)
-        self._slots = SlotRetry(services)
+        self._slot_retry = SlotRetry(services)
         self._proofs = ChannelProofs(group, services.scheduler.now)
-        self._is_open = False
+        self._in_transaction = False
         self._sent_at = 0.0
         self._ended = False
 
@@ -88,7 +88,7 @@
         """Queues the next statement of the peer; ends the channel if too many are queued."""
         if self._ended:
             return
-        if len(self._queue) >= MAX_PIPELINED:
+        if len(self._queue) >= MAX_QUEUED_STATEMENTS:
             self._end_channel()
             return
         self._queue.append(message)
@@ -120,15 +120,15 @@
 
     def _serve(self, message: ChannelStatement) -> None:
         statement = message.statement
-        if self._kept.keeps(statement):
-            self._kept.change(statement)
+        if self._state.handles(statement):
+            self._state.apply(statement)
             self._transport.send_reply(Reply(self._transaction_state), self._proofs.newest())
             return
-        if self._kept.lacks_name_of(statement):
+        if self._state.is_unknown(statement):
             self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "unknown prepared statement"))
             return
         self._current = message
-        self._slots.allow(self._wait.longest(message))
+        self._slot_retry.start(self._wait.max_wait_seconds(message))
         if self._connection is not None:
             self._prepare(self._connection)
         else:
@@ -143,9 +143,9 @@
             )
             return
         self._pool = self._group.peer_pool(self._database_id)
-        self._wait.begin(self._pool, message, self._kept.state)
+        self._wait.begin(self._pool, message, self._state.state)
 
-    def _given(self, connection: DatabaseConnection) -> None:
+    def _on_connection(self, connection: DatabaseConnection) -> None:
         self._connection = connection
         self._prepare(connection)
 
@@ -154,14 +154,14 @@
     def _prepare(self, connection: DatabaseConnection) -> None:
         message = self._current
         assert message is not None
-        steps = plan_setup(self._kept.state, connection, message.statement, self._is_open)
+        steps = plan_setup(self._state.state, connection, message.statement, self._in_transaction)
         if not steps:
             self._send(connection, message.statement, message.floor)
             return
-        self._timer.start(SETUP_LIMIT_SECONDS, self._setup_silent)
-        send_setup(connection, steps, None, None, self._set_up)
+        self._timer.start(SETUP_TIMEOUT_SECONDS, self._on_setup_timeout)
+        send_setup(connection, steps, None, None, self._on_setup_done)
 
-    def _set_up(self, verdict: Reply | None | bool) -> None:
+    def _on_setup_done(self, verdict: Reply | None | bool) -> None:
         connection, message = self._connection, self._current
         if self._ended or connection is None or message is None:
             return
@@ -169,16 +169,16 @@
         if verdict is True:
             self._send(connection, message.statement, message.floor)
         else:
-            self._lose_before_sending(connection)
+            self._fail_before_sending(connection)
 
-    def _setup_silent(self) -> None:
+    def _on_setup_timeout(self) -> None:
         if self._connection is not None:
             self._services.suspect(self._group.view.name, self._database_id)
-            self._lose_before_sending(self._connection)
+            self._fail_before_sending(self._connection)
 
-    def _lose_before_sending(self, connection: DatabaseConnection) -> None:
-        self._drop(connection)
-        if self._is_open:
+    def _fail_before_sending(self, connection: DatabaseConnection) -> None:
+        self._discard(connection)
+        if self._in_transaction:
             self._end_channel()
         else:
             self._refuse(Failure(ErrorCode.DATABASE_UNREACHABLE, "connection lost before sending"))
@@ -188,54 +188,54 @@
         connection: DatabaseConnection,
         statement: Statement,
         floor: LogPosition | None,
-        is_again: bool = False,
+        is_resend: bool = False,
     ) -> None:
         self._sent_at = self._services.scheduler.now()
-        if not is_again:
-            self._slots.first_sent(self._sent_at)
-        connection.send(statement, self._answered, floor)
+        if not is_resend:
+            self._slot_retry.record_first_sent(self._sent_at)
+        connection.send(statement, self._on_reply, floor)
 
-    def _answered(self, reply: Reply | None) -> None:
+    def _on_reply(self, reply: Reply | None) -> None:
         connection = self._connection
         if self._ended or connection is None:
             return
         if reply is None:
-            self._drop(connection)
+            self._discard(connection)
             self._end_channel()
             return
         if self._current is not None:
             kind = self._current.statement.kind
-            self._pool.note_answer(kind, reply, self._slots.held_seconds, connection)
-        if self._slots.is_due(reply, self._transaction_state, self._pool):
-            self._timer.start(self._slots.pause(), lambda: self._send_again(connection))
+            self._pool.note_answer(kind, reply, self._slot_retry.elapsed_seconds, connection)
+        if self._slot_retry.should_resend(reply, self._transaction_state, self._pool):
+            self._timer.start(self._slot_retry.pause_seconds(), lambda: self._resend(connection))
             return
-        if not self._is_open and is_full(reply):
-            reply = self._slots.with_return(reply, self._pool)
-        self._learn(connection, reply)
+        if not self._in_transaction and is_overloaded(reply):
+            reply = self._slot_retry.with_retry_time(reply, self._pool)
+        self._update_proofs(connection, reply)
         self._finish(connection, reply)
 
     def _finish(self, connection: DatabaseConnection, reply: Reply) -> None:
-        self._is_open = reply.state is not TransactionState.IDLE
-        if not self._is_open:
+        self._in_transaction = reply.state is not TransactionState.IDLE
+        if not self._in_transaction:
             self._connection = None
             self._pool.release(connection)
         self._answer(reply)
 
-    def _send_again(self, connection: DatabaseConnection) -> None:
+    def _resend(self, connection: DatabaseConnection) -> None:
         message = self._current
         if not self._ended and message is not None and connection is self._connection:
-            self._send(connection, message.statement, message.floor, is_again=True)
+            self._send(connection, message.statement, message.floor, is_resend=True)
 
-    def _learn(self, connection: DatabaseConnection, reply: Reply) -> None:
+    def _update_proofs(self, connection: DatabaseConnection, reply: Reply) -> None:
         statement = None if self._current is None else self._current.statement
-        writes = statement is not None and self._kept.writes(statement)
-        self._proofs.learn(connection, reply, statement, writes, self._sent_at)
+        writes = statement is not None and self._state.writes(statement)
+        self._proofs.update(connection, reply, statement, writes, self._sent_at)
 
     # Ending.
 
     @property
     def _transaction_state(self) -> TransactionState:
-        return TransactionState.OPEN if self._is_open else TransactionState.IDLE
+        return TransactionState.OPEN if self._in_transaction else TransactionState.IDLE
 
     def _refuse(self, failure: Failure) -> None:
         self._answer(Reply(self._transaction_state, failure=failure))
@@ -245,7 +245,7 @@
         self._transport.send_reply(reply, self._proofs.newest())
         self._serve_queue()
 
-    def _drop(self, connection: DatabaseConnection) -> None:
+    def _discard(self, connection: DatabaseConnection) -> None:
         self._connection = None
         connection.close()
         self._pool.release(connection)
--- a/src/dewledge/core/pooler/sharing/kept_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_state.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
-_KEPT_HERE = frozenset(
+_STATE_KINDS = frozenset(
     {
         StatementKind.SET_VALUE,
         StatementKind.PREPARE,
@@ -17,7 +17,7 @@
 """Kinds of statements that change only the stored session state and are not sent to a database."""
 
 
-class KeptSession:
+class ChannelState:
     """Stores the session state of a channel."""
 
     __slots__ = ("state",)
@@ -26,12 +26,12 @@
         self.state = SessionState(name, "")
         self.state.caller = caller
 
-    def keeps(self, statement: Statement) -> bool:
+    def handles(self, statement: Statement) -> bool:
         """Tells whether a statement changes only the stored session state."""
-        return statement.kind in _KEPT_HERE
+        return statement.kind in _STATE_KINDS
 
-    def change(self, statement: Statement) -> None:
-        """Applies a statement for which `keeps` is true to the stored state."""
+    def apply(self, statement: Statement) -> None:
+        """Applies a statement for which `handles` is true to the stored state."""
         state = self.state
         if statement.kind is StatementKind.SET_VALUE:
             state.values[statement.name] = statement.argument
@@ -44,7 +44,7 @@
             state.values.clear()
             state.prepared.clear()
 
-    def lacks_name_of(self, statement: Statement) -> bool:
+    def is_unknown(self, statement: Statement) -> bool:
         """Tells whether a statement executes a prepared statement that does not exist."""
         is_execute = statement.kind is StatementKind.EXECUTE
         return is_execute and statement.name not in self.state.prepared
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -27,53 +27,55 @@
 from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
-QUEUE_LIMIT_SECONDS = 0.25
+DEFAULT_WAIT_SECONDS = 0.25
 """Limit of the wait for a connection or slot if the peer sends none, and upper bound of the peer's
 limit while useful waits are disabled: a quarter of a usual target latency of 1 s."""
 
 
 class ChannelWait:
-    """Waits for one statement of a channel at a time; `given` or `refused` ends the wait."""
+    """Queues one statement of a channel at a time; calls `on_acquired` or `on_refused` once."""
 
     def __init__(
         self,
         services: PoolServices,
         group: Group,
         database_id: str,
-        given: Callable[[DatabaseConnection], None],
-        refused: Callable[[Failure], None],
+        on_acquired: Callable[[DatabaseConnection], None],
+        on_refused: Callable[[Failure], None],
     ) -> None:
         self._services = services
         self._group = group
         self._database_id = database_id
-        self._given = given
-        self._refused = refused
+        self._on_acquired = on_acquired
+        self._on_refused = on_refused
         self._waiter: Waiter | None = None
         self._statement = ""
         self._timer = SingleTimer(services.scheduler)
 
     @property
-    def _is_useful(self) -> bool:
+    def _uses_useful_waits(self) -> bool:
         return self._services.load_policy.useful_waits
 
-    def longest(self, message: ChannelStatement) -> float:
+    def max_wait_seconds(self, message: ChannelStatement) -> float:
         """Returns how many seconds a statement may wait for a connection or a slot."""
         if message.wait_seconds is None:
-            return QUEUE_LIMIT_SECONDS
-        if self._is_useful:
+            return DEFAULT_WAIT_SECONDS
+        if self._uses_useful_waits:
             return message.wait_seconds
-        return min(message.wait_seconds, QUEUE_LIMIT_SECONDS)
+        return min(message.wait_seconds, DEFAULT_WAIT_SECONDS)
 
     def begin(self, pool: ConnectionPool, message: ChannelStatement, state: SessionState) -> None:
         """Queues a newly arrived statement; it may be served or refused before this returns."""
         demand = _demand_of(message.statement.kind)
         deadlines = self._deadlines(message)
-        waiter = Waiter(message.priority, self._take, self._denied, demand, state.caller, deadlines)
+        waiter = Waiter(
+            message.priority, self._acquired, self._denied, demand, state.caller, deadlines
+        )
         self._waiter = waiter
         self._statement = message.id
-        self._timer.start(self.longest(message), self._waited_too_long)
+        self._timer.start(self.max_wait_seconds(message), self._on_timeout)
         pool.acquire(waiter, state.values)
-        self._judge_later(pool, waiter)
+        self._judge(pool, waiter)
 
     def end(self) -> None:
         """Withdraws the waiting statement, if any, from the queue."""
@@ -84,47 +86,47 @@
 
     def _deadlines(self, message: ChannelStatement) -> WaitDeadlines:
         now = self._services.scheduler.now()
-        if not self._is_useful:
+        if not self._uses_useful_waits:
             return WaitDeadlines(now, now)
         in_time = math.inf if message.in_time_seconds is None else now + message.in_time_seconds
-        latest = now + self.longest(message)
+        latest = now + self.max_wait_seconds(message)
         return WaitDeadlines(now - message.waited_seconds, now, in_time, latest)
 
-    def _judge_later(self, pool: ConnectionPool, waiter: Waiter) -> None:
+    def _judge(self, pool: ConnectionPool, waiter: Waiter) -> None:
         """Reevaluates a queued statement whenever the queue's verdict expires."""
-        if self._waiter is not waiter or not self._is_useful:
+        if self._waiter is not waiter or not self._uses_useful_waits:
             return
         verdict = pool.judge(waiter)
         if isinstance(verdict, WaitUntil):
             remaining = max(verdict.at - self._services.scheduler.now(), 0.0)
-            self._timer.start(remaining, lambda: self._judge_later(pool, waiter))
+            self._timer.start(remaining, lambda: self._judge(pool, waiter))
 
-    def _take(self, connection: DatabaseConnection) -> None:
+    def _acquired(self, connection: DatabaseConnection) -> None:
         self._waiter = None
         self._timer.clear()
-        self._given(connection)
+        self._on_acquired(connection)
 
     def _denied(self, denial: Denial) -> None:
         waiter, self._waiter = self._waiter, None
         self._timer.clear()
         if denial is Denial.UNREACHABLE:
             self._services.suspect(self._group.view.name, self._database_id)
-            self._refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "database unreachable"))
+            self._on_refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "database unreachable"))
         elif waiter is not None and waiter.refusal is not None:
-            self._refuse_for_room(waiter, waiter.refusal)
+            self._refuse_overloaded(waiter, waiter.refusal)
         else:
-            self._refused(Failure(ErrorCode.OVERLOADED, f"connection denied: {denial}"))
+            self._on_refused(Failure(ErrorCode.OVERLOADED, f"connection denied: {denial}"))
 
-    def _refuse_for_room(self, waiter: Waiter, refusal: Refuse) -> None:
+    def _refuse_overloaded(self, waiter: Waiter, refusal: Refuse) -> None:
         group, now = self._group.view.name, self._services.scheduler.now()
         self._services.record(wait_refused(group, self._database_id, self._statement, waiter, now))
-        come_back_ms = math.ceil(refusal.come_back_seconds * MILLISECONDS)
-        self._refused(Failure(ErrorCode.OVERLOADED, refusal.cause, come_back_ms))
+        retry_after_ms = math.ceil(refusal.come_back_seconds * MILLISECONDS)
+        self._on_refused(Failure(ErrorCode.OVERLOADED, refusal.cause, retry_after_ms))
 
-    def _waited_too_long(self) -> None:
+    def _on_timeout(self) -> None:
         if self._waiter is not None:
             self.end()
-            self._refused(Failure(ErrorCode.OVERLOADED, "no connection available in time"))
+            self._on_refused(Failure(ErrorCode.OVERLOADED, "no connection available in time"))
 
 
 def _demand_of(kind: StatementKind) -> Demand:
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -15,7 +15,7 @@
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 from dewledge.core.pooler.sharing.members import Member
 
-RESERVED_SHARE = 0.1
+RESERVED_RATIO = 0.1
 """Ratio of a database's connection limit that is reserved for processes that have just started."""
 LEAST_DIRECT_SHARE = 3
 """Connections per process below which only holders connect to the database."""
@@ -25,7 +25,7 @@
 """Holders of a database, so that at least one remains if another is lost."""
 FALLBACK_CONNECTIONS = 2
 """Connections that a process which can't reach any holder may open itself."""
-RESERVE_HOLDERS = 3
+SUBSTITUTE_HOLDERS = 3
 """Processes that are tried in turn when no holder can be reached."""
 
 
@@ -65,34 +65,34 @@
 
 def usable_connections(limit: int) -> int:
     """Returns a database's connection limit minus the reserve, at least 1."""
-    return max(limit - max(int(limit * RESERVED_SHARE), 1), 1)
+    return max(limit - max(int(limit * RESERVED_RATIO), 1), 1)
 
 
 def holding_of(
-    own_name: str,
+    process: str,
     database_id: str,
     limit: int,
     members: Mapping[str, Member],
     distance: Callable[[str], int],
 ) -> Holding:
-    """Returns how the process `own_name` reaches a database.
+    """Returns how a process reaches a database.
 
-    limit: the database's connection limit. distance: returns the distance of a zone from the
-    database's zone, 0 for the same zone.
+    process: the name of the process. limit: the database's connection limit. distance: returns the
+    distance of a zone from the database's zone, 0 for the same zone.
     """
-    share = share_of_connections(limit, len(members))
-    if share >= LEAST_DIRECT_SHARE:
-        return Holding(share)
+    connections = share_of_connections(limit, len(members))
+    if connections >= LEAST_DIRECT_SHARE:
+        return Holding(connections)
     ranked = rank_members(database_id, members, distance)
     count = min(
         max(usable_connections(limit) // CONNECTIONS_PER_HOLDER, LEAST_HOLDERS), len(ranked)
     )
     holders = ranked[:count]
-    if own_name in holders:
+    if process in holders:
         return Holding(max(share_of_connections(limit, count), 1))
-    start = xxhash.xxh3_64_intdigest(f"{own_name} {database_id}".encode()) % count
-    order = [*holders[start:], *holders[:start], *ranked[count : count + RESERVE_HOLDERS]]
-    return Holding(0, tuple(name for name in order if name != own_name), count)
+    start = xxhash.xxh3_64_intdigest(f"{process} {database_id}".encode()) % count
+    order = [*holders[start:], *holders[:start], *ranked[count : count + SUBSTITUTE_HOLDERS]]
+    return Holding(0, tuple(name for name in order if name != process), count)
 
 
 def _caller_weight(caller: str, name: str) -> tuple[int, str]:
--- a/src/dewledge/core/pooler/sharing/packing.py
+++ b/src/dewledge/core/pooler/sharing/packing.py
@@ -11,23 +11,23 @@
 """Size from which values are compressed."""
 MAX_VALUE_BYTES = 8 * 1024 * 1024
 """Size limit of a decompressed value; a larger one is rejected."""
-_PLAIN = b"\x00"
-_COMPRESSED = b"\x01"
+_PLAIN_MARK = b"\x00"
+_COMPRESSED_MARK = b"\x01"
 
 
 def pack_value(value: bytes) -> bytes:
     """Returns a value encoded for a link, compressed if it is large."""
     if len(value) < LEAST_COMPRESSED_BYTES:
-        return _PLAIN + value
-    return _COMPRESSED + zlib.compress(value)
+        return _PLAIN_MARK + value
+    return _COMPRESSED_MARK + zlib.compress(value)
 
 
 def unpack_value(data: bytes) -> bytes:
     """Returns the value encoded by `pack_value`. Raises ProtocolError."""
     kind, body = data[:1], data[1:]
-    if kind == _PLAIN:
+    if kind == _PLAIN_MARK:
         return body
-    if kind != _COMPRESSED:
+    if kind != _COMPRESSED_MARK:
         raise ProtocolError("packed value has an unknown encoding")
     reader = zlib.decompressobj()
     try:
--- a/src/dewledge/core/pooler/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -31,22 +31,22 @@
 
 
 def reading_plan(
-    own_name: str, members: Mapping[str, Member], region_of: Callable[[str], str]
+    process: str, members: Mapping[str, Member], region_of: Callable[[str], str]
 ) -> ReadingPlan:
-    """Returns the plan of the process `own_name`, which must be one of `members`.
+    """Returns the reading plan of a process.
 
-    region_of: returns the region of a zone.
+    process: its name, which must be in `members`. region_of: returns the region of a zone.
     """
     if len(members) <= MOST_READING_ALL:
         return ReadingPlan(True)
     regions = _by_region(members, region_of)
     readers = _readers(regions)
-    if own_name in readers:
+    if process in readers:
         return ReadingPlan(True)
-    order = regions[region_of(members[own_name].zone)]
+    order = regions[region_of(members[process].zone)]
     near = [name for name in order if name in readers]
     far = [name for name in readers if name not in near]
-    position = order.index(own_name)
+    position = order.index(process)
     parents = [order[(position - 1) // FOLLOWERS_PER_PROCESS]] if position > 0 else []
     sources = dict.fromkeys([*parents, *near, *far])
     return ReadingPlan(False, tuple(sources))
--- a/src/dewledge/core/pooler/sharing/table_cache.py
+++ b/src/dewledge/core/pooler/sharing/table_cache.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.coordination_store import StoreRow
 
-MAX_REMOVED = 2000
+MAX_REMOVED_ROWS = 2000
 """Rows remembered as removed; a follower that is further behind gets the whole table."""
 
 
@@ -58,8 +58,8 @@
     def update(self, rows: Sequence[StoreRow], version: int) -> None:
         """Applies the rows that changed up to a version, in order of their versions."""
         for row in rows:
-            known = self._rows.get(row.key) or self._removed.get(row.key)
-            if known is not None and known.version >= row.version:
+            current = self._rows.get(row.key) or self._removed.get(row.key)
+            if current is not None and current.version >= row.version:
                 continue
             if row.gone == (row.key in self._rows):
                 self._keys_digest ^= _key_digest(row.key)
@@ -69,7 +69,7 @@
             else:
                 self._removed.pop(row.key, None)
                 self._rows[row.key] = row
-        self._forget_oldest_removed()
+        self._evict_oldest_removals()
         self.version = max(self.version, version)
 
     def agrees_with(self, delta: TableDelta) -> bool:
@@ -98,8 +98,8 @@
         changed.sort(key=lambda row: row.version)
         return TableDelta(tuple(changed), self.version, False)
 
-    def _forget_oldest_removed(self) -> None:
-        while len(self._removed) > MAX_REMOVED:
+    def _evict_oldest_removals(self) -> None:
+        while len(self._removed) > MAX_REMOVED_ROWS:
             oldest = min(self._removed.values(), key=lambda row: row.version)
             del self._removed[oldest.key]
             self._complete_after = max(self._complete_after, oldest.version)
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -132,7 +132,7 @@
     def test_who_is_further_behind_than_removals_are_kept_gets_it_whole(self) -> None:
         cache = TableCache()
         cache.replace([], 0)
-        for version in range(1, table_cache.MAX_REMOVED + 3):
+        for version in range(1, table_cache.MAX_REMOVED_ROWS + 3):
             cache.update([row(f"k{version}", version, gone=True)], version)
         self.assertTrue(cache.delta(1).is_whole)
         self.assertFalse(cache.delta(3).is_whole)
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -131,14 +131,14 @@
         self.assert_breaks("foreign values", 2)
 
     def test_a_holder_that_gives_a_connection_back_too_soon_mixes_transactions(self) -> None:
-        original = ChannelSession._answered
+        original = ChannelSession._on_reply
 
         def answered(session: ChannelSession, reply: Reply | None) -> None:
             if reply is not None and reply.failure is None:
                 reply = msgspec.structs.replace(reply, state=TransactionState.IDLE)
             original(session, reply)
 
-        self.swap(ChannelSession, "_answered", answered)
+        self.swap(ChannelSession, "_on_reply", answered)
         self.assert_breaks("outside its transaction", 4)
 
     def test_with_proofs_taken_for_newer_than_they_are_reads_are_stale(self) -> None:
