--- a/tests/core/pooler/sharing/test_channel_session.py
+++ b/tests/core/pooler/sharing/test_channel_session.py
@@ -32,14 +32,14 @@
 
 
 class StatementTest(SharingCase):
-    def test_a_write_and_a_read_run_on_the_holders_connection(self) -> None:
+    def test_write_and_read_run_on_holders_connection(self) -> None:
         session = self.pooler.session()
         self.assertIsNone(session.write().failure)
         reply = session.read()
         self.assertEqual(reply.rows, ("row",))
         self.assertTrue(reply.signature.startswith("signed-"))
 
-    def test_many_sessions_share_the_holders_limit(self) -> None:
+    def test_sessions_share_connection_limit_of_holder(self) -> None:
         sessions = [self.pooler.session(Consistency.PRIMARY) for _ in range(12)]
         ids = [session.start(StatementKind.WRITE, argument="t d") for session in sessions]
         self.scheduler.advance(0.4)
@@ -47,7 +47,7 @@
         self.assertEqual([reply.failure for reply in replies], [None] * 12)
         self.assertLessEqual(self.model.databases["p"].open_connections, 2)
 
-    def test_values_and_prepared_names_follow_the_session(self) -> None:
+    def test_session_state_is_applied_to_each_connection(self) -> None:
         first, second = self.pooler.session(), self.pooler.session()
         for session, value in ((first, "1"), (second, "2"), (first, "1"), (second, "2")):
             session.ask(StatementKind.SET_VALUE, "zone", value)
@@ -57,7 +57,7 @@
             self.assertEqual(self.model.ran[-1].values, {"zone": value})
             self.assertEqual(self.model.ran[-1].prepared, f"False shape{value}")
 
-    def test_the_holder_sends_a_statement_again_that_found_no_slot(self) -> None:
+    def test_holder_resends_statement_refused_for_lack_of_slot(self) -> None:
         for busy, is_done in ((5, True), (500, False)):
             with self.subTest(busy):
                 self.setUp()
@@ -69,7 +69,7 @@
                 self.assertEqual("overloaded" in answered.way, not is_done)
                 self.assertEqual(len(self.model.commits), int(is_done))
 
-    def test_a_statement_waits_at_the_holder_while_it_has_time_and_no_longer(self) -> None:
+    def test_wait_limit_of_statement_at_holder(self) -> None:
         """By use: its time, less 0.1 s for its way, or 0.4 s where the database runs nothing else.
 
         Without use 0.25 s. In all cases 35 ms besides: a pause of 15 before the last try, the try
@@ -110,7 +110,7 @@
                 pool = self.holder.group.peer_pool("p")
                 pool.note_answer(StatementKind.READ, Reply(TransactionState.IDLE))
 
-    def test_a_burst_is_served_as_far_as_it_can_be_in_its_time(self) -> None:
+    def test_burst_is_served_within_statement_timeout(self) -> None:
         """24 writes of 50 ms on two connections end after 0.65 s, and each has 0.8 s."""
         for is_useful in (True, False):
             with self.subTest(is_useful):
@@ -126,7 +126,7 @@
                 refused = sum(reply.failure is not None for reply in replies)
                 self.assertEqual(refused == 0, is_useful)
 
-    def test_a_transaction_begins_after_a_wait_that_is_longer_than_a_setup_takes(self) -> None:
+    def test_begin_of_transaction_may_wait_longer_than_setup_timeout(self) -> None:
         """Both connections are in use for 0.45 s of the 0.8 that a statement has."""
         for is_useful in (True, False):
             with self.subTest(is_useful):
@@ -146,7 +146,7 @@
                 reply = session.write(wait=0.75)
                 self.assertEqual(reply.failure is None, is_useful)
 
-    def test_what_a_holder_refuses_is_asked_again_when_it_said_it_would_have_room(self) -> None:
+    def test_refused_statements_are_retried_at_promised_time(self) -> None:
         """Forty of 50 ms: the last are told at once, by moments of their own, and not before."""
         self.model.databases["p"].work = 0.05
         warm = [self.pooler.session(Consistency.PRIMARY) for _ in range(2)]
@@ -164,7 +164,7 @@
         replies = [s.reply(known) for s, known in zip(sessions, ids, strict=True)]
         self.assertGreaterEqual(sum(reply.failure is None for reply in replies), 20)
 
-    def test_a_statement_of_a_transaction_that_finds_no_slot_is_sent_again_by_the_holder(
+    def test_holder_resends_statement_in_transaction(
         self,
     ) -> None:
         session = self.pooler.session()
@@ -177,7 +177,7 @@
         self.assertFalse([way for way in ways if "overloaded" in way])
         self.assertEqual(len(self.model.commits), 2)
 
-    def test_a_question_of_another_process_waits_for_no_slot(self) -> None:
+    def test_status_request_of_peer_needs_no_slot(self) -> None:
         """One statement is let in and takes half a second; who leads is asked meanwhile."""
         warm = [self.pooler.session() for _ in range(2)]
         for session in warm:
@@ -200,7 +200,7 @@
         self.scheduler.advance(0.05)
         self.assertEqual([reply is None or reply.failure for reply in replies], [None])
 
-    def test_a_transaction_that_has_begun_and_rests_holds_up_nobody(self) -> None:
+    def test_idle_transaction_occupies_no_slot(self) -> None:
         """Before a full database one statement is let in; BEGIN takes that place for a moment."""
         warm = [self.pooler.session() for _ in range(2)]
         for session in warm:
@@ -221,7 +221,7 @@
         self.scheduler.advance(0.05)
         self.assertEqual([reply is None or reply.failure for reply in replies], [None])
 
-    def test_a_transaction_keeps_one_connection(self) -> None:
+    def test_transaction_keeps_its_connection(self) -> None:
         session, other = self.pooler.session(), self.pooler.session()
         session.ask(StatementKind.BEGIN)
         session.write()
@@ -232,7 +232,7 @@
         self.assertEqual(len(inside), 3)
         self.assertEqual(len(set(inside)), 1)
 
-    def test_a_read_of_the_primary_proves_the_lead_through_the_holder(self) -> None:
+    def test_primary_read_through_holder_requires_proof_of_role(self) -> None:
         session = self.pooler.session(Consistency.PRIMARY)
         self.assertIsNone(session.read().failure)
         self.assertIn(StatementKind.BEGIN, self.model.own)
@@ -242,7 +242,7 @@
 
 
 class LossTest(SharingCase):
-    def test_no_connection_in_time_is_not_run(self) -> None:
+    def test_statement_without_connection_in_time_is_not_executed(self) -> None:
         for _ in range(2):
             session = self.pooler.session()
             session.ask(StatementKind.BEGIN)
@@ -253,14 +253,14 @@
         self.scheduler.advance(2.0)
         self.assertEqual(len(self.model.ran), ran)
 
-    def test_a_database_that_the_holder_cannot_reach_is_doubted_by_both(self) -> None:
+    def test_unreachable_database_is_suspected_by_holder_and_peer(self) -> None:
         self.model.databases["p"].refuse_connections = True
         reply = self.pooler.session().write(wait=0.8)
         self.assertEqual(reply.failure.code, ErrorCode.OVERLOADED)
         self.assertIn("p", self.holder.suspected)
         self.assertIn("p", self.pooler.suspected)
 
-    def test_a_link_lost_after_sending_leaves_a_write_in_doubt(self) -> None:
+    def test_lost_link_leaves_write_with_unknown_outcome(self) -> None:
         session = self.pooler.session()
         known = session.start(StatementKind.WRITE, argument="t d")
         self.scheduler.advance(0.006)
@@ -269,7 +269,7 @@
         self.assertEqual(session.reply(known).failure.code, ErrorCode.CONNECTION_LOST)
         self.assertIsNone(session.write().failure)
 
-    def test_a_link_lost_after_sending_has_a_read_run_again(self) -> None:
+    def test_lost_link_reruns_read(self) -> None:
         session = self.pooler.session()
         known = session.start(StatementKind.READ, argument="t")
         self.scheduler.advance(0.008)
@@ -277,7 +277,7 @@
         self.scheduler.advance(0.5)
         self.assertIsNone(session.reply(known).failure)
 
-    def test_a_link_lost_in_a_transaction_rolls_it_back(self) -> None:
+    def test_lost_link_rolls_back_transaction(self) -> None:
         session = self.pooler.session()
         session.ask(StatementKind.BEGIN)
         session.write()
@@ -291,13 +291,13 @@
         other = self.pooler.session()
         self.assertIsNone(other.write().failure)
 
-    def test_a_connection_lost_behind_the_holder_ends_the_channel(self) -> None:
+    def test_lost_database_connection_ends_channel(self) -> None:
         session = self.pooler.session()
         self.model.databases["p"].break_answers = 1
         self.assertEqual(session.write().failure.code, ErrorCode.CONNECTION_LOST)
         self.assertIsNone(session.write().failure)
 
-    def test_a_client_that_leaves_gives_the_connection_back(self) -> None:
+    def test_ended_session_releases_connection_of_holder(self) -> None:
         for _ in range(4):
             session = self.pooler.session()
             session.ask(StatementKind.BEGIN)
@@ -307,13 +307,13 @@
         self.assertIsNone(self.pooler.session().write().failure)
         self.assertEqual(len(self.model.commits), 1)
 
-    def test_a_holder_that_ends_refuses_what_begins(self) -> None:
+    def test_stopping_holder_refuses_new_statements(self) -> None:
         self.holder.services.is_ending = True
         reply = self.pooler.session().write(wait=0.75)
         self.assertEqual(reply.failure.code, ErrorCode.OVERLOADED)  # type: ignore[union-attr]
         self.assertEqual(self.model.ran, [])
 
-    def test_no_other_process_gets_work_to_a_database_that_left(self) -> None:
+    def test_peers_cannot_use_drained_database(self) -> None:
         self.holder.announce("p", draining=True)
         self.scheduler.advance(6.0)
         ran = len(self.model.ran)
--- a/tests/core/pooler/sharing/test_holders.py
+++ b/tests/core/pooler/sharing/test_holders.py
@@ -22,14 +22,14 @@
 
 
 class HoldingTest(unittest.TestCase):
-    def test_while_the_connections_suffice_each_holds_an_equal_share(self) -> None:
+    def test_few_processes_divide_connections_equally(self) -> None:
         for count in (1, 3, 7, 11):
             for name in members(count):
                 holding = holding_of(name, "d", 36, members(count), from_zone_a)
                 self.assertEqual(holding.connections, 33 // count)
                 self.assertTrue(holding.is_direct)
 
-    def test_the_shares_of_all_stay_within_the_limit(self) -> None:
+    def test_sum_of_connections_stays_within_limit(self) -> None:
         for limit in (1, 4, 36, 40, 100):
             for count in (1, 2, 7, 12, 73, 300):
                 known = members(count)
@@ -39,7 +39,7 @@
                 self.assertGreaterEqual(planned, 1)
                 self.assertLessEqual(planned, max(usable_connections(limit), 2), (limit, count))
 
-    def test_with_many_processes_a_few_near_the_database_hold(self) -> None:
+    def test_nearest_processes_become_holders(self) -> None:
         known = members(73)
         holdings = {name: holding_of(name, "d", 40, known, from_zone_a) for name in known}
         holders = {name for name, holding in holdings.items() if holding.is_direct}
@@ -50,20 +50,20 @@
                 self.assertEqual(set(holding.holders[: len(holders)]), holders)
                 self.assertNotIn(name, holding.holders)
 
-    def test_the_others_spread_over_the_holders(self) -> None:
+    def test_other_processes_spread_over_holders(self) -> None:
         known = members(73)
         first = [holding_of(name, "d", 40, known, from_zone_a).holders[:1] for name in known]
         counts = [first.count(choice) for choice in set(first) if choice]
         self.assertGreaterEqual(min(counts), 8)
 
-    def test_a_member_that_goes_changes_one_holder_at_most(self) -> None:
+    def test_removed_member_changes_one_holder_at_most(self) -> None:
         known = members(73)
         holders = {n for n in known if holding_of(n, "d", 40, known, from_zone_a).is_direct}
         rest = {name: member for name, member in known.items() if name != sorted(holders)[0]}
         later = {n for n in rest if holding_of(n, "d", 40, rest, from_zone_a).is_direct}
         self.assertEqual(len(later - holders), 1)
 
-    def test_the_share_falls_below_the_direct_one_before_holders_take_over(self) -> None:
+    def test_holders_are_used_below_minimum_of_direct_connections(self) -> None:
         self.assertGreaterEqual(share_of_connections(36, 11), LEAST_DIRECT_SHARE)
         self.assertLess(share_of_connections(36, 12), LEAST_DIRECT_SHARE)
         self.assertFalse(
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -29,7 +29,7 @@
 
 
 class TableCacheTest(unittest.TestCase):
-    def test_a_follower_gets_what_it_lacks(self) -> None:
+    def test_follower_gets_missing_changes(self) -> None:
         cache = TableCache()
         cache.replace([row("a", 1), row("b", 4)], 5)
         cache.update([row("b", 6), row("a", 7, gone=True)], 8)
@@ -39,7 +39,7 @@
         self.assertEqual((delta.version, delta.is_whole), (8, False))
         self.assertEqual(cache.delta(8).rows, ())
 
-    def test_one_from_before_the_whole_table_gets_it_whole(self) -> None:
+    def test_follower_older_than_snapshot_gets_whole_table(self) -> None:
         cache = TableCache()
         cache.replace([row("a", 1), row("b", 4)], 5)
         for after in (-1, 0, 4):
@@ -47,7 +47,7 @@
             self.assertTrue(delta.is_whole)
             self.assertEqual({each.key for each in delta.rows}, {"a", "b"})
 
-    def test_one_that_compares_keys_gets_what_changed_beside_any_number_of_rows(self) -> None:
+    def test_follower_that_compares_keys_gets_only_changes(self) -> None:
         for count in (59, 300, 850):
             with self.subTest(count=count):
                 cache, follower = TableCache(), TableCache()
@@ -59,7 +59,7 @@
                 self.assertFalse(delta.is_whole)
                 self.assertTrue(follower.agrees_with(delta))
 
-    def test_and_sees_where_a_row_went_that_nobody_remembers(self) -> None:
+    def test_key_digest_reveals_forgotten_removal(self) -> None:
         cache, follower = TableCache(), TableCache()
         follower.replace([row("a", 1), row("b", 2)], 2)
         cache.replace([row("b", 4), row("c", 5)], 5)
@@ -68,13 +68,13 @@
         self.assertTrue(follower.agrees_with(cache.delta(3, compares_keys=True)))
         self.assertTrue(cache.delta(-1, compares_keys=True).is_whole)
 
-    def test_older_rows_change_nothing(self) -> None:
+    def test_older_rows_are_ignored(self) -> None:
         cache = TableCache()
         cache.replace([row("a", 5)], 5)
         cache.update([row("a", 3)], 6)
         self.assertEqual(cache.delta(-1).rows[0].version, 5)
 
-    def test_random_followers_of_followers_end_with_the_same_rows(self) -> None:
+    def test_random_follower_chains_converge(self) -> None:
         for seed in range(30):
             with self.subTest(seed):
                 self._play(random.Random(seed))
@@ -129,7 +129,7 @@
             else:
                 known[follower][each.key] = each
 
-    def test_who_is_further_behind_than_removals_are_kept_gets_it_whole(self) -> None:
+    def test_follower_older_than_remembered_removals_gets_whole_table(self) -> None:
         cache = TableCache()
         cache.replace([], 0)
         for version in range(1, table_cache.MAX_REMOVED_ROWS + 3):
@@ -148,11 +148,11 @@
 
 
 class ReadingPlanTest(unittest.TestCase):
-    def test_few_processes_all_read(self) -> None:
+    def test_few_processes_all_read_the_store(self) -> None:
         plans = plans_of(MOST_READING_ALL, 3)
         self.assertTrue(all(plan.is_reader for plan in plans.values()))
 
-    def test_of_many_two_read_of_two_regions_where_there_are_two(self) -> None:
+    def test_readers_are_in_different_regions(self) -> None:
         for count in (MOST_READING_ALL + 1, 73, 850):
             for regions in (1, 2, 3):
                 plans = plans_of(count, regions)
@@ -161,7 +161,7 @@
                 places = {int(name[1:]) % regions for name in readers}
                 self.assertEqual(len(places), min(regions, READERS))
 
-    def test_the_others_reach_a_reader_in_few_steps_and_know_them_all(self) -> None:
+    def test_followers_reach_a_reader_in_few_steps(self) -> None:
         for count, most in ((MOST_READING_ALL + 1, 1), (73, 2), (850, 3)):
             plans = plans_of(count, 2)
             readers = {name for name, plan in plans.items() if plan.is_reader}
@@ -174,12 +174,12 @@
                 self.assertTrue(readers <= set(plans[name].sources))
                 self.assertNotIn(name, plans[name].sources)
 
-    def test_what_is_known_at_the_last_step_is_not_yet_doubted(self) -> None:
+    def test_slack_covers_delay_of_last_follower(self) -> None:
         way = 3 * 0.1
         self.assertLess(way + 0.1, FOLLOWED_SLACK_SECONDS)
         self.assertLess(HOLD_SECONDS, 1.0)
 
-    def test_they_follow_one_of_their_own_region_but_for_one_of_each_without_a_reader(self) -> None:
+    def test_only_one_follower_per_region_without_reader_is_remote(self) -> None:
         plans = plans_of(73, 3)
         far = [
             name
@@ -188,7 +188,7 @@
         ]
         self.assertEqual(len(far), 1)
 
-    def test_no_process_is_followed_by_many(self) -> None:
+    def test_number_of_followers_is_bounded(self) -> None:
         plans = plans_of(850, 2)
         first = [plan.sources[:1] for plan in plans.values()]
         most = max(first.count(choice) for choice in set(first) if choice)
@@ -209,7 +209,7 @@
         asked = self.follower.asked_after
         return self.follower.take_news(self.source.news(asked, 11.0, False, True), 11.0)
 
-    def test_after_its_source_started_again_a_follower_gets_no_whole_table(self) -> None:
+    def test_restarted_source_sends_only_changes(self) -> None:
         self.source.take(TableDelta((row("a", 1), row("b", 4)), 5, True), 11.0)
         news = self.source.news(2, 11.0, False, True)
         self.assertEqual([each.key for each in news.delta.rows], ["b"])
@@ -217,7 +217,7 @@
         self.assertEqual(self.follower.version, 5)
         self.assertEqual(self.follower.confirmed_at, 11.0)
 
-    def test_it_asks_for_the_whole_where_a_row_has_gone_meanwhile(self) -> None:
+    def test_missed_removal_leads_to_request_of_whole_table(self) -> None:
         self.source.take(TableDelta((row("b", 4),), 5, True), 11.0)
         self.assertFalse(self.ask())
         self.assertEqual((self.follower.version, self.follower.confirmed_at), (2, 10.0))
@@ -225,7 +225,7 @@
         self.assertEqual((self.seen, self.follower.version), (["b"], 5))
         self.assertEqual(self.follower.asked_after, 5)
 
-    def test_one_that_does_not_compare_gets_it_whole(self) -> None:
+    def test_follower_without_key_comparison_gets_whole_table(self) -> None:
         self.source.take(TableDelta((row("b", 4),), 5, True), 11.0)
         self.assertTrue(self.source.news(2, 11.0, False, False).delta.is_whole)
 
@@ -237,17 +237,17 @@
         rows = (StoreRow("config", large, 5),)
         self.table.take(TableDelta(rows, 5, True), 10.0)
 
-    def test_it_is_told_of_and_not_sent(self) -> None:
+    def test_large_change_is_announced_only(self) -> None:
         news = self.table.news(3, 11.0, takes_large=False)
         self.assertTrue(news.is_withheld)
         self.assertEqual((news.delta.rows, news.delta.version), ((), 3))
 
-    def test_it_is_sent_to_who_asks_for_it(self) -> None:
+    def test_large_change_is_sent_on_request(self) -> None:
         news = self.table.news(3, 11.0, takes_large=True)
         self.assertFalse(news.is_withheld)
         self.assertEqual(news.delta.version, 5)
 
-    def test_what_compresses_well_is_sent(self) -> None:
+    def test_well_compressed_change_is_sent(self) -> None:
         value = b'{"name": "route"}' * LARGE_BYTES
         self.table.take(TableDelta((StoreRow("config", value, 7),), 7, False), 11.0)
         news = self.table.news(5, 11.0, takes_large=False)
@@ -256,7 +256,7 @@
         self.assertTrue(follower.take_news(self.table.news(-1, 11.0, True), 20.0))
         self.assertEqual(follower.news(-1, 20.0, True).delta, self.table.news(-1, 20.0, True).delta)
 
-    def test_packed_values_that_make_no_sense(self) -> None:
+    def test_invalid_packed_values_are_rejected(self) -> None:
         packed = pack_value(b"x" * 5000)
         for data in (b"", b"\x02abc", packed[:-3], b"\x01" + b"junk", packed[:1]):
             with self.subTest(data[:8]), self.assertRaises(ProtocolError):
@@ -264,7 +264,7 @@
         for value in (b"", b"x", b"x" * 5000):
             self.assertEqual(unpack_value(pack_value(value)), value)
 
-    def test_who_has_it_already_gets_the_rest(self) -> None:
+    def test_follower_with_large_change_gets_later_rows(self) -> None:
         self.table.take(TableDelta((row("small", 6),), 6, False), 11.0)
         news = self.table.news(5, 11.0, takes_large=False)
         self.assertEqual([each.key for each in news.delta.rows], ["small"])
--- a/tests/core/pooler/test_exhausted_databases.py
+++ b/tests/core/pooler/test_exhausted_databases.py
@@ -31,14 +31,14 @@
         self.now = self.harness.scheduler.now()
         self.exhausted = ExhaustedDatabases(self.harness.group)
 
-    def test_one_that_says_when_it_has_room_is_asked_again_then(self) -> None:
+    def test_database_is_retried_at_its_promised_time(self) -> None:
         self.exhausted.note_tried("p", self.now)
         self.exhausted.note_overloaded("p", IN_70_MS, self.now + 0.1)
         self.assertFalse(self.exhausted.may_ask("p", self.now + 0.169))
         self.assertTrue(self.exhausted.may_ask("p", self.now + 0.171))
         self.assertAlmostEqual(self.exhausted.next_room_at(["p"]) or 0.0, self.now + 0.17)
 
-    def test_one_that_refuses_for_long_is_asked_no_more(self) -> None:
+    def test_database_that_keeps_refusing_is_exhausted(self) -> None:
         for failure in (IN_70_MS, UNTOLD):
             with self.subTest(failure=failure):
                 exhausted = ExhaustedDatabases(self.harness.group)
@@ -51,18 +51,18 @@
                 self.assertFalse(exhausted.may_ask("p", self.now + 100.0))
                 self.assertIsNone(exhausted.next_room_at(["p"]))
 
-    def test_one_that_serves_others_meanwhile_is_asked_again(self) -> None:
+    def test_database_that_serves_other_statements_is_not_exhausted(self) -> None:
         self.exhausted.note_tried("p", self.now)
         self.harness.group.pool("p").served_at = self.now + EXHAUSTED_SECONDS / 2
         self.exhausted.note_overloaded("p", UNTOLD, self.now + EXHAUSTED_SECONDS)
         self.assertTrue(self.exhausted.may_ask("p", self.now + EXHAUSTED_SECONDS))
 
-    def test_the_first_that_has_room_is_waited_for(self) -> None:
+    def test_earliest_promised_time_is_used(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
         self.exhausted.note_room_at("r1", self.now + 0.2)
         self.assertEqual(self.exhausted.next_room_at(["p", "r1"]), self.now + 0.2)
 
-    def test_without_useful_waits_refusals_change_nothing(self) -> None:
+    def test_refusals_are_ignored_without_useful_waits(self) -> None:
         exhausted = NeverExhausted(self.harness.group)
         exhausted.note_tried("p", self.now)
         exhausted.note_overloaded("p", IN_70_MS, self.now + EXHAUSTED_SECONDS)
@@ -89,26 +89,26 @@
     def seconds(self, target: Target | None, lacks_primary: bool = False) -> float:
         return seconds_after_search(self.scope, target, self.exhausted, lacks_primary)
 
-    def test_the_earliest_moment_that_a_database_told(self) -> None:
+    def test_retry_after_is_earliest_time_promised_by_a_database(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
         self.exhausted.note_room_at("r1", self.now + 0.2)
         self.exhausted.note_room_at("r2", self.now - 0.1)
         self.assertAlmostEqual(self.seconds(self.target), 0.2)
 
-    def test_else_the_next_free_moment_of_the_last_targets_queue(self) -> None:
+    def test_retry_after_falls_back_to_queue_of_last_target(self) -> None:
         first, second = self.seconds(self.target), self.seconds(self.target)
         self.assertLess(first, second)
         self.assertEqual(self.harness.services.returns, {})
 
-    def test_else_the_next_free_moment_of_the_group(self) -> None:
+    def test_retry_after_falls_back_to_group(self) -> None:
         self.assertAlmostEqual(self.seconds(None), COME_BACK_OVERLOADED_MS / 1000)
         self.assertGreater(self.seconds(None), COME_BACK_OVERLOADED_MS / 1000)
 
-    def test_without_a_primary_not_before_one_is_usually_there(self) -> None:
+    def test_retry_after_without_primary_covers_failover(self) -> None:
         seconds = self.seconds(self.target, lacks_primary=True)
         self.assertAlmostEqual(seconds, COME_BACK_NO_PRIMARY_MS / 1000)
 
-    def test_fixed_waits_tell_a_fixed_time(self) -> None:
+    def test_fixed_waits_use_fixed_retry_after(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
         for lacks_primary in (False, True):
             found = FixedWaits().come_back_seconds(
@@ -116,11 +116,11 @@
             )
             self.assertEqual(found, least_seconds(lacks_primary))
 
-    def test_a_refusal_says_the_time_in_its_text_and_in_its_field(self) -> None:
+    def test_refusal_has_retry_after_in_message_and_field(self) -> None:
         expected = Failure(ErrorCode.OVERLOADED, "not run, come back in 70 ms", 70)
         self.assertEqual(refusal(ErrorCode.OVERLOADED, 70), expected)
 
-    def test_the_policy_chooses_the_strategy(self) -> None:
+    def test_policy_selects_wait_strategy(self) -> None:
         self.assertIsInstance(wait_strategy(LoadPolicy()), UsefulWaits)
         self.assertIsInstance(wait_strategy(LoadPolicy(useful_waits=False)), FixedWaits)
 
--- a/tests/core/pooler/test_freshness.py
+++ b/tests/core/pooler/test_freshness.py
@@ -24,25 +24,25 @@
         for second in range(5):
             self.history.record(100.0 + second, LogPosition(1, second))
 
-    def test_the_oldest_proof_within_the_bound_is_enough(self) -> None:
+    def test_floor_is_oldest_proof_within_staleness_bound(self) -> None:
         self.assertEqual(self.history.floor(104.5, 2.0).position, LogPosition(1, 3))  # type: ignore[union-attr]
 
-    def test_none_is_known_when_all_are_older(self) -> None:
+    def test_no_floor_if_all_proofs_are_older_than_bound(self) -> None:
         self.assertIsNone(self.history.floor(107.0, 2.0))
 
-    def test_an_answer_of_an_earlier_term_proves_nothing_after_a_later_one(self) -> None:
+    def test_proof_of_earlier_term_is_ignored(self) -> None:
         self.history.record(105.0, LogPosition(2, 1))
         self.history.record(106.0, LogPosition(1, 9))
         self.assertEqual(self.history.newest.position, LogPosition(2, 1))  # type: ignore[union-attr]
 
-    def test_memory_is_bounded(self) -> None:
+    def test_history_size_is_bounded(self) -> None:
         for step in range(100_000):
             self.history.record(200.0 + step * 0.001, LogPosition(1, step))
         self.assertLess(len(self.history._proofs), 250)
 
 
 class ReadFloorTest(unittest.TestCase):
-    def test_by_consistency(self) -> None:
+    def test_floor_by_consistency(self) -> None:
         history = FreshnessHistory()
         history.record(100.0, LogPosition(1, 7))
         own = LogPosition(1, 9)
@@ -60,23 +60,23 @@
 
 
 class GroupViewTest(unittest.TestCase):
-    def test_the_last_to_call_itself_primary_is_taken(self) -> None:
+    def test_newest_primary_claim_wins(self) -> None:
         view = GroupView(GROUP)
         for change in (record("a", 1, "primary"), record("b", 2), record("b", 5, "primary")):
             view = view.with_record(change, 0.0)
         self.assertEqual(view.primary.id, "b")  # type: ignore[union-attr]
 
-    def test_an_older_word_changes_nothing(self) -> None:
+    def test_older_record_is_ignored(self) -> None:
         view = GroupView(GROUP).with_record(record("a", 5, "primary"), 0.0)
         self.assertIs(view.with_record(record("a", 4), 0.0), view)
 
-    def test_a_refuted_primary_counts_again_once_it_says_so_anew(self) -> None:
+    def test_refuted_primary_counts_again_after_newer_record(self) -> None:
         view = GroupView(GROUP).with_record(record("a", 1, "primary"), 0.0).with_refuted("a")
         self.assertIsNone(view.primary)
         view = view.with_record(record("a", 2, "primary", draining=True), 0.0)
         self.assertEqual(view.primary.id, "a")  # type: ignore[union-attr]
 
-    def test_a_leader_that_was_told_counts_until_another_begins_to_lead(self) -> None:
+    def test_reported_leader_counts_until_newer_primary_claim(self) -> None:
         view = GroupView(GROUP).with_record(record("a", 1, "primary"), 0.0)
         view = view.with_record(record("b", 2), 0.0).with_record(record("c", 3), 0.0)
         view = view.with_leader("b")
@@ -85,7 +85,7 @@
         self.assertEqual(view.primary.id, "c")  # type: ignore[union-attr]
         self.assertIs(view.with_leader("unknown"), view)
 
-    def test_an_entry_that_goes_and_comes_back(self) -> None:
+    def test_removed_entry_that_is_registered_again(self) -> None:
         view = GroupView(GROUP).with_record(record("a", 1, "primary"), 0.0)
         view = view.with_departure("a", 2, 10.0)
         self.assertFalse(view.accepts_work("a", 16.0, 5.0))
@@ -95,7 +95,7 @@
 
 
 class ReadTargetsTest(unittest.TestCase):
-    def test_the_order_of_the_databases_that_may_serve_a_read(self) -> None:
+    def test_order_of_read_targets(self) -> None:
         far_leader = {"p": 2, "near": 0, "far": 2}
         near_leader = {"p": 0, "near": 2, "far": 2}
         cases = (
--- a/tests/core/pooler/test_proof_seeking.py
+++ b/tests/core/pooler/test_proof_seeking.py
@@ -18,7 +18,7 @@
         sessions = [self.harness.session(Consistency.BOUNDED_STALENESS) for _ in range(count)]
         return [(each, each.start(StatementKind.READ, argument="thing")) for each in sessions]
 
-    def test_at_a_cold_start_one_read_goes_to_the_primary_and_all_are_served(self) -> None:
+    def test_cold_start_sends_one_read_to_the_primary(self) -> None:
         for database in self.model.databases.values():
             database.work = 0.03
         started = self.start_reads(40)
@@ -29,14 +29,14 @@
         served = {ran.database for ran in self.model.ran}
         self.assertTrue({"r1", "r2"} <= served)
 
-    def test_when_that_read_fails_another_takes_its_place(self) -> None:
+    def test_failed_proof_request_is_replaced(self) -> None:
         self.model.databases["p"].break_answers = 1
         started = self.start_reads(6)
         self.scheduler.advance(0.6)
         for session, known in started:
             self.assertIsNone(session.reply(known).failure)
 
-    def test_when_that_read_is_slow_the_others_do_not_wait_for_it_alone(self) -> None:
+    def test_slow_proof_request_does_not_block_other_reads(self) -> None:
         first = self.start_reads(1)
         self.scheduler.advance(0.004)
         self.model.databases["p"].lose_answers = 1
@@ -46,7 +46,7 @@
             self.assertIsNone(session.reply(known).failure)
         self.assertEqual(len(first), 1)
 
-    def test_one_that_has_waited_goes_to_the_primary_itself(self) -> None:
+    def test_read_goes_to_primary_itself_after_waiting(self) -> None:
         self.model.databases["p"].work = 0.28
         self.start_reads(1)
         self.scheduler.advance(0.001)
@@ -55,7 +55,7 @@
         for session, known in others:
             self.assertIsNone(session.reply(known).failure)
 
-    def test_a_client_that_leaves_while_its_read_seeks_holds_nobody_up(self) -> None:
+    def test_ended_session_releases_waiting_reads(self) -> None:
         ((leaver, _),) = self.start_reads(1)
         others = self.start_reads(3)
         leaver.session.end()
@@ -65,7 +65,7 @@
 
 
 class ProofThroughHolderTest(unittest.TestCase):
-    def test_what_the_holder_has_proven_spares_the_others_the_primary(self) -> None:
+    def test_proofs_of_holder_are_used_by_peers(self) -> None:
         holder = PoolerHarness(limit=4)
         pooler = SharingHarness(holder)
         writer = holder.session()
@@ -79,7 +79,7 @@
             holder.scheduler.advance(0.4)
         self.assertEqual(holder.model.own.count(StatementKind.BEGIN), begun)
 
-    def test_statements_of_others_prove_positions_to_the_holder(self) -> None:
+    def test_peer_statements_prove_positions_to_holder(self) -> None:
         holder = PoolerHarness(limit=4)
         pooler = SharingHarness(holder)
         self.assertIsNone(holder.group.history.newest)
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -25,7 +25,7 @@
 
 
 class RandomDaysTest(unittest.TestCase):
-    def test_nothing_is_broken(self) -> None:
+    def test_guarantees_hold(self) -> None:
         answered = 0
         for seed in range(DAYS):
             day = RandomDay(seed).play(SECONDS)
@@ -35,7 +35,7 @@
 
 
 class SharedDaysTest(unittest.TestCase):
-    def test_nothing_is_broken_when_statements_go_through_a_holder(self) -> None:
+    def test_guarantees_hold_through_a_holder(self) -> None:
         answered = 0
         for seed in range(DAYS):
             day = RandomDay(seed, is_shared=True).play(SECONDS)
@@ -45,7 +45,7 @@
 
 
 class ToldDaysTest(unittest.TestCase):
-    def test_nothing_is_broken_when_databases_are_chosen_by_what_holders_tell(self) -> None:
+    def test_guarantees_hold_with_choice_by_reported_load(self) -> None:
         for is_shared in (False, True):
             with self.subTest(is_shared=is_shared):
                 answered = 0
@@ -76,7 +76,7 @@
 class CheckersTest(GuardCase):
     """Each checker is seen red once, with one guard of the code switched off."""
 
-    def test_without_proof_of_the_lead_a_replaced_primary_answers(self) -> None:
+    def test_checker_finds_read_from_replaced_primary(self) -> None:
         original = Group.targets
 
         def targets(group: Group, route: Route, writes: bool, need: ReadNeed) -> list[Target]:
@@ -86,7 +86,7 @@
         self.swap(Group, "targets", targets)
         self.assert_breaks("primary read", 80)
 
-    def test_without_a_floor_a_lagging_replica_answers(self) -> None:
+    def test_checker_finds_read_from_lagging_replica(self) -> None:
         original = statement_run.StatementRun._send
 
         def send(run: statement_run.StatementRun, connection: object) -> None:
@@ -98,7 +98,7 @@
         self.swap(statement_run.StatementRun, "_send", send)
         self.assert_breaks(f"{Consistency.READ_OWN_WRITES} read")
 
-    def test_with_the_time_of_the_answer_in_place_of_the_sending_reads_are_stale(self) -> None:
+    def test_checker_finds_proof_dated_too_late(self) -> None:
         original = freshness.FreshnessHistory.record
 
         def record(history: freshness.FreshnessHistory, sent_at: float, position: object) -> None:
@@ -107,12 +107,12 @@
         self.swap(freshness.FreshnessHistory, "record", record)
         self.assert_breaks("misses")
 
-    def test_without_resets_foreign_values_stay(self) -> None:
+    def test_checker_finds_values_of_other_session(self) -> None:
         self.swap(connection_setup, "plan_setup", lambda *_: [])
         self.swap(statement_run, "plan_setup", lambda *_: [])
         self.assert_breaks("foreign values", 2)
 
-    def test_a_write_sent_again_takes_effect_twice(self) -> None:
+    def test_checker_finds_write_executed_twice(self) -> None:
         def lost(run: statement_run.StatementRun) -> None:
             run._held.drop()
             run._rerun_read()
@@ -126,11 +126,11 @@
 
     is_shared = True
 
-    def test_without_setup_by_the_holder_foreign_values_stay(self) -> None:
+    def test_checker_finds_values_of_other_session_at_holder(self) -> None:
         self.swap(channel_session, "plan_setup", lambda *_: [])
         self.assert_breaks("foreign values", 2)
 
-    def test_a_holder_that_gives_a_connection_back_too_soon_mixes_transactions(self) -> None:
+    def test_checker_finds_connection_released_within_transaction(self) -> None:
         original = ChannelSession._on_reply
 
         def answered(session: ChannelSession, reply: Reply | None) -> None:
@@ -141,7 +141,7 @@
         self.swap(ChannelSession, "_on_reply", answered)
         self.assert_breaks("outside its transaction", 4)
 
-    def test_with_proofs_taken_for_newer_than_they_are_reads_are_stale(self) -> None:
+    def test_checker_finds_proof_reported_too_young(self) -> None:
         def proven(proofs: ChannelProofs) -> ProvenAge | None:
             newest = proofs._group.history.newest
             return None if newest is None else ProvenAge(newest.position, -2.0)
--- a/tests/core/pooler/test_replica_lag.py
+++ b/tests/core/pooler/test_replica_lag.py
@@ -20,17 +20,17 @@
         for step in range(20):
             self.history.record(NOW + 0.1 * step, at(step))
 
-    def test_one_that_is_not_known_is_tried(self) -> None:
+    def test_unknown_database_does_not_lack_a_position(self) -> None:
         self.assertFalse(self.lags.lacks("r", at(19), NOW + 2.0))
 
-    def test_one_far_behind_lacks_what_is_younger_than_its_lag(self) -> None:
+    def test_lagging_replica_lacks_positions_newer_than_its_lag(self) -> None:
         self.lags.observe("r", at(9), NOW + 2.0)
         cases = ((19, True), (12, True), (9, False), (3, False))
         for offset, lacks in cases:
             with self.subTest(offset):
                 self.assertEqual(self.lags.lacks("r", at(offset), NOW + 2.0), lacks)
 
-    def test_how_long_it_takes_until_one_has_a_position(self) -> None:
+    def test_seconds_until_position_is_applied(self) -> None:
         """Of a lag of 1 s; known no better than the 50 ms between proofs."""
         self.lags.observe("r", at(9), NOW + 2.0)
         for offset, seconds in ((19, 0.95), (15, 0.55), (12, 0.25), (9, 0.0), (3, 0.0)):
@@ -41,28 +41,28 @@
             self.lags.seconds_until_applied("r", at(19), NOW + 9.0), 0.0, "due for a trial"
         )
 
-    def test_one_that_has_all_that_is_proven_lacks_nothing(self) -> None:
+    def test_replica_at_newest_proof_lacks_nothing(self) -> None:
         self.lags.observe("r", at(19), NOW + 2.0)
         self.assertFalse(self.lags.lacks("r", at(19), NOW + 2.0))
 
-    def test_a_floor_that_no_proof_reaches_is_brand_new(self) -> None:
+    def test_lagging_replica_lacks_floor_above_all_proofs(self) -> None:
         self.lags.observe("r", at(9), NOW + 2.0)
         self.assertTrue(self.lags.lacks("r", at(40), NOW + 2.0))
 
-    def test_it_is_tried_once_after_a_while_without_answers(self) -> None:
+    def test_stale_estimate_allows_one_statement(self) -> None:
         self.lags.observe("r", at(0), NOW + 2.0)
         later = NOW + 2.0 + MAX_ESTIMATE_AGE_SECONDS + 0.1
         self.assertFalse(self.lags.lacks("r", at(19), later))
         self.lags.record_sent("r", later)
         self.assertTrue(self.lags.lacks("r", at(19), later))
 
-    def test_it_stays_due_for_a_trial_until_a_statement_goes_there(self) -> None:
+    def test_stale_estimate_allows_statements_until_one_is_sent(self) -> None:
         self.lags.observe("r", at(0), NOW + 2.0)
         later = NOW + 2.0 + MAX_ESTIMATE_AGE_SECONDS + 0.1
         self.assertFalse(self.lags.lacks("r", at(19), later))
         self.assertFalse(self.lags.lacks("r", at(19), later), "nothing has gone there yet")
 
-    def test_the_estimate_goes_up_at_once_and_a_smaller_lag_counts_after_two_spans(self) -> None:
+    def test_estimate_rises_at_once_and_falls_after_two_spans(self) -> None:
         now = NOW + 2.0
         self.lags.observe("r", at(19), now)
         self.lags.observe("r", at(9), now)
@@ -73,7 +73,7 @@
             self.lags.observe("r", at(19), now + 0.1 * step)
         self.assertFalse(self.lags.lacks("r", at(18), now + 1.1))
 
-    def test_a_long_lag_is_forgotten_with_the_first_answer_that_shows_its_end(self) -> None:
+    def test_first_answer_after_long_lag_resets_estimate(self) -> None:
         """The users' lags are of 4 to 7 s; a replica passed over gets one statement a second."""
         for step in range(20, 100):
             self.history.record(NOW + 0.1 * step, at(step))
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -45,11 +45,11 @@
     def begins_in(self, usual: float = 0.0) -> float:
         return self.silence.begins_at((), usual) - self.scheduler.now()
 
-    def test_where_nothing_is_awaited_there_is_no_silence(self) -> None:
+    def test_no_silence_without_outstanding_requests(self) -> None:
         self.scheduler.advance(100.0)
         self.assertEqual(self.begins_in(), float("inf"))
 
-    def test_how_long_an_answer_may_be_out(self) -> None:
+    def test_silence_limit_by_usual_statement_time(self) -> None:
         self.silence.opening_begins(self.scheduler.now())
         for usual, limit in (
             (0.0, MIN_SILENCE_SECONDS),
@@ -60,7 +60,7 @@
             with self.subTest(usual):
                 self.assertAlmostEqual(self.begins_in(usual), limit)
 
-    def test_each_answer_counts_anew(self) -> None:
+    def test_each_answer_restarts_the_limit(self) -> None:
         began_at = self.scheduler.now()
         self.silence.opening_begins(began_at)
         self.scheduler.advance(0.2)
@@ -69,7 +69,7 @@
         self.silence.opening_ends(began_at)
         self.assertEqual(self.begins_in(), float("inf"))
 
-    def test_silence_and_its_end_are_told_once(self) -> None:
+    def test_silence_and_its_end_are_reported_once(self) -> None:
         self.silence.opening_begins(self.scheduler.now())
         self.scheduler.advance(1.0)
         for _ in range(3):
@@ -79,7 +79,7 @@
         self.assertFalse(self.silence.turns_away(self.silence.begins_at((), 0.0)))
         self.assertEqual(self.seen, [True, False])
 
-    def test_one_may_try_now_and_then(self) -> None:
+    def test_probes_are_limited_by_interval(self) -> None:
         tried = 0
         for _ in range(100):
             tried += self.silence.may_probe()
@@ -109,7 +109,7 @@
         self.given.append(connection)
         connection.send_own(StatementKind.READ, lambda reply: None)
 
-    def test_who_waits_and_who_comes_is_turned_away_from_a_silent_database(self) -> None:
+    def test_silent_database_denies_queued_and_new_statements(self) -> None:
         for is_judged, is_direct in ((True, True), (False, True), (True, False)):
             with self.subTest(is_judged=is_judged, is_direct=is_direct):
                 self.setUp()
@@ -128,7 +128,7 @@
                 self.assertEqual(self.denied[:2], expected)
                 self.assertEqual(pool.is_silent, bool(expected))
 
-    def test_a_database_that_refuses_is_not_silent(self) -> None:
+    def test_refusing_database_is_not_silent(self) -> None:
         pool = self.pool()
         self.ask(pool)
         self.scheduler.advance(UNDER_WAY_SECONDS)
@@ -138,7 +138,7 @@
             pool.note_answer(StatementKind.READ, BUSY)
             self.assertFalse(pool.is_silent)
 
-    def test_a_question_of_the_proxys_own_is_never_turned_away(self) -> None:
+    def test_proxys_own_request_is_never_denied(self) -> None:
         pool = self.pool()
         self.ask(pool)
         self.scheduler.advance(UNDER_WAY_SECONDS)
@@ -183,7 +183,7 @@
         self.events = harness.events
         return served
 
-    def test_readers_find_the_other_one_and_come_back_after(self) -> None:
+    def test_reads_move_to_other_replica_and_return_after_silence(self) -> None:
         served = self.served_soon(judges_silence=True)
         self.assertEqual(served[0], READERS)
         for while_silent in served[1:3]:
@@ -191,7 +191,7 @@
         self.assertEqual(served[3:], [READERS] * 2)
         self.assertLess(min(self.served_soon(judges_silence=False)[1:3]), READERS - LIMIT)
 
-    def test_what_is_believed_is_logged(self) -> None:
+    def test_begin_and_end_of_silence_are_logged(self) -> None:
         self.served_soon(judges_silence=True)
         judged = [it for it in self.events if isinstance(it, DatabaseSilenceJudged)]
         self.assertEqual({it.database for it in judged}, {"r1"})
--- a/tests/core/pooler/test_silent_holder.py
+++ b/tests/core/pooler/test_silent_holder.py
@@ -52,7 +52,7 @@
     def ran(self, statement_id: str) -> int:
         return sum(ran.statement.id == statement_id for ran in self.harness.model.ran)
 
-    def test_what_is_under_way_by_state(self) -> None:
+    def test_running_statement_by_holder_state(self) -> None:
         read, write = StatementKind.READ, StatementKind.WRITE
         doubted, silent = HolderState.DOUBTED, HolderState.SILENT
         rows: Sequence[tuple[str, Consistency, StatementKind, HolderState, str]] = (
@@ -75,7 +75,7 @@
                 self.assertEqual(self.outcome(probe, statement_id), expected)
                 self.assertEqual(self.ran(statement_id), int(expected == "done"))
 
-    def test_a_write_on_a_silent_holder_is_never_sent_again(self) -> None:
+    def test_write_on_silent_holder_is_never_resent(self) -> None:
         probe = self.probe()
         self.silence_all()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
@@ -83,7 +83,7 @@
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.STATEMENT_TIMEOUT)
         self.assertEqual(self.ran(statement_id), 0)
 
-    def test_a_read_in_a_transaction_is_not_asked_again(self) -> None:
+    def test_read_in_transaction_is_not_resent(self) -> None:
         probe = self.probe()
         probe.ask(StatementKind.BEGIN)
         probe.write()
@@ -93,7 +93,7 @@
         self.assertEqual(self.outcome(probe, statement_id), NOT_YET)
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.TRANSACTION_LOST)
 
-    def test_a_commit_on_a_silent_holder_stays_in_doubt(self) -> None:
+    def test_commit_on_silent_holder_has_unknown_outcome(self) -> None:
         probe = self.probe()
         probe.ask(StatementKind.BEGIN)
         probe.write()
@@ -103,7 +103,7 @@
         self.assertEqual(self.outcome(probe, statement_id), NOT_YET)
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.STATEMENT_TIMEOUT)
 
-    def test_the_first_statement_of_a_transaction_moves_with_its_begin(self) -> None:
+    def test_first_statement_of_transaction_moves_to_other_holder(self) -> None:
         probe = self.probe()
         probe.ask(StatementKind.BEGIN)
         self.silence_all()
@@ -114,7 +114,7 @@
         self.assertIsNone(probe.ask(StatementKind.COMMIT).failure)
         self.assertEqual(self.ran(statement_id), 1)
 
-    def test_second_reads_come_from_a_budget(self) -> None:
+    def test_second_reads_are_limited_by_budget(self) -> None:
         self.harness.services.second_reads = RetryBudget(0.0, 2.0)
         probes = [self.harness.session(Consistency.BOUNDED_STALENESS) for _ in range(3)]
         probes[0].read()
@@ -128,7 +128,7 @@
         outcomes = [self.outcome(probe, statement_id) for probe, statement_id in pairs]
         self.assertEqual(sorted(outcomes), ["done", "done", NOT_YET])
 
-    def test_a_second_read_is_the_last(self) -> None:
+    def test_read_is_resent_only_once(self) -> None:
         probe = self.probe()
         self.silence_all()
         statement_id = probe.start(StatementKind.READ, argument="thing")
@@ -140,7 +140,7 @@
         self.assertLessEqual(self.ran(statement_id), 1)
         self.assertEqual(len(probe.client.replies), 3)
 
-    def test_connections_of_a_doubted_holder_are_not_given_out_and_later_used_again(self) -> None:
+    def test_connections_of_suspected_holder_are_reused_after_recovery(self) -> None:
         probe = self.probe()
         before = len(self.harness.model.transports)
         self.judge(HolderState.DOUBTED)
@@ -151,7 +151,7 @@
         probe.read()
         self.assertEqual(len(self.harness.model.transports), before + 1)
 
-    def test_the_way_names_the_silent_holder(self) -> None:
+    def test_log_line_of_statement_names_silent_holder(self) -> None:
         probe = self.probe(Consistency.PRIMARY)
         self.silence_all()
         probe.start(StatementKind.READ, argument="thing")
@@ -167,7 +167,7 @@
         self.acquire(name)
         return self.given[-1][1]
 
-    def test_who_waits_moves_on_at_once_though_others_are_still_under_way_there(self) -> None:
+    def test_queue_is_denied_at_once_if_all_holders_are_silent(self) -> None:
         first = self.in_use("a")
         first.is_retiring = True
         self.model.databases["p"].refuse_connections = True
@@ -175,7 +175,7 @@
         self.acquire("c", wait=0.0)
         self.assertEqual(self.denied, [("b", Denial.UNREACHABLE), ("c", Denial.UNREACHABLE)])
 
-    def test_who_waits_stays_while_one_connection_is_on_a_holder_that_answers(self) -> None:
+    def test_queue_is_kept_while_one_holder_responds(self) -> None:
         self.in_use("a").is_retiring = True
         second = self.in_use("b")
         self.pool.release(self.given[0][1])
