--- a/tests/core/pooler/harness.py
+++ b/tests/core/pooler/harness.py
@@ -1,4 +1,4 @@
-"""A scheduler and a database group in memory, for tests of sessions without sockets."""
+"""In-memory scheduler, database group and sessions for tests without sockets."""
 
 import heapq
 import itertools
@@ -45,7 +45,7 @@
 
 
 class ModelScheduler:
-    """Time that moves only when a test says so."""
+    """A scheduler whose time advances only when a test calls `advance` or `freeze`."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -70,13 +70,13 @@
         self.time = end
 
     def freeze(self, seconds: float) -> None:
-        """Time passes and nothing runs, as in a process that stands still."""
+        """Advances the time without running timers, like a paused process."""
         self.time += seconds
 
 
 @dataclass
 class Ran:
-    """A statement that a database ran."""
+    """A statement that a database executed, with the state of the connection at that time."""
 
     database: str
     statement: Statement
@@ -92,7 +92,7 @@
 
 @dataclass
 class ModelDatabase:
-    """One database: its role, its log, and the faults a test sets."""
+    """A database with its role, log position and the faults that a test injects."""
 
     id: str
     role: DatabaseRole
@@ -109,7 +109,7 @@
 
 
 class ModelGroup:
-    """The databases of a group and all that they ran."""
+    """The databases of a group and the statements that they executed."""
 
     def __init__(self, scheduler: ModelScheduler) -> None:
         self.scheduler = scheduler
@@ -124,11 +124,11 @@
         self.own: list[StatementKind] = []
         self.positions: dict[str, LogPosition] = {}
         self.lag: dict[str, float | None] = {}
-        """Seconds by which a replica applies later, None while it receives nothing; absent: it
-        keeps what a test gives it."""
+        """Replication lag in seconds by replica, None while replication is stopped. A replica that
+        is absent changes its position only when a test sets it."""
 
     def replicate(self, source: str, position: LogPosition) -> None:
-        """Has the replicas apply a commit later."""
+        """Schedules the application of a commit on the replicas."""
         for name, lag in self.lag.items():
             if name != source and lag is not None:
                 self.scheduler.call_later(lag, lambda n=name: self._apply(n, position))  # type: ignore[misc]
@@ -142,10 +142,10 @@
 
     def promote(self, name: str) -> None:
         term = max(database.applied.term for database in self.databases.values()) + 1
-        kept = self.databases[name].applied
-        lost = [known for known, position in self.positions.items() if position > kept]
-        for known in lost:
-            del self.positions[known]
+        applied = self.databases[name].applied
+        lost = [write for write, position in self.positions.items() if position > applied]
+        for write in lost:
+            del self.positions[write]
         for database in self.databases.values():
             is_new = database.id == name
             database.role = DatabaseRole.PRIMARY if is_new else DatabaseRole.REPLICA
@@ -183,7 +183,7 @@
 
 
 class ModelTransport:
-    """One connection as the database sees it."""
+    """The database's end of a connection."""
 
     def __init__(
         self,
@@ -216,7 +216,7 @@
         self._on_closed(self.connection)
 
     def break_off(self) -> None:
-        """The database ends the connection."""
+        """Closes the connection from the database's side."""
         if not self.closed:
             self._end()
             self.connection.on_closed()
@@ -314,8 +314,8 @@
             applied = self.database.applied
             self.database.applied = LogPosition(applied.term, applied.offset + 1)
             self.group.commits += written
-            for known in written:
-                self.group.positions[known] = self.database.applied
+            for write in written:
+                self.group.positions[write] = self.database.applied
             self.group.replicate(self.database.id, self.database.applied)
 
     def _done(self, rows: tuple[str, ...] = (), signature: str = "-") -> Reply:
@@ -328,7 +328,7 @@
 
 
 class ModelClient:
-    """A client's side of a session."""
+    """Records what a session sends to its client."""
 
     def __init__(self) -> None:
         self.ready = 0
@@ -365,7 +365,7 @@
 
 
 class PoolerHarness:
-    """Services, one group of three databases, and sessions."""
+    """The services of a process with one group of three databases."""
 
     def __init__(
         self,
@@ -381,8 +381,8 @@
         self.suspected: list[str] = []
         self.services = PoolServices(self.scheduler, self.events.append)
         self.services.suspect = lambda group, database: self.suspected.append(database)
-        place = Locality("b", {"a": "north", "b": "north", "c": "south"})
-        self.group = Group(GROUP, place, opener or self.model, self.scheduler.now, 5.0)
+        locality = Locality("b", {"a": "north", "b": "north", "c": "south"})
+        self.group = Group(GROUP, locality, opener or self.model, self.scheduler.now, 5.0)
         self.group.set_connection_limit(limit)
         self.services.groups[GROUP] = self.group
         self._revision = 0
@@ -413,7 +413,7 @@
 
 
 class SessionProbe:
-    """A session and its client; statements get ids of their own."""
+    """A session with a recording client; assigns ids to the statements that it starts."""
 
     def __init__(
         self, harness: PoolerHarness, database: str, wait: float = 0.0, token: str = "test"
@@ -446,7 +446,7 @@
         return self.reply(statement_id)
 
     def reply(self, statement_id: str) -> Reply:
-        replies = [reply for known, reply in self.client.replies if known == statement_id]
+        replies = [reply for reply_id, reply in self.client.replies if reply_id == statement_id]
         assert len(replies) == 1, f"{len(replies)} answers"
         return replies[0]
 
--- a/tests/core/pooler/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -1,4 +1,4 @@
-"""A random day: several poolers before one group, faults, and what must hold of all that ran."""
+"""Random simulation of several poolers on one group with injected faults, and its invariants."""
 
 import random
 from dataclasses import dataclass, field
@@ -35,7 +35,7 @@
     "doubt",
 )
 BOUND_SECONDS = 1.5
-PROMISES = frozenset(
+NO_EFFECT_CODES = frozenset(
     {
         ErrorCode.OVERLOADED,
         ErrorCode.TRANSACTION_LOST,
@@ -48,7 +48,7 @@
 
 
 class LaggingGroup(ModelGroup):
-    """A group whose replicas apply later, and whose databases crash and come back."""
+    """A group whose replicas apply commits with a lag."""
 
     def __init__(self, scheduler: ModelScheduler) -> None:
         super().__init__(scheduler)
@@ -61,7 +61,7 @@
 
 @dataclass
 class Asked:
-    """A statement that a client sent."""
+    """A statement sent by a client, its answer, and the commits that it must show if it reads."""
 
     id: str
     kind: StatementKind
@@ -75,7 +75,7 @@
 
 
 class RandomClient:
-    """One session that does something random whenever it is not waiting."""
+    """A session that sends a random statement whenever it has no unanswered one."""
 
     def __init__(self, day: "RandomDay", probe: SessionProbe, consistency: Consistency) -> None:
         self.day = day
@@ -83,14 +83,14 @@
         self.consistency = consistency
         self.asked: list[Asked] = []
         self.values: dict[str, str] = {}
-        self.own_commits: set[str] = set()
+        self.session_commits: set[str] = set()
         self.transaction = 0
         self.transaction_at = 0.0
         self.writes_open: list[str] = []
         self.next_at = 0.0
 
     def act(self, now: float) -> None:
-        self._take_answer(now)
+        self._record_answer(now)
         waiting = self.asked and self.asked[-1].reply is None
         if waiting or now < self.next_at:
             return
@@ -128,19 +128,19 @@
         self.asked.append(asked)
         asked.id = self.probe.start(kind, name, value)
         self.day.statements[asked.id] = (self, asked)
-        self._take_answer(now)
+        self._record_answer(now)
 
-    def _take_answer(self, now: float) -> None:
+    def _record_answer(self, now: float) -> None:
         asked = self.asked[-1] if self.asked else None
         if asked is None or asked.reply is not None:
             return
-        for known, reply in self.probe.client.replies:
-            if known == asked.id:
+        for statement_id, reply in self.probe.client.replies:
+            if statement_id == asked.id:
                 asked.reply = reply
                 asked.answered_at = now
-                self._note(asked, reply)
+                self._apply_reply(asked, reply)
 
-    def _note(self, asked: Asked, reply: Reply) -> None:
+    def _apply_reply(self, asked: Asked, reply: Reply) -> None:
         done = reply.failure is None
         if asked.kind is StatementKind.WRITE and done and not asked.transaction:
             self._committed([asked.id], asked.answered_at)
@@ -154,25 +154,25 @@
             self.writes_open = []
 
     def _committed(self, ids: list[str], now: float) -> None:
-        self.own_commits.update(ids)
+        self.session_commits.update(ids)
         self.day.acknowledged.update(dict.fromkeys(ids, now))
 
 
 class RandomDay:
-    """Plays a day from a seed; `violations` tells what did not hold.
+    """Simulates a day from a seed; `violations` returns the broken invariants.
 
-    is_shared: all but the first pooler go through the connections of the first. is_told: databases
-    are chosen by what holders tell.
+    is_shared: all poolers but the first use the connections of the first. uses_load_reports:
+    databases are chosen by reported load.
     """
 
-    def __init__(self, seed: int, is_shared: bool = False, is_told: bool = False) -> None:
+    def __init__(self, seed: int, is_shared: bool = False, uses_load_reports: bool = False) -> None:
         self.random = random.Random(seed)
         self.faults = (*FAULTS, "link") if is_shared else FAULTS
         self.scheduler = ModelScheduler()
         self.group = LaggingGroup(self.scheduler)
         holder = PoolerHarness(4, True, self.scheduler, self.group)
         self.poolers = [holder, *(self._pooler(holder, is_shared) for _ in range(1, POOLERS))]
-        if is_told:
+        if uses_load_reports:
             for number, pooler in enumerate(self.poolers):
                 draw = random.Random(f"{seed} {number}").random
                 pooler.group.choice = ReadChoice(self.scheduler.now, draw)
@@ -209,26 +209,30 @@
         return self
 
     def commits_needed(self, client: RandomClient, started: float) -> set[str]:
-        """Returns the commits that a read begun now must show."""
+        """Returns the commits that a read started at `started` must show."""
         since = {
             Consistency.PRIMARY: started,
             Consistency.BOUNDED_STALENESS: started - BOUND_SECONDS,
             Consistency.READ_OWN_WRITES: started - BOUND_SECONDS,
         }[client.consistency]
-        needed = {known for known, at in self.acknowledged.items() if at < since}
+        required = {statement_id for statement_id, at in self.acknowledged.items() if at < since}
         if client.consistency is not Consistency.BOUNDED_STALENESS:
-            own = client.own_commits
-            needed |= {known for known in own if self.acknowledged[known] < started}
-        return needed
+            commits = client.session_commits
+            required |= {
+                statement_id
+                for statement_id in commits
+                if self.acknowledged[statement_id] < started
+            }
+        return required
 
     def violations(self) -> list[str]:
         return [
-            *self._twice(),
-            *self._kept_against_promise(),
-            *self._stale(),
+            *self._executed_twice(),
+            *self._committed_after_refusal(),
+            *self._stale_reads(),
             *self._mixed_values(),
             *self._mixed_transactions(),
-            *self._unanswered(),
+            *self._unanswered_statements(),
         ]
 
     def _fault(self) -> None:
@@ -275,50 +279,55 @@
         self.scheduler.call_later(self.random.uniform(0.2, 2.0), lambda: _wake(database))
 
     def _promote(self) -> None:
-        """Any replica may be made primary at any moment, and the word of it comes late."""
+        """Promotes a random replica; the poolers get the new records with random delays."""
         replicas = [d.id for d in self.group.databases.values() if d is not self.group.primary]
         chosen = self.random.choice(replicas)
         if self.random.random() < 0.5:
             self.group.lag[self.group.primary.id] = None
         self.group.promote(chosen)
-        kept = self.group.databases[chosen].applied
+        position = self.group.databases[chosen].applied
         for database in self.group.databases.values():
             if database.id != chosen and self.group.lag[database.id] is not None:
-                database.applied = LogPosition(kept.term, kept.offset)
+                database.applied = LogPosition(position.term, position.offset)
         for pooler in self.poolers:
             for name in self.group.databases:
                 delay = self.random.uniform(0.0, 2.5)
                 self.scheduler.call_later(delay, lambda p=pooler, n=name: p.announce(n))  # type: ignore[misc]
 
-    def _twice(self) -> list[str]:
+    def _executed_twice(self) -> list[str]:
         commits = self.group.commits
-        return [f"{known} took effect twice" for known in set(commits) if commits.count(known) > 1]
+        return [
+            f"{statement_id} took effect twice"
+            for statement_id in set(commits)
+            if commits.count(statement_id) > 1
+        ]
 
-    def _kept_against_promise(self) -> list[str]:
+    def _committed_after_refusal(self) -> list[str]:
         found = []
-        kept = set(self.group.commits)
+        committed = set(self.group.commits)
         for client in self.clients:
             refused = {
                 asked.transaction
                 for asked in client.asked
-                if asked.transaction and _is_promise(asked.reply)
+                if asked.transaction and _promises_no_effect(asked.reply)
             }
             for asked in client.asked:
-                alone = not asked.transaction and _is_promise(asked.reply)
-                if asked.id in kept and (alone or asked.transaction in refused):
-                    found.append(f"{asked.id} is kept, though the client was told that it is not")
+                alone = not asked.transaction and _promises_no_effect(asked.reply)
+                if asked.id in committed and (alone or asked.transaction in refused):
+                    found.append(f"{asked.id} took effect although the client got a refusal")
         return found
 
-    def _stale(self) -> list[str]:
+    def _stale_reads(self) -> list[str]:
         found = []
         for ran in self.group.ran:
             client, asked = self.statements[ran.statement.id]
             if ran.statement.kind is not StatementKind.READ:
                 continue
             missing = [
-                known
-                for known in asked.floor_commits
-                if known in self.group.positions and self.group.positions[known] > ran.applied
+                statement_id
+                for statement_id in asked.floor_commits
+                if statement_id in self.group.positions
+                and self.group.positions[statement_id] > ran.applied
             ]
             if missing:
                 found.append(f"{client.consistency} read {asked.id} misses {missing[0]}")
@@ -338,12 +347,12 @@
             asked = self.statements[ran.statement.id][1]
             if not asked.transaction:
                 continue
-            known = connections.setdefault(asked.transaction, ran.connection)
-            if known != ran.connection or not ran.in_transaction:
+            first = connections.setdefault(asked.transaction, ran.connection)
+            if first != ran.connection or not ran.in_transaction:
                 found.append(f"{asked.id} ran outside its transaction")
         return found
 
-    def _unanswered(self) -> list[str]:
+    def _unanswered_statements(self) -> list[str]:
         found = []
         for client in self.clients:
             client.act(self.scheduler.time)
@@ -357,5 +366,5 @@
     database.silent = False
 
 
-def _is_promise(reply: Reply | None) -> bool:
-    return reply is not None and reply.failure is not None and reply.failure.code in PROMISES
+def _promises_no_effect(reply: Reply | None) -> bool:
+    return reply is not None and reply.failure is not None and reply.failure.code in NO_EFFECT_CODES
--- a/tests/core/pooler/sharing/model_channels.py
+++ b/tests/core/pooler/sharing/model_channels.py
@@ -1,4 +1,4 @@
-"""Channels to a holder in memory, for tests of sharing without sockets."""
+"""In-memory channels to a holder, for tests of sharing without sockets."""
 
 from collections import deque
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 
 class ModelChannels:
-    """Opens channels to one holder; `lose_all` is the end of the link to it."""
+    """Opens channels to a holder; `lose_all` simulates the loss of the link."""
 
     def __init__(self, holder: PoolerHarness) -> None:
         self.holder = holder
@@ -57,7 +57,7 @@
 
 
 class ModelChannel:
-    """Both ends of one channel; messages pass through the codec and arrive in order."""
+    """Both ends of a channel; messages are encoded, decoded and delivered in order."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         self.connection = DatabaseConnection(database_id, self)
         self.is_over = False
         self.sent_at: deque[float] = deque()
-        self._teller = LoadReporter()
+        self._load_reporter = LoadReporter()
         self._closed = closed
         holder = channels.holder
         self.session = ChannelSession(
             "peer/1", holder.services, holder.group, database_id, self, caller
         )
 
-    # As the transport of the peer's connection.
+    # Transport of the peer's connection.
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
         now = self.scheduler.now()
@@ -100,20 +100,22 @@
         self.scheduler.call_later(ROUND_TRIP / 2, self.session.close)
         self._closed(self.connection)
 
-    # As the transport of the holder's session.
+    # Transport of the holder's session.
 
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
         report = self.channels.holder.group.load_report(self.connection.database_id)
-        load = None if report is None else self._teller.due_report(report, self.scheduler.now())
+        load = (
+            None if report is None else self._load_reporter.due_report(report, self.scheduler.now())
+        )
         data = encode(channel_reply(1, reply, proof, load))
 
         def arrive() -> None:
             if not self.is_over:
-                self._take(decode(data))  # type: ignore[arg-type]
+                self._on_reply(decode(data))  # type: ignore[arg-type]
 
         self.scheduler.call_later(ROUND_TRIP / 2, arrive)
 
-    def _take(self, message: ChannelReply) -> None:
+    def _on_reply(self, message: ChannelReply) -> None:
         sent_at = self.sent_at.popleft()
         if message.proof is not None:
             true_at = sent_at - message.proof.age_seconds
@@ -134,7 +136,7 @@
 
 
 class SharingHarness(PoolerHarness):
-    """A pooler whose statements go through a holder."""
+    """A pooler that sends its statements through a holder."""
 
     def __init__(self, holder: PoolerHarness, model: ModelGroup | None = None) -> None:
         self.channels = ModelChannels(holder)
--- a/tests/core/pooler/sharing/test_channel_session.py
+++ b/tests/core/pooler/sharing/test_channel_session.py
@@ -1,4 +1,4 @@
-"""A pooler whose statements run on another's connections: sessions, transactions, each loss."""
+"""Guards statements that run on the connections of another process, and losses on the way."""
 
 import unittest
 
@@ -43,7 +43,7 @@
         sessions = [self.pooler.session(Consistency.PRIMARY) for _ in range(12)]
         ids = [session.start(StatementKind.WRITE, argument="t d") for session in sessions]
         self.scheduler.advance(0.4)
-        replies = [s.reply(known) for s, known in zip(sessions, ids, strict=True)]
+        replies = [s.reply(statement_id) for s, statement_id in zip(sessions, ids, strict=True)]
         self.assertEqual([reply.failure for reply in replies], [None] * 12)
         self.assertLessEqual(self.model.databases["p"].open_connections, 2)
 
@@ -70,11 +70,8 @@
                 self.assertEqual(len(self.model.commits), int(is_done))
 
     def test_wait_limit_of_statement_at_holder(self) -> None:
-        """By use: its time, less 0.1 s for its way, or 0.4 s where the database runs nothing else.
-
-        Without use 0.25 s. In all cases 35 ms besides: a pause of 15 before the last try, the try
-        of 12, and the way back.
-        """
+        """With useful waits the limit is the timeout less 0.1 s for the round trip, or 0.4 s if the
+        database runs nothing else; without them 0.25 s. The last attempt adds up to 35 ms."""
         for is_useful, timeout, runs_others, limit in (
             (True, 0.5, True, 0.4),
             (True, 0.8, True, 0.7),
@@ -94,15 +91,15 @@
                 )
                 self.model.databases["p"].fail_next = [ErrorCode.OVERLOADED] * 500
                 session = self.pooler.session()
-                known = session.start(StatementKind.WRITE, argument="t d")
+                statement_id = session.start(StatementKind.WRITE, argument="t d")
                 self.pass_time(limit * 0.8, runs_others)
                 self.assertEqual(session.client.replies, [])
                 self.pass_time(limit * 0.2 + 0.035, runs_others)
-                code = session.reply(known).failure.code  # type: ignore[union-attr]
+                code = session.reply(statement_id).failure.code  # type: ignore[union-attr]
                 self.assertEqual(code, ErrorCode.OVERLOADED)
 
     def pass_time(self, seconds: float, runs_others: bool) -> None:
-        """The database may run other statements of the holder meanwhile."""
+        """Advances the time; the database may run other statements of the holder."""
         end = self.scheduler.time + seconds
         while self.scheduler.time < end:
             self.scheduler.advance(min(0.1, end - self.scheduler.time))
@@ -111,7 +108,7 @@
                 pool.note_answer(StatementKind.READ, Reply(TransactionState.IDLE))
 
     def test_burst_is_served_within_statement_timeout(self) -> None:
-        """24 writes of 50 ms on two connections end after 0.65 s, and each has 0.8 s."""
+        """24 writes of 50 ms on two connections take 0.65 s; the timeout is 0.8 s."""
         for is_useful in (True, False):
             with self.subTest(is_useful):
                 self.setUp()
@@ -122,12 +119,14 @@
                 sessions = [self.pooler.session(Consistency.PRIMARY) for _ in range(24)]
                 ids = [s.start(StatementKind.WRITE, argument="t d") for s in sessions]
                 self.scheduler.advance(0.8)
-                replies = [s.reply(known) for s, known in zip(sessions, ids, strict=True)]
+                replies = [
+                    s.reply(statement_id) for s, statement_id in zip(sessions, ids, strict=True)
+                ]
                 refused = sum(reply.failure is not None for reply in replies)
                 self.assertEqual(refused == 0, is_useful)
 
     def test_begin_of_transaction_may_wait_longer_than_setup_timeout(self) -> None:
-        """Both connections are in use for 0.45 s of the 0.8 that a statement has."""
+        """Both connections are in use for 0.45 s of the timeout of 0.8 s."""
         for is_useful in (True, False):
             with self.subTest(is_useful):
                 self.setUp()
@@ -147,7 +146,7 @@
                 self.assertEqual(reply.failure is None, is_useful)
 
     def test_refused_statements_are_retried_at_promised_time(self) -> None:
-        """Forty of 50 ms: the last are told at once, by moments of their own, and not before."""
+        """Of 40 writes of 50 ms the last are refused at once, each with a retry time of its own."""
         self.model.databases["p"].work = 0.05
         warm = [self.pooler.session(Consistency.PRIMARY) for _ in range(2)]
         for session in warm:
@@ -161,7 +160,7 @@
         self.assertEqual(len({failure.come_back_ms for failure in refused}), len(refused))
         self.assertTrue(all(500 < failure.come_back_ms < 1200 for failure in refused))
         self.scheduler.advance(0.8)
-        replies = [s.reply(known) for s, known in zip(sessions, ids, strict=True)]
+        replies = [s.reply(statement_id) for s, statement_id in zip(sessions, ids, strict=True)]
         self.assertGreaterEqual(sum(reply.failure is None for reply in replies), 20)
 
     def test_holder_resends_statement_in_transaction(
@@ -173,12 +172,12 @@
         self.model.databases["p"].fail_next = [ErrorCode.OVERLOADED] * 3
         self.assertIsNone(session.write().failure)
         self.assertIsNone(session.ask(StatementKind.COMMIT).failure)
-        ways = [answered.way for answered in session.answered()]
-        self.assertFalse([way for way in ways if "overloaded" in way])
+        attempts = [answered.way for answered in session.answered()]
+        self.assertFalse([each for each in attempts if "overloaded" in each])
         self.assertEqual(len(self.model.commits), 2)
 
     def test_status_request_of_peer_needs_no_slot(self) -> None:
-        """One statement is let in and takes half a second; who leads is asked meanwhile."""
+        """The status request is answered while the only admitted statement runs for 0.5 s."""
         warm = [self.pooler.session() for _ in range(2)]
         for session in warm:
             session.start(StatementKind.WRITE, argument="t d")
@@ -201,7 +200,7 @@
         self.assertEqual([reply is None or reply.failure for reply in replies], [None])
 
     def test_idle_transaction_occupies_no_slot(self) -> None:
-        """Before a full database one statement is let in; BEGIN takes that place for a moment."""
+        """A full database admits one statement; an answered BEGIN must not occupy its slot."""
         warm = [self.pooler.session() for _ in range(2)]
         for session in warm:
             session.start(StatementKind.WRITE, argument="t d")
@@ -262,20 +261,20 @@
 
     def test_lost_link_leaves_write_with_unknown_outcome(self) -> None:
         session = self.pooler.session()
-        known = session.start(StatementKind.WRITE, argument="t d")
+        statement_id = session.start(StatementKind.WRITE, argument="t d")
         self.scheduler.advance(0.006)
         self.pooler.channels.lose_all()
         self.scheduler.advance(1.0)
-        self.assertEqual(session.reply(known).failure.code, ErrorCode.CONNECTION_LOST)
+        self.assertEqual(session.reply(statement_id).failure.code, ErrorCode.CONNECTION_LOST)
         self.assertIsNone(session.write().failure)
 
     def test_lost_link_reruns_read(self) -> None:
         session = self.pooler.session()
-        known = session.start(StatementKind.READ, argument="t")
+        statement_id = session.start(StatementKind.READ, argument="t")
         self.scheduler.advance(0.008)
         self.pooler.channels.lose_all()
         self.scheduler.advance(0.5)
-        self.assertIsNone(session.reply(known).failure)
+        self.assertIsNone(session.reply(statement_id).failure)
 
     def test_lost_link_rolls_back_transaction(self) -> None:
         session = self.pooler.session()
--- a/tests/core/pooler/sharing/test_holders.py
+++ b/tests/core/pooler/sharing/test_holders.py
@@ -1,4 +1,4 @@
-"""Who holds a database's connections: shares, holders near it, the same view everywhere."""
+"""Guards the distribution of a database's connections over processes and holders."""
 
 import unittest
 
@@ -17,7 +17,7 @@
     return {f"n{n}": Member(f"10.0.0.{n}:1", ZONES[n % 3]) for n in range(count)}
 
 
-def from_zone_a(zone: str) -> int:
+def distance_from_zone_a(zone: str) -> int:
     return 0 if zone == "a" else 2
 
 
@@ -25,49 +25,69 @@
     def test_few_processes_divide_connections_equally(self) -> None:
         for count in (1, 3, 7, 11):
             for name in members(count):
-                holding = holding_of(name, "d", 36, members(count), from_zone_a)
+                holding = holding_of(name, "d", 36, members(count), distance_from_zone_a)
                 self.assertEqual(holding.connections, 33 // count)
                 self.assertTrue(holding.is_direct)
 
     def test_sum_of_connections_stays_within_limit(self) -> None:
         for limit in (1, 4, 36, 40, 100):
             for count in (1, 2, 7, 12, 73, 300):
-                known = members(count)
+                all_members = members(count)
                 planned = sum(
-                    holding_of(name, "d", limit, known, from_zone_a).connections for name in known
+                    holding_of(name, "d", limit, all_members, distance_from_zone_a).connections
+                    for name in all_members
                 )
                 self.assertGreaterEqual(planned, 1)
                 self.assertLessEqual(planned, max(usable_connections(limit), 2), (limit, count))
 
     def test_nearest_processes_become_holders(self) -> None:
-        known = members(73)
-        holdings = {name: holding_of(name, "d", 40, known, from_zone_a) for name in known}
+        all_members = members(73)
+        holdings = {
+            name: holding_of(name, "d", 40, all_members, distance_from_zone_a)
+            for name in all_members
+        }
         holders = {name for name, holding in holdings.items() if holding.is_direct}
         self.assertEqual(len(holders), 36 // 8)
-        self.assertEqual({known[name].zone for name in holders}, {"a"})
+        self.assertEqual({all_members[name].zone for name in holders}, {"a"})
         for name, holding in holdings.items():
             if name not in holders:
                 self.assertEqual(set(holding.holders[: len(holders)]), holders)
                 self.assertNotIn(name, holding.holders)
 
     def test_other_processes_spread_over_holders(self) -> None:
-        known = members(73)
-        first = [holding_of(name, "d", 40, known, from_zone_a).holders[:1] for name in known]
+        all_members = members(73)
+        first = [
+            holding_of(name, "d", 40, all_members, distance_from_zone_a).holders[:1]
+            for name in all_members
+        ]
         counts = [first.count(choice) for choice in set(first) if choice]
         self.assertGreaterEqual(min(counts), 8)
 
     def test_removed_member_changes_one_holder_at_most(self) -> None:
-        known = members(73)
-        holders = {n for n in known if holding_of(n, "d", 40, known, from_zone_a).is_direct}
-        rest = {name: member for name, member in known.items() if name != sorted(holders)[0]}
-        later = {n for n in rest if holding_of(n, "d", 40, rest, from_zone_a).is_direct}
+        all_members = members(73)
+        holders = {
+            n
+            for n in all_members
+            if holding_of(n, "d", 40, all_members, distance_from_zone_a).is_direct
+        }
+        remaining = {
+            name: member for name, member in all_members.items() if name != sorted(holders)[0]
+        }
+        later = {
+            n
+            for n in remaining
+            if holding_of(n, "d", 40, remaining, distance_from_zone_a).is_direct
+        }
         self.assertEqual(len(later - holders), 1)
 
     def test_holders_are_used_below_minimum_of_direct_connections(self) -> None:
         self.assertGreaterEqual(share_of_connections(36, 11), LEAST_DIRECT_SHARE)
         self.assertLess(share_of_connections(36, 12), LEAST_DIRECT_SHARE)
         self.assertFalse(
-            all(holding_of(n, "d", 36, members(12), from_zone_a).is_direct for n in members(12))
+            all(
+                holding_of(n, "d", 36, members(12), distance_from_zone_a).is_direct
+                for n in members(12)
+            )
         )
 
 
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -1,4 +1,4 @@
-"""Tables passed on from process to process: caches, deltas, who reads and who follows whom."""
+"""Guards the distribution of table changes: caches, deltas, readers and followers."""
 
 import random
 import unittest
@@ -79,35 +79,35 @@
             with self.subTest(seed):
                 self._play(random.Random(seed))
 
-    def _play(self, chance: random.Random) -> None:
-        truth: dict[str, StoreRow] = {}
+    def _play(self, rng: random.Random) -> None:
+        expected_rows: dict[str, StoreRow] = {}
         caches = [TableCache() for _ in range(4)]
         caches[0].replace([], 0)
-        known = [dict[str, StoreRow]() for _ in caches]
+        followed_rows = [dict[str, StoreRow]() for _ in caches]
         version = 0
         for _ in range(200):
-            if chance.random() < 0.05:
-                # It starts again and reads the table as a whole.
-                begun = chance.randrange(1, 4)
-                caches[begun] = TableCache()
-                caches[begun].replace(list(truth.values()), version)
-                known[begun] = dict(truth)
-            version += chance.randrange(1, 4)
-            key = f"k{chance.randrange(8)}"
-            gone = key in truth and chance.random() < 0.4
+            if rng.random() < 0.05:
+                # A follower restarts and reads the whole table.
+                restarted = rng.randrange(1, 4)
+                caches[restarted] = TableCache()
+                caches[restarted].replace(list(expected_rows.values()), version)
+                followed_rows[restarted] = dict(expected_rows)
+            version += rng.randrange(1, 4)
+            key = f"k{rng.randrange(8)}"
+            gone = key in expected_rows and rng.random() < 0.4
             change = row(key, version, gone)
-            truth.pop(key, None) if gone else truth.update({key: change})
+            expected_rows.pop(key, None) if gone else expected_rows.update({key: change})
             caches[0].update([change], version)
-            follower = chance.randrange(1, 4)
-            self._follow(caches, known, follower, chance.randrange(follower))
+            follower = rng.randrange(1, 4)
+            self._follow(caches, followed_rows, follower, rng.randrange(follower))
         for follower in (1, 2, 3):
-            self._follow(caches, known, follower, follower - 1)
-            self.assertEqual(known[follower], truth)
+            self._follow(caches, followed_rows, follower, follower - 1)
+            self.assertEqual(followed_rows[follower], expected_rows)
 
     def _follow(
         self,
         caches: list[TableCache],
-        known: list[dict[str, StoreRow]],
+        followed_rows: list[dict[str, StoreRow]],
         follower: int,
         source: int,
     ) -> None:
@@ -120,14 +120,14 @@
             delta = caches[source].delta(-1)
         if delta.is_whole:
             caches[follower].replace(delta.rows, delta.version)
-            known[follower] = {each.key: each for each in delta.rows}
+            followed_rows[follower] = {each.key: each for each in delta.rows}
             return
         caches[follower].update(delta.rows, delta.version)
         for each in delta.rows:
             if each.gone:
-                known[follower].pop(each.key, None)
+                followed_rows[follower].pop(each.key, None)
             else:
-                known[follower][each.key] = each
+                followed_rows[follower][each.key] = each
 
     def test_follower_older_than_remembered_removals_gets_whole_table(self) -> None:
         cache = TableCache()
@@ -158,11 +158,11 @@
                 plans = plans_of(count, regions)
                 readers = {name for name, plan in plans.items() if plan.is_reader}
                 self.assertEqual(len(readers), READERS)
-                places = {int(name[1:]) % regions for name in readers}
-                self.assertEqual(len(places), min(regions, READERS))
+                regions_of_readers = {int(name[1:]) % regions for name in readers}
+                self.assertEqual(len(regions_of_readers), min(regions, READERS))
 
     def test_followers_reach_a_reader_in_few_steps(self) -> None:
-        for count, most in ((MOST_READING_ALL + 1, 1), (73, 2), (850, 3)):
+        for count, max_steps in ((MOST_READING_ALL + 1, 1), (73, 2), (850, 3)):
             plans = plans_of(count, 2)
             readers = {name for name, plan in plans.items() if plan.is_reader}
             for name in plans.keys() - readers:
@@ -170,13 +170,13 @@
                 while not plans[at].is_reader:
                     at = plans[at].sources[0]
                     steps += 1
-                self.assertLessEqual(steps, most)
+                self.assertLessEqual(steps, max_steps)
                 self.assertTrue(readers <= set(plans[name].sources))
                 self.assertNotIn(name, plans[name].sources)
 
     def test_slack_covers_delay_of_last_follower(self) -> None:
-        way = 3 * 0.1
-        self.assertLess(way + 0.1, FOLLOWED_SLACK_SECONDS)
+        transmission_seconds = 3 * 0.1
+        self.assertLess(transmission_seconds + 0.1, FOLLOWED_SLACK_SECONDS)
         self.assertLess(HOLD_SECONDS, 1.0)
 
     def test_only_one_follower_per_region_without_reader_is_remote(self) -> None:
@@ -191,19 +191,19 @@
     def test_number_of_followers_is_bounded(self) -> None:
         plans = plans_of(850, 2)
         first = [plan.sources[:1] for plan in plans.values()]
-        most = max(first.count(choice) for choice in set(first) if choice)
-        self.assertLessEqual(most, FOLLOWERS_PER_PROCESS)
+        max_followers = max(first.count(choice) for choice in set(first) if choice)
+        self.assertLessEqual(max_followers, FOLLOWERS_PER_PROCESS)
 
 
 class KeysTest(unittest.TestCase):
     def setUp(self) -> None:
         self.source = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
-        self.seen: list[str] = []
+        self.snapshot_keys: list[str] = []
         self.follower = FollowedTable("op", 1.0, self._snapshot, lambda *_: None)
         self.follower.take(TableDelta((row("a", 1), row("b", 2)), 2, True), 10.0)
 
     def _snapshot(self, rows: tuple[StoreRow, ...], _version: int) -> None:
-        self.seen = [each.key for each in rows]
+        self.snapshot_keys = [each.key for each in rows]
 
     def ask(self) -> bool:
         asked = self.follower.asked_after
@@ -222,7 +222,7 @@
         self.assertFalse(self.ask())
         self.assertEqual((self.follower.version, self.follower.confirmed_at), (2, 10.0))
         self.assertTrue(self.ask())
-        self.assertEqual((self.seen, self.follower.version), (["b"], 5))
+        self.assertEqual((self.snapshot_keys, self.follower.version), (["b"], 5))
         self.assertEqual(self.follower.asked_after, 5)
 
     def test_follower_without_key_comparison_gets_whole_table(self) -> None:
--- a/tests/core/pooler/test_exhausted_databases.py
+++ b/tests/core/pooler/test_exhausted_databases.py
@@ -1,4 +1,4 @@
-"""Which databases a statement asks no more, and when it is told to come back."""
+"""Databases that a statement no longer tries after refusals, and the retry time sent to clients."""
 
 import unittest
 
@@ -21,11 +21,11 @@
 from dewledge.errors import ErrorCode
 from tests.core.pooler.harness import PoolerHarness, route
 
-IN_70_MS = Failure(ErrorCode.OVERLOADED, "full", 70)
-UNTOLD = Failure(ErrorCode.OVERLOADED, "full")
+RETRY_IN_70_MS = Failure(ErrorCode.OVERLOADED, "full", 70)
+WITHOUT_RETRY_TIME = Failure(ErrorCode.OVERLOADED, "full")
 
 
-class ExhaustedTest(unittest.TestCase):
+class ExhaustedDatabasesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
         self.now = self.harness.scheduler.now()
@@ -33,13 +33,13 @@
 
     def test_database_is_retried_at_its_promised_time(self) -> None:
         self.exhausted.note_tried("p", self.now)
-        self.exhausted.note_overloaded("p", IN_70_MS, self.now + 0.1)
+        self.exhausted.note_overloaded("p", RETRY_IN_70_MS, self.now + 0.1)
         self.assertFalse(self.exhausted.may_ask("p", self.now + 0.169))
         self.assertTrue(self.exhausted.may_ask("p", self.now + 0.171))
         self.assertAlmostEqual(self.exhausted.next_room_at(["p"]) or 0.0, self.now + 0.17)
 
     def test_database_that_keeps_refusing_is_exhausted(self) -> None:
-        for failure in (IN_70_MS, UNTOLD):
+        for failure in (RETRY_IN_70_MS, WITHOUT_RETRY_TIME):
             with self.subTest(failure=failure):
                 exhausted = ExhaustedDatabases(self.harness.group)
                 exhausted.note_tried("p", self.now)
@@ -54,7 +54,7 @@
     def test_database_that_serves_other_statements_is_not_exhausted(self) -> None:
         self.exhausted.note_tried("p", self.now)
         self.harness.group.pool("p").served_at = self.now + EXHAUSTED_SECONDS / 2
-        self.exhausted.note_overloaded("p", UNTOLD, self.now + EXHAUSTED_SECONDS)
+        self.exhausted.note_overloaded("p", WITHOUT_RETRY_TIME, self.now + EXHAUSTED_SECONDS)
         self.assertTrue(self.exhausted.may_ask("p", self.now + EXHAUSTED_SECONDS))
 
     def test_earliest_promised_time_is_used(self) -> None:
@@ -65,11 +65,11 @@
     def test_refusals_are_ignored_without_useful_waits(self) -> None:
         exhausted = NeverExhausted(self.harness.group)
         exhausted.note_tried("p", self.now)
-        exhausted.note_overloaded("p", IN_70_MS, self.now + EXHAUSTED_SECONDS)
+        exhausted.note_overloaded("p", RETRY_IN_70_MS, self.now + EXHAUSTED_SECONDS)
         self.assertTrue(exhausted.may_ask("p", self.now))
 
 
-class ComeBackTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
         self.now = self.harness.scheduler.now()
@@ -86,27 +86,27 @@
         )
         self.target = Target(self.harness.group.view.databases["p"], Proof.NONE)
 
-    def seconds(self, target: Target | None, lacks_primary: bool = False) -> float:
+    def retry_after(self, target: Target | None, lacks_primary: bool = False) -> float:
         return seconds_after_search(self.scope, target, self.exhausted, lacks_primary)
 
     def test_retry_after_is_earliest_time_promised_by_a_database(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
         self.exhausted.note_room_at("r1", self.now + 0.2)
         self.exhausted.note_room_at("r2", self.now - 0.1)
-        self.assertAlmostEqual(self.seconds(self.target), 0.2)
+        self.assertAlmostEqual(self.retry_after(self.target), 0.2)
 
     def test_retry_after_falls_back_to_queue_of_last_target(self) -> None:
-        first, second = self.seconds(self.target), self.seconds(self.target)
+        first, second = self.retry_after(self.target), self.retry_after(self.target)
         self.assertLess(first, second)
         self.assertEqual(self.harness.services.returns, {})
 
     def test_retry_after_falls_back_to_group(self) -> None:
-        self.assertAlmostEqual(self.seconds(None), COME_BACK_OVERLOADED_MS / 1000)
-        self.assertGreater(self.seconds(None), COME_BACK_OVERLOADED_MS / 1000)
+        self.assertAlmostEqual(self.retry_after(None), COME_BACK_OVERLOADED_MS / 1000)
+        self.assertGreater(self.retry_after(None), COME_BACK_OVERLOADED_MS / 1000)
 
     def test_retry_after_without_primary_covers_failover(self) -> None:
-        seconds = self.seconds(self.target, lacks_primary=True)
-        self.assertAlmostEqual(seconds, COME_BACK_NO_PRIMARY_MS / 1000)
+        retry_after = self.retry_after(self.target, lacks_primary=True)
+        self.assertAlmostEqual(retry_after, COME_BACK_NO_PRIMARY_MS / 1000)
 
     def test_fixed_waits_use_fixed_retry_after(self) -> None:
         self.exhausted.note_room_at("p", self.now + 0.3)
--- a/tests/core/pooler/test_freshness.py
+++ b/tests/core/pooler/test_freshness.py
@@ -1,4 +1,4 @@
-"""Proven positions, the view of a group, and the targets that follow from both."""
+"""Guards proven positions, the view of a group and the resulting read targets."""
 
 import unittest
 
@@ -45,16 +45,16 @@
     def test_floor_by_consistency(self) -> None:
         history = FreshnessHistory()
         history.record(100.0, LogPosition(1, 7))
-        own = LogPosition(1, 9)
+        session_position = LogPosition(1, 9)
         cases = (
-            (Consistency.PRIMARY, own, None),
-            (Consistency.BOUNDED_STALENESS, own, LogPosition(1, 7)),
-            (Consistency.READ_OWN_WRITES, own, own),
+            (Consistency.PRIMARY, session_position, None),
+            (Consistency.BOUNDED_STALENESS, session_position, LogPosition(1, 7)),
+            (Consistency.READ_OWN_WRITES, session_position, session_position),
             (Consistency.READ_OWN_WRITES, None, LogPosition(1, 7)),
             (Consistency.READ_OWN_WRITES, LogPosition(1, 2), LogPosition(1, 7)),
         )
         for consistency, session_floor, expected in cases:
-            with self.subTest(consistency=consistency, own=session_floor):
+            with self.subTest(consistency=consistency, session_floor=session_floor):
                 floor = read_floor(route(consistency), history, ReadNeed(100.5, session_floor))
                 self.assertEqual(floor, expected)
 
--- a/tests/core/pooler/test_proof_seeking.py
+++ b/tests/core/pooler/test_proof_seeking.py
@@ -1,4 +1,4 @@
-"""Reads that find no floor: one goes to the primary, and its answer serves the others."""
+"""Guards against flooding the primary with reads when no log position is proven."""
 
 import unittest
 
@@ -23,8 +23,8 @@
             database.work = 0.03
         started = self.start_reads(40)
         self.scheduler.advance(1.0)
-        for session, known in started:
-            self.assertIsNone(session.reply(known).failure)
+        for session, statement_id in started:
+            self.assertIsNone(session.reply(statement_id).failure)
         self.assertEqual(self.model.own.count(StatementKind.BEGIN), 1)
         served = {ran.database for ran in self.model.ran}
         self.assertTrue({"r1", "r2"} <= served)
@@ -33,8 +33,8 @@
         self.model.databases["p"].break_answers = 1
         started = self.start_reads(6)
         self.scheduler.advance(0.6)
-        for session, known in started:
-            self.assertIsNone(session.reply(known).failure)
+        for session, statement_id in started:
+            self.assertIsNone(session.reply(statement_id).failure)
 
     def test_slow_proof_request_does_not_block_other_reads(self) -> None:
         first = self.start_reads(1)
@@ -42,8 +42,8 @@
         self.model.databases["p"].lose_answers = 1
         others = self.start_reads(3)
         self.scheduler.advance(0.9)
-        for session, known in others:
-            self.assertIsNone(session.reply(known).failure)
+        for session, statement_id in others:
+            self.assertIsNone(session.reply(statement_id).failure)
         self.assertEqual(len(first), 1)
 
     def test_read_goes_to_primary_itself_after_waiting(self) -> None:
@@ -52,16 +52,16 @@
         self.scheduler.advance(0.001)
         others = self.start_reads(3)
         self.scheduler.advance(0.9)
-        for session, known in others:
-            self.assertIsNone(session.reply(known).failure)
+        for session, statement_id in others:
+            self.assertIsNone(session.reply(statement_id).failure)
 
     def test_ended_session_releases_waiting_reads(self) -> None:
         ((leaver, _),) = self.start_reads(1)
         others = self.start_reads(3)
         leaver.session.end()
         self.scheduler.advance(0.3)
-        for session, known in others:
-            self.assertIsNone(session.reply(known).failure)
+        for session, statement_id in others:
+            self.assertIsNone(session.reply(statement_id).failure)
 
 
 class ProofThroughHolderTest(unittest.TestCase):
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -1,7 +1,5 @@
-"""What must hold on random days: stale, mixed, twice, kept against a promise, unanswered.
-
-DEWLEDGE_DAYS sets how many; each failing seed is printed.
-"""
+"""Random simulations against stale reads, mixed sessions, lost or repeated writes, lost answers.
+DEWLEDGE_DAYS sets the number of seeds; a failing seed is printed."""
 
 import os
 import unittest
@@ -34,7 +32,7 @@
         self.assertGreater(answered, DAYS * 200)
 
 
-class SharedDaysTest(unittest.TestCase):
+class SharedConnectionsDaysTest(unittest.TestCase):
     def test_guarantees_hold_through_a_holder(self) -> None:
         answered = 0
         for seed in range(DAYS):
@@ -44,28 +42,28 @@
         self.assertGreater(answered, DAYS * 200)
 
 
-class ToldDaysTest(unittest.TestCase):
+class LoadReportDaysTest(unittest.TestCase):
     def test_guarantees_hold_with_choice_by_reported_load(self) -> None:
         for is_shared in (False, True):
             with self.subTest(is_shared=is_shared):
                 answered = 0
                 for seed in range(DAYS):
-                    day = RandomDay(seed, is_shared, is_told=True).play(SECONDS)
+                    day = RandomDay(seed, is_shared, uses_load_reports=True).play(SECONDS)
                     self.assertEqual(day.violations(), [], f"seed {seed}")
                     answered += len(day.group.ran)
                 self.assertGreater(answered, DAYS * 200)
 
 
 class GuardCase(unittest.TestCase):
-    """Guards switched off for one test."""
+    """Replaces a guard of the code for one test, to check that a violation is detected."""
 
     is_shared = False
 
-    def assert_breaks(self, text: str, seeds: int = 12) -> None:
+    def assert_violation(self, text: str, seeds: int = 12) -> None:
         found: list[str] = []
         for seed in range(seeds):
             found += RandomDay(seed, self.is_shared).play(10.0).violations()
-        self.assertTrue(any(text in line for line in found), found[:3])
+        self.assertTrue(any(text in violation for violation in found), found[:3])
 
     def swap(self, owner: object, name: str, value: object) -> None:
         before = getattr(owner, name)
@@ -74,7 +72,7 @@
 
 
 class CheckersTest(GuardCase):
-    """Each checker is seen red once, with one guard of the code switched off."""
+    """Each checker must report a violation when the corresponding guard is disabled."""
 
     def test_checker_finds_read_from_replaced_primary(self) -> None:
         original = Group.targets
@@ -84,7 +82,7 @@
             return [Target(target.database, Proof.NONE, target.floor) for target in found]
 
         self.swap(Group, "targets", targets)
-        self.assert_breaks("primary read", 80)
+        self.assert_violation("primary read", 80)
 
     def test_checker_finds_read_from_lagging_replica(self) -> None:
         original = statement_run.StatementRun._send
@@ -96,7 +94,7 @@
             original(run, connection)  # type: ignore[arg-type]
 
         self.swap(statement_run.StatementRun, "_send", send)
-        self.assert_breaks(f"{Consistency.READ_OWN_WRITES} read")
+        self.assert_violation(f"{Consistency.READ_OWN_WRITES} read")
 
     def test_checker_finds_proof_dated_too_late(self) -> None:
         original = freshness.FreshnessHistory.record
@@ -105,12 +103,12 @@
             original(history, sent_at + 2.0, position)  # type: ignore[arg-type]
 
         self.swap(freshness.FreshnessHistory, "record", record)
-        self.assert_breaks("misses")
+        self.assert_violation("misses")
 
     def test_checker_finds_values_of_other_session(self) -> None:
         self.swap(connection_setup, "plan_setup", lambda *_: [])
         self.swap(statement_run, "plan_setup", lambda *_: [])
-        self.assert_breaks("foreign values", 2)
+        self.assert_violation("foreign values", 2)
 
     def test_checker_finds_write_executed_twice(self) -> None:
         def lost(run: statement_run.StatementRun) -> None:
@@ -118,17 +116,17 @@
             run._rerun_read()
 
         self.swap(statement_run.StatementRun, "_lost", lost)
-        self.assert_breaks("twice")
+        self.assert_violation("twice")
 
 
 class SharedCheckersTest(GuardCase):
-    """The guards of a holder, switched off one by one."""
+    """The same for the guards of a holder."""
 
     is_shared = True
 
     def test_checker_finds_values_of_other_session_at_holder(self) -> None:
         self.swap(channel_session, "plan_setup", lambda *_: [])
-        self.assert_breaks("foreign values", 2)
+        self.assert_violation("foreign values", 2)
 
     def test_checker_finds_connection_released_within_transaction(self) -> None:
         original = ChannelSession._on_reply
@@ -139,7 +137,7 @@
             original(session, reply)
 
         self.swap(ChannelSession, "_on_reply", answered)
-        self.assert_breaks("outside its transaction", 4)
+        self.assert_violation("outside its transaction", 4)
 
     def test_checker_finds_proof_reported_too_young(self) -> None:
         def proven(proofs: ChannelProofs) -> ProvenAge | None:
@@ -147,7 +145,7 @@
             return None if newest is None else ProvenAge(newest.position, -2.0)
 
         self.swap(ChannelProofs, "newest", proven)
-        self.assert_breaks("misses")
+        self.assert_violation("misses")
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/test_replica_lag.py
+++ b/tests/core/pooler/test_replica_lag.py
@@ -1,4 +1,4 @@
-"""Which databases are taken to lack a position: from the positions of their answers alone."""
+"""Guards the prediction of replica lag from the positions in answers."""
 
 import unittest
 
@@ -31,14 +31,14 @@
                 self.assertEqual(self.lags.lacks("r", at(offset), NOW + 2.0), lacks)
 
     def test_seconds_until_position_is_applied(self) -> None:
-        """Of a lag of 1 s; known no better than the 50 ms between proofs."""
+        """The lag is 1 s, and its resolution is the 50 ms between proofs."""
         self.lags.observe("r", at(9), NOW + 2.0)
         for offset, seconds in ((19, 0.95), (15, 0.55), (12, 0.25), (9, 0.0), (3, 0.0)):
             with self.subTest(offset):
                 waits = self.lags.seconds_until_applied("r", at(offset), NOW + 2.0)
                 self.assertAlmostEqual(waits, seconds)
         self.assertEqual(
-            self.lags.seconds_until_applied("r", at(19), NOW + 9.0), 0.0, "due for a trial"
+            self.lags.seconds_until_applied("r", at(19), NOW + 9.0), 0.0, "the estimate is stale"
         )
 
     def test_replica_at_newest_proof_lacks_nothing(self) -> None:
@@ -60,7 +60,7 @@
         self.lags.observe("r", at(0), NOW + 2.0)
         later = NOW + 2.0 + MAX_ESTIMATE_AGE_SECONDS + 0.1
         self.assertFalse(self.lags.lacks("r", at(19), later))
-        self.assertFalse(self.lags.lacks("r", at(19), later), "nothing has gone there yet")
+        self.assertFalse(self.lags.lacks("r", at(19), later), "no statement was sent yet")
 
     def test_estimate_rises_at_once_and_falls_after_two_spans(self) -> None:
         now = NOW + 2.0
@@ -68,13 +68,13 @@
         self.lags.observe("r", at(9), now)
         self.assertTrue(self.lags.lacks("r", at(12), now))
         self.lags.observe("r", at(19), now)
-        self.assertTrue(self.lags.lacks("r", at(14), now), "one answer may be a lucky one")
+        self.assertTrue(self.lags.lacks("r", at(14), now), "one answer is not enough")
         for step in range(12):
             self.lags.observe("r", at(19), now + 0.1 * step)
         self.assertFalse(self.lags.lacks("r", at(18), now + 1.1))
 
     def test_first_answer_after_long_lag_resets_estimate(self) -> None:
-        """The users' lags are of 4 to 7 s; a replica passed over gets one statement a second."""
+        """Guards against avoiding a replica long after a lag of several seconds has ended."""
         for step in range(20, 100):
             self.history.record(NOW + 0.1 * step, at(step))
         self.lags.observe("r", at(25), NOW + 9.9)
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -1,4 +1,4 @@
-"""A database that answers nothing: who is turned away, who tries, and that work comes back."""
+"""Guards the detection of a database that stopped answering, and the recovery from it."""
 
 import unittest
 
@@ -28,18 +28,18 @@
 BUSY = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED, ""))
 READERS = 12
 LIMIT = 2
-UNDER_WAY_SECONDS = 0.005
-"""A connection stands, and its statement has no answer yet."""
-SOON_SECONDS = 0.36
-"""Silence is found, and the readers are served one after the other elsewhere."""
+OPENING_SECONDS = 0.005
+"""Time until a connection is open while its statement has no answer yet."""
+SERVED_WITHIN_SECONDS = 0.36
+"""Time to detect the silence and serve the readers one after another by another replica."""
 
 
 class SilenceTest(unittest.TestCase):
     def setUp(self) -> None:
         self.scheduler = ModelScheduler()
-        self.seen: list[bool] = []
+        self.changes: list[bool] = []
         self.silence = DatabaseSilence(
-            self.scheduler.now, on_change=lambda is_silent, _: self.seen.append(is_silent)
+            self.scheduler.now, on_change=lambda is_silent, _: self.changes.append(is_silent)
         )
 
     def begins_in(self, usual: float = 0.0) -> float:
@@ -77,14 +77,14 @@
         for _ in range(3):
             self.silence.note_sign()
         self.assertFalse(self.silence.turns_away(self.silence.begins_at((), 0.0)))
-        self.assertEqual(self.seen, [True, False])
+        self.assertEqual(self.changes, [True, False])
 
     def test_probes_are_limited_by_interval(self) -> None:
-        tried = 0
+        admitted = 0
         for _ in range(100):
-            tried += self.silence.may_probe()
+            admitted += self.silence.may_probe()
             self.scheduler.advance(PROBE_INTERVAL_SECONDS / 10)
-        self.assertIn(tried, range(9, 12))
+        self.assertIn(admitted, range(9, 12))
 
 
 class PoolTest(unittest.TestCase):
@@ -92,7 +92,7 @@
         self.scheduler = ModelScheduler()
         self.model = ModelGroup(self.scheduler)
         self.denied: list[Denial] = []
-        self.given: list[DatabaseConnection] = []
+        self.connections: list[DatabaseConnection] = []
 
     def pool(self, is_judged: bool = True, is_direct: bool = True) -> ConnectionPool:
         clock = self.scheduler.now
@@ -100,13 +100,13 @@
         silence = DatabaseSilence(clock, is_judged)
         return ConnectionPool("p", 1, self.model, clock, window, PoolRules(silence))
 
-    def ask(self, pool: ConnectionPool, demand: Demand = Demand.SINGLE) -> Waiter:
-        waiter = Waiter(1, self._take, self.denied.append, demand)
+    def request_connection(self, pool: ConnectionPool, demand: Demand = Demand.SINGLE) -> Waiter:
+        waiter = Waiter(1, self._on_connection, self.denied.append, demand)
         pool.acquire(waiter, {})
         return waiter
 
-    def _take(self, connection: DatabaseConnection) -> None:
-        self.given.append(connection)
+    def _on_connection(self, connection: DatabaseConnection) -> None:
+        self.connections.append(connection)
         connection.send_own(StatementKind.READ, lambda reply: None)
 
     def test_silent_database_denies_queued_and_new_statements(self) -> None:
@@ -114,24 +114,24 @@
             with self.subTest(is_judged=is_judged, is_direct=is_direct):
                 self.setUp()
                 pool = self.pool(is_judged, is_direct)
-                self.ask(pool)
-                self.scheduler.advance(UNDER_WAY_SECONDS)
+                self.request_connection(pool)
+                self.scheduler.advance(OPENING_SECONDS)
                 self.model.databases["p"].silent = True
-                waiting = self.ask(pool)
+                waiting = self.request_connection(pool)
                 for _ in range(10):
                     self.scheduler.advance(MIN_SILENCE_SECONDS / 5)
                     pool.judge(waiting)
-                self.ask(pool)
-                self.ask(pool)
-                self.ask(pool)
+                self.request_connection(pool)
+                self.request_connection(pool)
+                self.request_connection(pool)
                 expected = [Denial.UNREACHABLE] * 2 if is_judged and is_direct else []
                 self.assertEqual(self.denied[:2], expected)
                 self.assertEqual(pool.is_silent, bool(expected))
 
     def test_refusing_database_is_not_silent(self) -> None:
         pool = self.pool()
-        self.ask(pool)
-        self.scheduler.advance(UNDER_WAY_SECONDS)
+        self.request_connection(pool)
+        self.scheduler.advance(OPENING_SECONDS)
         self.model.databases["p"].silent = True
         for _ in range(20):
             self.scheduler.advance(MIN_SILENCE_SECONDS * 0.8)
@@ -140,30 +140,30 @@
 
     def test_proxys_own_request_is_never_denied(self) -> None:
         pool = self.pool()
-        self.ask(pool)
-        self.scheduler.advance(UNDER_WAY_SECONDS)
+        self.request_connection(pool)
+        self.scheduler.advance(OPENING_SECONDS)
         self.model.databases["p"].silent = True
         self.scheduler.advance(1.0)
-        self.ask(pool, Demand.OWN)
+        self.request_connection(pool, Demand.OWN)
         self.assertEqual(self.denied, [])
 
 
 class ReadersTest(unittest.TestCase):
-    """The nearest replica falls silent under load; another one can serve."""
+    """The nearest replica stops answering under load while another one can serve."""
 
     def harness(self, judges_silence: bool) -> PoolerHarness:
         harness = PoolerHarness(configured=False, limit=LIMIT)
-        place = Locality("b", {"a": "north", "b": "north", "c": "south"})
+        locality = Locality("b", {"a": "north", "b": "north", "c": "south"})
         clock = harness.scheduler.now
-        group = Group(GROUP, place, harness.model, clock, 5.0, judges_silence=judges_silence)
+        group = Group(GROUP, locality, harness.model, clock, 5.0, judges_silence=judges_silence)
         group.record = harness.events.append
         group.set_connection_limit(LIMIT)
         harness.group = harness.services.groups[GROUP] = group
         harness.configure()
         return harness
 
-    def served_soon(self, judges_silence: bool) -> list[int]:
-        """Returns how many of `READERS` were served soon: before, in its silence, and after."""
+    def served_in_time(self, judges_silence: bool) -> list[int]:
+        """Returns how many of `READERS` were served in time before, during and after silence."""
         harness = self.harness(judges_silence)
         sessions = [harness.session() for _ in range(READERS)]
         sessions[0].write(wait=0.1)
@@ -175,24 +175,24 @@
             harness.model.databases["r1"].silent = is_silent
             answered = sum(len(each.client.replies) for each in sessions)
             asked = [(each, each.start(StatementKind.READ, argument="t")) for each in sessions]
-            harness.scheduler.advance(SOON_SECONDS)
+            harness.scheduler.advance(SERVED_WITHIN_SECONDS)
             served.append(sum(len(each.client.replies) for each in sessions) - answered)
             harness.scheduler.advance(1.0)
-            for each, known in asked:
-                self.assertIsNone(each.reply(known).failure)
+            for each, statement_id in asked:
+                self.assertIsNone(each.reply(statement_id).failure)
         self.events = harness.events
         return served
 
     def test_reads_move_to_other_replica_and_return_after_silence(self) -> None:
-        served = self.served_soon(judges_silence=True)
+        served = self.served_in_time(judges_silence=True)
         self.assertEqual(served[0], READERS)
         for while_silent in served[1:3]:
             self.assertGreaterEqual(while_silent, READERS - LIMIT)
         self.assertEqual(served[3:], [READERS] * 2)
-        self.assertLess(min(self.served_soon(judges_silence=False)[1:3]), READERS - LIMIT)
+        self.assertLess(min(self.served_in_time(judges_silence=False)[1:3]), READERS - LIMIT)
 
     def test_begin_and_end_of_silence_are_logged(self) -> None:
-        self.served_soon(judges_silence=True)
+        self.served_in_time(judges_silence=True)
         judged = [it for it in self.events if isinstance(it, DatabaseSilenceJudged)]
         self.assertEqual({it.database for it in judged}, {"r1"})
         self.assertTrue(judged[0].is_silent)
--- a/tests/core/pooler/test_silent_holder.py
+++ b/tests/core/pooler/test_silent_holder.py
@@ -1,7 +1,5 @@
-"""What becomes of a statement under way when the process that carries its connection falls silent.
-
-The load: a region cut off while statements go to the few processes that hold connections there.
-"""
+"""Guards running statements when the holder of their connection stops responding, as when a region
+is cut off."""
 
 import unittest
 from collections.abc import Sequence
@@ -16,7 +14,7 @@
 from tests.core.pooler.harness import PoolerHarness, SessionProbe
 from tests.core.pooler.test_connection_pool import PoolCase
 
-NOT_YET = "no answer yet"
+UNANSWERED = "no answer yet"
 
 
 class SilentHolderTest(unittest.TestCase):
@@ -33,8 +31,8 @@
         for database in self.harness.model.databases.values():
             database.silent = True
 
-    def judge(self, state: HolderState) -> None:
-        """Holders in use are judged; ways that are opened from now on go through others."""
+    def set_holder_state(self, state: HolderState) -> None:
+        """Sets the state of all holders in use; new connections go through other holders."""
         for database in self.harness.model.databases.values():
             database.silent = False
         for transport in list(self.harness.model.transports):
@@ -44,9 +42,9 @@
 
     def outcome(self, probe: SessionProbe, statement_id: str, wait: float = 0.1) -> str:
         self.harness.scheduler.advance(wait)
-        replies = [reply for known, reply in probe.client.replies if known == statement_id]
+        replies = [reply for reply_id, reply in probe.client.replies if reply_id == statement_id]
         if not replies:
-            return NOT_YET
+            return UNANSWERED
         return "done" if replies[0].failure is None else replies[0].failure.code
 
     def ran(self, statement_id: str) -> int:
@@ -54,14 +52,14 @@
 
     def test_running_statement_by_holder_state(self) -> None:
         read, write = StatementKind.READ, StatementKind.WRITE
-        doubted, silent = HolderState.DOUBTED, HolderState.SILENT
+        suspected, silent = HolderState.DOUBTED, HolderState.SILENT
         rows: Sequence[tuple[str, Consistency, StatementKind, HolderState, str]] = (
-            ("setup, doubted", Consistency.PRIMARY, read, doubted, "done"),
+            ("setup, suspected", Consistency.PRIMARY, read, suspected, "done"),
             ("setup, silent", Consistency.PRIMARY, read, silent, "done"),
-            ("read sent, doubted", Consistency.BOUNDED_STALENESS, read, doubted, NOT_YET),
+            ("read sent, suspected", Consistency.BOUNDED_STALENESS, read, suspected, UNANSWERED),
             ("read sent, silent", Consistency.BOUNDED_STALENESS, read, silent, "done"),
-            ("write sent, doubted", Consistency.BOUNDED_STALENESS, write, doubted, NOT_YET),
-            ("write sent, silent", Consistency.BOUNDED_STALENESS, write, silent, NOT_YET),
+            ("write sent, suspected", Consistency.BOUNDED_STALENESS, write, suspected, UNANSWERED),
+            ("write sent, silent", Consistency.BOUNDED_STALENESS, write, silent, UNANSWERED),
         )
         for name, consistency, kind, state, expected in rows:
             with self.subTest(name):
@@ -70,8 +68,8 @@
                 self.silence_all()
                 statement_id = probe.start(kind, argument="thing data")
                 self.harness.scheduler.advance(0.27)
-                self.assertEqual(self.outcome(probe, statement_id, 0.0), NOT_YET)
-                self.judge(state)
+                self.assertEqual(self.outcome(probe, statement_id, 0.0), UNANSWERED)
+                self.set_holder_state(state)
                 self.assertEqual(self.outcome(probe, statement_id), expected)
                 self.assertEqual(self.ran(statement_id), int(expected == "done"))
 
@@ -79,7 +77,7 @@
         probe = self.probe()
         self.silence_all()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
-        self.judge(HolderState.SILENT)
+        self.set_holder_state(HolderState.SILENT)
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.STATEMENT_TIMEOUT)
         self.assertEqual(self.ran(statement_id), 0)
 
@@ -89,8 +87,8 @@
         probe.write()
         self.silence_all()
         statement_id = probe.start(StatementKind.READ, argument="thing")
-        self.judge(HolderState.SILENT)
-        self.assertEqual(self.outcome(probe, statement_id), NOT_YET)
+        self.set_holder_state(HolderState.SILENT)
+        self.assertEqual(self.outcome(probe, statement_id), UNANSWERED)
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.TRANSACTION_LOST)
 
     def test_commit_on_silent_holder_has_unknown_outcome(self) -> None:
@@ -99,8 +97,8 @@
         probe.write()
         self.silence_all()
         statement_id = probe.start(StatementKind.COMMIT)
-        self.judge(HolderState.SILENT)
-        self.assertEqual(self.outcome(probe, statement_id), NOT_YET)
+        self.set_holder_state(HolderState.SILENT)
+        self.assertEqual(self.outcome(probe, statement_id), UNANSWERED)
         self.assertEqual(self.outcome(probe, statement_id, 1.0), ErrorCode.STATEMENT_TIMEOUT)
 
     def test_first_statement_of_transaction_moves_to_other_holder(self) -> None:
@@ -109,7 +107,7 @@
         self.silence_all()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
         self.harness.scheduler.advance(0.27)
-        self.judge(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.DOUBTED)
         self.assertEqual(self.outcome(probe, statement_id), "done")
         self.assertIsNone(probe.ask(StatementKind.COMMIT).failure)
         self.assertEqual(self.ran(statement_id), 1)
@@ -123,19 +121,19 @@
         self.harness.scheduler.advance(0.3)
         self.silence_all()
         asked = [probe.start(StatementKind.READ, argument="thing") for probe in probes]
-        self.judge(HolderState.SILENT)
+        self.set_holder_state(HolderState.SILENT)
         pairs = zip(probes, asked, strict=True)
         outcomes = [self.outcome(probe, statement_id) for probe, statement_id in pairs]
-        self.assertEqual(sorted(outcomes), ["done", "done", NOT_YET])
+        self.assertEqual(sorted(outcomes), ["done", "done", UNANSWERED])
 
     def test_read_is_resent_only_once(self) -> None:
         probe = self.probe()
         self.silence_all()
         statement_id = probe.start(StatementKind.READ, argument="thing")
-        self.judge(HolderState.SILENT)
+        self.set_holder_state(HolderState.SILENT)
         self.harness.scheduler.advance(0.003)
         self.silence_all()
-        self.judge(HolderState.SILENT)
+        self.set_holder_state(HolderState.SILENT)
         self.harness.scheduler.advance(1.0)
         self.assertLessEqual(self.ran(statement_id), 1)
         self.assertEqual(len(probe.client.replies), 3)
@@ -143,11 +141,11 @@
     def test_connections_of_suspected_holder_are_reused_after_recovery(self) -> None:
         probe = self.probe()
         before = len(self.harness.model.transports)
-        self.judge(HolderState.DOUBTED)
-        self.judge(HolderState.USABLE)
+        self.set_holder_state(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.USABLE)
         probe.read()
         self.assertEqual(len(self.harness.model.transports), before)
-        self.judge(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.DOUBTED)
         probe.read()
         self.assertEqual(len(self.harness.model.transports), before + 1)
 
@@ -155,13 +153,13 @@
         probe = self.probe(Consistency.PRIMARY)
         self.silence_all()
         probe.start(StatementKind.READ, argument="thing")
-        self.judge(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.DOUBTED)
         self.harness.scheduler.advance(0.1)
         self.assertIn("holder_silent", probe.answered()[-1].way)
 
 
 class PoolTest(PoolCase):
-    """The pool before a database all of whose ways are silent."""
+    """The pool of a database whose holders are all silent."""
 
     def in_use(self, name: str) -> DatabaseConnection:
         self.acquire(name)
