--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -43,10 +43,10 @@
         self.sent_at = self._scheduler.now()
 
     def take(self, reply: Reply | None, statement: Statement | None) -> None:
-        """Records the outcome of a request, the database's log position and the use of its slot.
+        """Records an answer: success or failure, the database's log position, the time it took.
 
-        statement: the statement that was answered; None for a request of the proxy's connection
-        setup.
+        reply: None if the connection ended without an answer. statement: the statement that was
+        answered; None for a request of the connection setup, which does not count for the pool.
         """
         database_id = self._held_connection.database_id
         if not database_id:
@@ -78,7 +78,7 @@
             self._held_connection.suspect()
 
     def limit_passed(self) -> None:
-        """Reports the database as suspect on a statement timeout if it has answered nothing."""
+        """Records a timeout as a failure; reports the database as suspect without any answer."""
         self._record_outcome(has_failed=True)
         if self._group.last_answer_at(self._held_connection.database_id) <= self.sent_at:
             self._held_connection.suspect()
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -16,12 +16,12 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 
 MIN_SILENCE_SECONDS = 0.25
-"""Seconds without an answer after which a database may be silent: several round trips between
-regions plus the longest statements, as in `answer_watch`."""
+"""Seconds; lower bound of the time without an answer after which a database is silent. Covers
+several round trips between regions plus the longest statements, as in `answer_watch`."""
 USUAL_TIME_FACTOR = 3.0
-"""Factor on the usual time of a statement. Raises the limit for databases with long statements."""
+"""Factor by which the usual time of a statement is multiplied to get that time."""
 MAX_SILENCE_SECONDS = 0.6
-"""Seconds; upper bound of the limit, below the shortest usual statement timeout of 0.8 s."""
+"""Seconds; upper bound of that time, below the shortest usual statement timeout of 0.8 s."""
 PROBE_INTERVAL_SECONDS = 0.25
 """Seconds between statements admitted to a silent database to detect its recovery."""
 
@@ -42,9 +42,10 @@
         is_judged: bool = True,
         on_change: SilenceCallback = ignore_silence,
     ) -> None:
-        """`is_judged`: whether silence is detected at all.
+        """Starts with a database that is not silent.
 
-        on_change: called when silence is detected, and when it ends.
+        is_judged: whether silence is detected at all. on_change: called when silence is detected,
+        and when it ends.
         """
         self._clock = clock
         self._is_judged = is_judged
@@ -74,9 +75,10 @@
     def begins_at(
         self, connections_in_use: Iterable[DatabaseConnection], usual_seconds: float
     ) -> float:
-        """Returns when the database becomes silent unless it answers; infinite if nothing is sent.
+        """Returns when the database becomes silent unless it answers.
 
-        Connections in transactions are ignored: the time their statement was sent is not available.
+        Infinite if no request is outstanding or silence is not judged. Connections in transactions
+        are ignored, because the time at which their statement was sent is not available.
         usual_seconds: the usual time of a statement.
         """
         if not self._is_judged:
--- a/src/dewledge/core/pooler/databases/freshness.py
+++ b/src/dewledge/core/pooler/databases/freshness.py
@@ -1,9 +1,10 @@
 """Records which log position covered all commits at which time, for reads of bounded staleness.
 
 An answer of a database that proved to be the primary covers every commit acknowledged before the
-statement was *sent*. The pair (time of sending, position of the answer) therefore never becomes
-invalid, and a read with staleness bound `bound` may use any pair younger than that. Only the steady
-clock of this process is used, so a pause of the process can't make a pair wrong.
+statement was *sent*. The pair (time of sending, position of the answer), called a proof, therefore
+never becomes invalid. A read whose staleness may be N seconds can use any proof that was sent at
+most N seconds before the read arrived. Only the steady clock of this process is used, so a pause of
+the process can't make a proof wrong.
 """
 
 from collections import deque
@@ -21,7 +22,7 @@
 
 
 class ProvenPosition(msgspec.Struct, frozen=True):
-    """States that `position` covers every commit acknowledged before `sent_at` (steady clock)."""
+    """A position that covers every commit acknowledged before `sent_at` (steady clock, seconds)."""
 
     sent_at: float
     position: LogPosition
@@ -39,7 +40,7 @@
         return self._proofs[-1] if self._proofs else None
 
     def record(self, sent_at: float, position: LogPosition) -> None:
-        """Adds a proof unless it is too close to the newest one, older, or of an earlier term."""
+        """Adds a proof unless it is older than the newest, close to it, or of an earlier term."""
         newest = self.newest
         if newest is not None and sent_at < newest.sent_at + MIN_PROOF_INTERVAL_SECONDS:
             return
@@ -58,9 +59,9 @@
         return next((proof.sent_at for proof in self._proofs if proof.position >= position), None)
 
     def floor(self, arrived_at: float, max_staleness: float) -> ProvenPosition | None:
-        """Returns the oldest proof that satisfies a read's staleness bound, or None.
+        """Returns the oldest proof that satisfies a read's staleness bound, None if there is none.
 
-        arrived: when the read arrived. bound: its staleness bound in seconds.
+        arrived_at: when the read arrived (steady clock, seconds). max_staleness: in seconds.
         """
         for proof in self._proofs:
             if proof.sent_at >= arrived_at - max_staleness:
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -49,8 +49,9 @@
         judges_silence: bool = True,
         is_fair: bool = True,
     ) -> None:
-        """`opener`: opens connections, or channels through holders, for this process's clients.
+        """Creates a group without databases.
 
+        opener: opens connections, or channels through holders, for this process's clients.
         drain_bound: seconds for which a draining database still gets new work. direct_opener: opens
         connections to databases for statements of other processes. right: the lease on the primary;
         by default the platform fences old primaries. choice: orders databases for reads by load
@@ -66,7 +67,7 @@
         self.record: Callable[[PoolingEvent], None] = lambda event: None
         """Logs events of the group's databases."""
         self.relay: str | None = None
-        """The address of a process that can reach the database that this process can't reach."""
+        """The address of a process that can reach the suspected database, None for none."""
         self._clock = clock
         self._drain_bound = drain_bound
         self._suspected: str | None = None
@@ -121,7 +122,7 @@
 
     @property
     def usable_primary(self) -> DatabaseRecord | None:
-        """The primary if it can be reached and may be used now, else None."""
+        """The primary if it can be reached and this process may use it now, else None."""
         primary = self.view.primary
         if primary is None or (primary.id == self._suspected and self.relay is None):
             return None
@@ -220,7 +221,7 @@
         return self._answered_at.get(database_id, LONG_AGO)
 
     def note_tried(self, database_id: str) -> None:
-        """Records that a statement goes to a database; its answer updates lag and load there."""
+        """Records that a statement is sent to a database, for its lag estimate and its load."""
         self._lags.record_sent(database_id, self._clock())
         if self.choice is not None:
             self.choice.book.note_sent(database_id)
--- a/src/dewledge/core/pooler/databases/group_pools.py
+++ b/src/dewledge/core/pooler/databases/group_pools.py
@@ -1,9 +1,9 @@
 """The connection pools of a group, and how this process reaches each database.
 
-There is a pool per database for this process's clients, and one for other processes where the
-clients' pool is not direct. A holding says whether a database is reached by direct connections or
-through other processes; the function that finds it is set by the process, and its results are
-cached until it is replaced.
+There is a pool per database for this process's clients, and a second one for other processes if the
+clients' pool goes through holders. A `Holding` says whether a database is reached by direct
+connections or through holders. The process sets the function that returns the holding of a
+database; results are cached until the function is replaced.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,7 +16,7 @@
 
 
 class GroupPools:
-    """Creates the pools of a group on first use, and keeps them in line with the holdings."""
+    """Creates the pools of a group on first use, and updates them when the holdings change."""
 
     def __init__(
         self,
@@ -25,9 +25,11 @@
         opener: Opener,
         direct_opener: Opener,
     ) -> None:
-        """`find_record`: returns the current record of a database id, None if it is unknown.
+        """Starts without pools.
 
-        direct_opener: opens connections to databases for statements of other processes.
+        find_record: returns the current record of a database id, None if it is unknown. opener:
+        opens connections or channels for this process's clients. direct_opener: opens connections
+        to databases for statements of other processes.
         """
         self.client_pools: dict[str, ConnectionPool] = {}
         """By database id, for statements of this process's clients."""
--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -41,8 +41,8 @@
 class GroupView(msgspec.Struct, frozen=True):
     """The databases of a group, by database id.
 
-    claims: the revision at which a database first reported itself as primary, while it does so.
-    refuted: the revision of its record when a database refused work because it was not primary.
+    claims: for each database that is reported as primary, the revision at which this began.
+    refuted: for each database that refused work as not primary, the revision of its record then.
     draining_since: when this process learned that a database drains (steady clock, seconds).
     departed: databases whose entries were removed from the store.
     """
@@ -125,7 +125,7 @@
         )
 
     def accepts_work(self, database_id: str, now: float, bound: float) -> bool:
-        """Tells whether a database may get new work: until `bound` seconds after it drains."""
+        """Tells whether a database may get new work: until `bound` seconds after draining began."""
         since = self.draining_since.get(database_id)
         return since is None or now < since + bound
 
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -26,7 +26,7 @@
         self._waiters: list[Callable[[], None]] = []
 
     def record(self, sent_at: float, position: LogPosition) -> None:
-        """Records that `position` covers every commit acknowledged before `sent_at`."""
+        """Records that `position` covers commits acknowledged before `sent_at`; wakes reads."""
         self._history.record(sent_at, position)
         self._wake()
 
--- a/src/dewledge/core/pooler/databases/replica_lag.py
+++ b/src/dewledge/core/pooler/databases/replica_lag.py
@@ -71,7 +71,7 @@
     def seconds_until_applied(self, database_id: str, floor: LogPosition, now: float) -> float:
         """Returns the seconds until a database probably has `floor`; 0 if it may have it now.
 
-        Proofs are recorded `MIN_PROOF_INTERVAL_SECONDS` apart, so that much is added for accuracy.
+        Includes `MIN_PROOF_INTERVAL_SECONDS`, the resolution of the recorded proofs.
         """
         estimate = self._estimates.get(database_id)
         if estimate is None or now > estimate.heard_at + MAX_ESTIMATE_AGE_SECONDS:
@@ -82,7 +82,7 @@
         return remaining + MIN_PROOF_INTERVAL_SECONDS if remaining > 0.0 else 0.0
 
     def record_sent(self, database_id: str, now: float) -> None:
-        """Records that a statement was sent to a database, so that others await its answer."""
+        """Records that a statement was sent, so that no other refreshes the same stale estimate."""
         estimate = self._estimates.get(database_id)
         if estimate is not None:
             estimate.heard_at = max(estimate.heard_at, now)
--- a/src/dewledge/core/pooler/events.py
+++ b/src/dewledge/core/pooler/events.py
@@ -16,7 +16,7 @@
     each as database:proof:outcome. floor: the minimum position for a read. waited_ms: time from
     arrival to answer. target_ms: target latency of the route. expected_ms: expected time from the
     choice of the last database to its answer. word_age_ms: age of the load report used for that
-    choice. Both are -1 if the database was not chosen by expected completion.
+    choice. expected_ms and word_age_ms are -1 if databases are not ordered by expected completion.
     """
 
     statement: str
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -61,7 +61,10 @@
         transport: ChannelTransport,
         caller: str = NO_CALLER,
     ) -> None:
-        """`name`: identifies the peer's session. caller: the caller whose statements it sends."""
+        """Creates an idle session.
+
+        name: identifies the peer's session. caller: the caller whose statements it sends.
+        """
         self._services = services
         self._group = group
         self._database_id = database_id
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -29,7 +29,7 @@
 
 DEFAULT_WAIT_SECONDS = 0.25
 """Limit of the wait for a connection or slot if the peer sends none, and upper bound of the peer's
-limit while useful waits are disabled: a quarter of a usual target latency of 1 s."""
+limit while `LoadPolicy.useful_waits` is off: a quarter of a usual target latency of 1 s."""
 
 
 class ChannelWait:
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -24,7 +24,7 @@
 LEAST_HOLDERS = 2
 """Holders of a database, so that at least one remains if another is lost."""
 FALLBACK_CONNECTIONS = 2
-"""Connections that a process which can't reach any holder may open itself."""
+"""Connections that a process which is not a holder may open if no holder can be reached."""
 SUBSTITUTE_HOLDERS = 3
 """Processes that are tried in turn when no holder can be reached."""
 
--- a/src/dewledge/core/pooler/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -32,7 +32,7 @@
 
 
 class LinkOpened(LinkMessage, frozen=True, tag="hello"):
-    """Opens the link; the first message of the process that connected."""
+    """The first message on a link, sent by the process that opened it."""
 
     name: str
 
@@ -90,7 +90,7 @@
 
 
 class ProvenAge(msgspec.Struct, frozen=True, array_like=True):
-    """States that `position` covers every commit acknowledged `age_seconds` before sending."""
+    """A position that covers every commit acknowledged `age_seconds` before the sending."""
 
     position: LogPosition
     age_seconds: float
@@ -144,7 +144,7 @@
     """Requests changes of tables; answered when there are changes, or after a short time.
 
     number: identifies the request. takes_large: whether large changes are sent too; otherwise they
-    are only announced and the follower reads them from the store, which has a faster link.
+    are only announced and the follower reads them from the store, whose link is faster.
     compares_keys: see TableDelta.keys_digest.
     """
 
--- a/src/dewledge/core/pooler/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -24,7 +24,10 @@
 
 
 class ReadingPlan(msgspec.Struct, frozen=True):
-    """Whether a process reads the store, else the processes to follow in order of preference."""
+    """Whether a process reads the store.
+
+    sources: the processes that it follows otherwise, in order of preference.
+    """
 
     is_reader: bool
     sources: tuple[str, ...] = ()
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -74,7 +74,7 @@
         return now - max(self._first_sent_at, pool.served_at) >= EXHAUSTED_SECONDS
 
     def with_retry_time(self, reply: Reply, pool: ConnectionPool) -> Reply:
-        """Adds a retry time to the refusal of a statement that got no slot in time."""
+        """Adds a retry time to the refusal of a statement, if the load policy promises these."""
         if not self._services.load_policy.useful_waits:
             return reply
         retry_after_ms = math.ceil(pool.promise_return() * MILLISECONDS)
