--- a/src/dewledge/core/pooler/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -22,7 +22,7 @@
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode, ProtocolError
 
-WAIT_SHARE = 0.85
+HOLDER_WAIT_RATIO = 0.85
 """Ratio of a statement's remaining wait time that the holder may use. The rest covers the round
 trip to the holder: 30 ms of a usual 200 ms, a round trip between regions."""
 
@@ -202,7 +202,7 @@
     """
     if math.isinf(wait_until):
         return None
-    return round(max((wait_until - now) * WAIT_SHARE, 0.0), 3)
+    return round(max((wait_until - now) * HOLDER_WAIT_RATIO, 0.0), 3)
 
 
 def waited_already(arrived: float, now: float) -> float:
