--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -52,7 +52,7 @@
         """Creates a group without databases.
 
         opener: opens connections, or channels through holders, for this process's clients.
-        drain_bound: seconds for which a draining database still gets new work. direct_opener: opens
+        drain_bound: seconds for which a draining primary still gets new work. direct_opener: opens
         connections to databases for statements of other processes. right: the lease on the primary;
         by default the platform fences old primaries. choice: orders databases for reads by load
         reports; None to order them by local counts and distance. judges_silence: whether silence of
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -120,7 +120,7 @@
 
 
 class SharedCheckersTest(GuardCase):
-    """The same for the guards of a holder."""
+    """Each checker must report a violation when the corresponding guard of a holder is disabled."""
 
     is_shared = True
 
