--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -128,7 +128,7 @@
             self._transport.send_reply(Reply(self._transaction_state), self._proofs.newest())
             return
         if self._state.is_unknown(statement):
-            self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "unknown prepared statement"))
+            self._refuse(Failure(ErrorCode.UNKNOWN_STATEMENT, "no such name"))
             return
         self._current = message
         self._slot_retry.start(self._wait.max_wait_seconds(message))
@@ -141,9 +141,7 @@
 
     def _acquire(self, message: ChannelStatement) -> None:
         if self._services.is_ending or not self._group.may_serve(self._database_id):
-            self._refuse(
-                Failure(ErrorCode.OVERLOADED, "this process no longer serves the database")
-            )
+            self._refuse(Failure(ErrorCode.OVERLOADED, "not served here any more"))
             return
         self._pool = self._group.peer_pool(self._database_id)
         self._wait.begin(self._pool, message, self._state.state)
@@ -184,7 +182,7 @@
         if self._in_transaction:
             self._end_channel()
         else:
-            self._refuse(Failure(ErrorCode.DATABASE_UNREACHABLE, "connection lost before sending"))
+            self._refuse(Failure(ErrorCode.DATABASE_UNREACHABLE, "the connection was lost before"))
 
     def _send(
         self,
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -111,11 +111,11 @@
         self._timer.clear()
         if denial is Denial.UNREACHABLE:
             self._services.suspect(self._group.view.name, self._database_id)
-            self._on_refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "database unreachable"))
+            self._on_refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "no connection"))
         elif waiter is not None and waiter.refusal is not None:
             self._refuse_overloaded(waiter, waiter.refusal)
         else:
-            self._on_refused(Failure(ErrorCode.OVERLOADED, f"connection denied: {denial}"))
+            self._on_refused(Failure(ErrorCode.OVERLOADED, f"denied: {denial}"))
 
     def _refuse_overloaded(self, waiter: Waiter, refusal: Refuse) -> None:
         group, now = self._group.view.name, self._services.scheduler.now()
@@ -126,7 +126,7 @@
     def _on_timeout(self) -> None:
         if self._waiter is not None:
             self.end()
-            self._on_refused(Failure(ErrorCode.OVERLOADED, "no connection available in time"))
+            self._on_refused(Failure(ErrorCode.OVERLOADED, "no connection in time"))
 
 
 def _demand_of(kind: StatementKind) -> Demand:
