--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -78,7 +78,10 @@
             self._held_connection.suspect()
 
     def limit_passed(self) -> None:
-        """Records a timeout as a failure; reports the database as suspect without any answer."""
+        """Records that the statement timed out, which counts as a failure.
+
+        Reports the database as suspect if it has answered nothing since the statement was sent.
+        """
         self._record_outcome(has_failed=True)
         if self._group.last_answer_at(self._held_connection.database_id) <= self.sent_at:
             self._held_connection.suspect()
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -5,8 +5,8 @@
 `MAX_SILENCE_SECONDS`. Any answer, including a refusal, ends the silence, so a full or slow database
 is not silent. The pool of a silent database denies statements as unreachable instead of queueing
 them, apart from one probe per `PROBE_INTERVAL_SECONDS`, because its queue would not drain while
-another database could serve them. Unlike `answer_watch`, it has no address checked. Databases
-reached through holders are not judged here (see `load/holder_health`). Setting:
+another database could serve them. Unlike in `answer_watch`, the address of the database is not
+checked. Databases reached through holders are not judged here (see `load/holder_health`). Setting:
 `[load] silent_databases`.
 """
 
@@ -30,7 +30,7 @@
 
 
 def ignore_silence(_is_silent: bool, _seconds: float) -> None:
-    """Ignores changes of silence."""
+    """Does nothing; the default callback of `DatabaseSilence`."""
 
 
 class DatabaseSilence:
--- a/src/dewledge/core/pooler/databases/freshness.py
+++ b/src/dewledge/core/pooler/databases/freshness.py
@@ -14,7 +14,7 @@
 from dewledge.core.shared.positions import LogPosition
 
 MIN_PROOF_INTERVAL_SECONDS = 0.05
-"""Seconds between two retained proofs. Bounds the history to about 200 entries, and is the
+"""Minimum time between two retained proofs. Bounds the history to about 200 entries, and is the
 resolution of estimated lags."""
 RETENTION_SECONDS = 10.0
 """Seconds for which proofs are retained, to bound memory. Reads with a larger staleness bound use a
@@ -40,7 +40,10 @@
         return self._proofs[-1] if self._proofs else None
 
     def record(self, sent_at: float, position: LogPosition) -> None:
-        """Adds a proof unless it is older than the newest, close to it, or of an earlier term."""
+        """Adds a proof unless the newest proof is too recent or of a later term.
+
+        Too recent: `sent_at` is less than `MIN_PROOF_INTERVAL_SECONDS` after it.
+        """
         newest = self.newest
         if newest is not None and sent_at < newest.sent_at + MIN_PROOF_INTERVAL_SECONDS:
             return
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -55,15 +55,15 @@
         drain_bound: seconds for which a draining primary still gets new work. direct_opener: opens
         connections to databases for statements of other processes. right: the lease on the primary;
         by default the platform fences old primaries. choice: orders databases for reads by load
-        reports; None to order them by local counts and distance. judges_silence: whether silence of
-        directly reached databases is detected. is_fair: whether callers get fair shares of slots
-        and connections.
+        reports; None to order by distance and by this process's own statements. judges_silence:
+        whether silence of directly reached databases is detected. is_fair: whether callers get fair
+        shares of slots and connections.
         """
         self.view = GroupView(name)
         self.right = right or PrimaryLease(Fencing.PLATFORM)
         self.history = FreshnessHistory()
         self.choice = choice
-        """Orders databases for reads by load; None to use local counts and the distance."""
+        """Orders databases for reads by load reports; None if these are disabled."""
         self.record: Callable[[PoolingEvent], None] = lambda event: None
         """Logs events of the group's databases."""
         self.relay: str | None = None
@@ -139,15 +139,15 @@
         return self.right.allows(database_id, self._clock())
 
     def right_confirmed(self) -> None:
-        """Wakes statements that wait for a primary after the lease was renewed."""
+        """Wakes statements that wait for a primary; called when its lease was confirmed."""
         if self._primary_waiters and self.usable_primary is not None:
             self._wake_waiters()
 
     def set_doubt(self, database_id: str | None, relay: str | None) -> None:
         """Sets the database suspected to be unreachable, and a relay process that can reach it.
 
-        Without a relay no statement is sent to that database while it is the primary. None means
-        no database, or no relay.
+        Without a relay that database is not among the targets of statements. None means no
+        database, or no relay.
         """
         if (database_id, relay) == (self._suspected, self.relay):
             return
@@ -179,7 +179,7 @@
         self._proof_request.begin()
 
     def end_seeking(self) -> None:
-        """Records that this read ended, with or without an answer."""
+        """Records that the read of `begin_seeking` ended, with or without an answer."""
         self._proof_request.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
@@ -217,7 +217,7 @@
         self._lags.observe(database_id, position, now)
 
     def last_answer_at(self, database_id: str) -> float:
-        """Returns when a database last answered a statement of this process."""
+        """Returns when a database last sent this process an answer with a log position."""
         return self._answered_at.get(database_id, LONG_AGO)
 
     def note_tried(self, database_id: str) -> None:
--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -104,7 +104,8 @@
     def with_leader(self, database_id: str) -> "GroupView":
         """Returns the view after a process reported that a database is primary.
 
-        This may precede the database's own entry. A later claim of another database outranks it.
+        The report may arrive before the database's entry names it primary. A later claim of another
+        database takes precedence. Ignored for a database that is unknown or draining.
         """
         record = self.databases.get(database_id)
         if record is None or record.draining or record == self.primary:
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -42,7 +42,7 @@
         self._requested_at = self._clock()
 
     def end(self) -> None:
-        """Records that this read ended, with or without an answer, and wakes waiting reads."""
+        """Records that the read of `begin` ended, answered or not, and wakes waiting reads."""
         self._requested_at = LONG_AGO
         self._wake()
 
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -1,8 +1,8 @@
 """Collects the data by which a group's databases are ordered for one read.
 
 The data are the pools of this process, predicted replica lags, distances and, if enabled, reported
-loads. The order is computed by `statements/targets` from local counts, or by `load/choice` from
-expected completion times.
+loads. The order is computed by `load/choice` from expected completion times if load reports are
+enabled, else by `statements/targets` from distances and this process's own statements.
 """
 
 from collections.abc import Callable, Sequence
@@ -33,7 +33,8 @@
 
     floor: the minimum position that a replica must show, None if none is proven. primary: the
     usable primary, None for none. primary_proof: how the primary proves its role for this read.
-    excluded: the id of a database that can't be reached. caller: the caller that sent the read.
+    excluded: the id of a database that can't be reached, None for none. caller: the
+    caller that sent the read.
     """
 
     view: GroupView
@@ -58,7 +59,8 @@
     def targets(self, options: ReadOptions, choice: ReadChoice | None) -> Sequence[Target]:
         """Returns the databases that may serve a read, best first.
 
-        choice: orders by expected completion; None to order by local counts and distance.
+        choice: orders by expected completion; None to order by distance and this process's own
+        statements at each database.
         """
         if choice is None:
             return read_targets(
--- a/src/dewledge/core/pooler/databases/replica_lag.py
+++ b/src/dewledge/core/pooler/databases/replica_lag.py
@@ -65,13 +65,14 @@
             estimate.record(lag, now)
 
     def lacks(self, database_id: str, floor: LogPosition, now: float) -> bool:
-        """Tells whether a database probably lacks `floor`; False without a recent answer."""
+        """Tells whether a database probably has not applied `floor`; False if lag is unknown."""
         return self.seconds_until_applied(database_id, floor, now) > 0.0
 
     def seconds_until_applied(self, database_id: str, floor: LogPosition, now: float) -> float:
-        """Returns the seconds until a database probably has `floor`; 0 if it may have it now.
+        """Returns the seconds until a database has probably applied `floor`.
 
-        Includes `MIN_PROOF_INTERVAL_SECONDS`, the resolution of the recorded proofs.
+        0 if it may have applied it already, or if its estimate is missing or outdated.
+        Otherwise includes `MIN_PROOF_INTERVAL_SECONDS`, the resolution of the recorded proofs.
         """
         estimate = self._estimates.get(database_id)
         if estimate is None or now > estimate.heard_at + MAX_ESTIMATE_AGE_SECONDS:
--- a/src/dewledge/core/pooler/events.py
+++ b/src/dewledge/core/pooler/events.py
@@ -125,7 +125,7 @@
 
 
 class CallerHeldToShare(PoolingEvent, frozen=True):
-    """Queued statements of a caller over its fair share were overtaken by one of caller `served`.
+    """A statement of caller `served` overtook those of `caller`, which is over its fair share.
 
     Logged at most once a second per database. waiting: queued statements of the overtaken caller.
     waited_ms: how long the first of them has waited.
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -35,8 +35,8 @@
 SETUP_TIMEOUT_SECONDS = 0.3
 """Timeout of the setup of a connection; shorter than the peer's own setup timeout (0.4 s)."""
 MAX_QUEUED_STATEMENTS = 300
-"""Statements of a peer queued on a channel. A statement with its setup needs at most 256 values
-(MAX_VALUES), a discard and a prepared statement."""
+"""Statements that a peer may queue on a channel. A statement may be preceded by its setup: at most
+256 session values (MAX_VALUES), a discard and a prepared statement."""
 
 
 class ChannelTransport(Protocol):
@@ -84,7 +84,7 @@
 
     @property
     def at_rest(self) -> bool:
-        """Whether no statement is running and no transaction is open."""
+        """Whether no statement is waiting or running and no transaction is open."""
         return self._current is None and self._connection is None
 
     def handle(self, message: ChannelStatement) -> None:
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -16,13 +16,13 @@
 from dewledge.core.pooler.sharing.members import Member
 
 RESERVED_RATIO = 0.1
-"""Ratio of a database's connection limit that is reserved for processes that have just started."""
+"""Part of a database's connection limit that is reserved for processes that have just started."""
 LEAST_DIRECT_SHARE = 3
 """Connections per process below which only holders connect to the database."""
 CONNECTIONS_PER_HOLDER = 8
 """Connections planned per holder of a database."""
 LEAST_HOLDERS = 2
-"""Holders of a database, so that at least one remains if another is lost."""
+"""Holders that a database has at least, so that one remains if another is lost."""
 FALLBACK_CONNECTIONS = 2
 """Connections that a process which is not a holder may open if no holder can be reached."""
 SUBSTITUTE_HOLDERS = 3
--- a/src/dewledge/core/pooler/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -23,7 +23,7 @@
 from dewledge.errors import ErrorCode, ProtocolError
 
 HOLDER_WAIT_RATIO = 0.85
-"""Ratio of a statement's remaining wait time that the holder may use. The rest covers the round
+"""Part of a statement's remaining wait time that the holder may use. The rest covers the round
 trip to the holder: 30 ms of a usual 200 ms, a round trip between regions."""
 
 
@@ -90,7 +90,10 @@
 
 
 class ProvenAge(msgspec.Struct, frozen=True, array_like=True):
-    """A position that covers every commit acknowledged `age_seconds` before the sending."""
+    """A proven position and its age when the message is sent.
+
+    It covers every commit that was acknowledged at least `age_seconds` before the sending.
+    """
 
     position: LogPosition
     age_seconds: float
@@ -171,8 +174,8 @@
 class TablesAnswered(LinkMessage, frozen=True, tag="tables"):
     """The answer to the FollowTables request with the same number.
 
-    held_seconds: how long the sender delayed the answer; the answer reflects the tables that much
-    later than the request.
+    held_seconds: time from the receipt of the request to the answer, while the sender waited for
+    changes; the receiver adds it to the time of its request to date the answer.
     """
 
     number: int
--- a/src/dewledge/core/pooler/sharing/packing.py
+++ b/src/dewledge/core/pooler/sharing/packing.py
@@ -28,12 +28,12 @@
     if kind == _PLAIN_MARK:
         return body
     if kind != _COMPRESSED_MARK:
-        raise ProtocolError("packed value has an unknown encoding")
+        raise ProtocolError(f"packed value has unknown encoding byte {kind!r}")
     reader = zlib.decompressobj()
     try:
         value = reader.decompress(body, MAX_VALUE_BYTES)
     except zlib.error as error:
         raise ProtocolError(f"packed value cannot be decompressed: {error}") from error
     if not reader.eof:
-        raise ProtocolError("packed value is truncated or too long")
+        raise ProtocolError(f"packed value is truncated or longer than {MAX_VALUE_BYTES} bytes")
     return value
--- a/src/dewledge/core/pooler/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -1,4 +1,4 @@
-"""Decides which processes read the store's tables, and from whom the others get the changes.
+"""Decides which processes read the store's tables, and from which ones the others get changes.
 
 A few processes, the readers, read the store. The others follow a reader, directly or through other
 followers; the tree is computed by each process from the list of members. A follower whose source
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -1,7 +1,7 @@
 """Decides whether a holder resends a peer's statement that the database refused as overloaded.
 
-The statement is resent after a pause until its time limit, which the peer has set, or until the
-database has run nothing of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a
+The statement is resent after a pause until its time limit, or until the database has run no
+statement of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a
 time at which to retry. A statement that is resent keeps its connection, so later statements queue
 behind it.
 """
@@ -65,7 +65,7 @@
     def _is_exhausted(
         self, now: float, state_before: TransactionState, pool: ConnectionPool
     ) -> bool:
-        """Tells whether the database has run nothing of this process for EXHAUSTED_SECONDS.
+        """Tells whether the database ran no statement of this process for EXHAUSTED_SECONDS.
 
         False in a transaction, whose completed work a refusal would waste.
         """
@@ -74,7 +74,7 @@
         return now - max(self._first_sent_at, pool.served_at) >= EXHAUSTED_SECONDS
 
     def with_retry_time(self, reply: Reply, pool: ConnectionPool) -> Reply:
-        """Adds a retry time to the refusal of a statement, if the load policy promises these."""
+        """Adds a retry time to the refusal of a statement, if useful waits are enabled."""
         if not self._services.load_policy.useful_waits:
             return reply
         retry_after_ms = math.ceil(pool.promise_return() * MILLISECONDS)
--- a/tests/core/pooler/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -159,7 +159,7 @@
 
 
 class RandomDay:
-    """Simulates a day from a seed; `violations` returns the broken invariants.
+    """Simulates poolers, clients and faults from a seed; `violations` lists broken invariants.
 
     is_shared: all poolers but the first use the connections of the first. uses_load_reports:
     databases are chosen by reported load.
