--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -179,7 +179,7 @@
         self._proof_request.begin()
 
     def end_seeking(self) -> None:
-        """Records that the read of `begin_seeking` ended, with or without an answer."""
+        """Records that the read recorded by `begin_seeking` ended, answered or not."""
         self._proof_request.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -126,7 +126,7 @@
         )
 
     def accepts_work(self, database_id: str, now: float, bound: float) -> bool:
-        """Tells whether a database may get new work: until `bound` seconds after draining began."""
+        """Tells whether a database is not draining, or began to less than `bound` seconds ago."""
         since = self.draining_since.get(database_id)
         return since is None or now < since + bound
 
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -42,7 +42,7 @@
         self._requested_at = self._clock()
 
     def end(self) -> None:
-        """Records that the read of `begin` ended, answered or not, and wakes waiting reads."""
+        """Records that the read recorded by `begin` ended; wakes the reads that wait for it."""
         self._requested_at = LONG_AGO
         self._wake()
 
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -33,8 +33,8 @@
 
     floor: the minimum position that a replica must show, None if none is proven. primary: the
     usable primary, None for none. primary_proof: how the primary proves its role for this read.
-    excluded: the id of a database that can't be reached, None for none. caller: the
-    caller that sent the read.
+    excluded: the id of a database that can't be reached, None for none.
+    caller: the caller that sent the read.
     """
 
     view: GroupView
--- a/src/dewledge/core/pooler/events.py
+++ b/src/dewledge/core/pooler/events.py
@@ -143,8 +143,8 @@
     """The queue of a database refused a statement that it could not serve in time.
 
     expected_ms: the expected wait, -1 if unknown. age_ms: age of the newest sample of the estimate.
-    left_ms: time left until the latest start. come_back_ms: milliseconds after which the client may
-    retry.
+    left_ms: time left until the statement must have started. come_back_ms: milliseconds after which
+    the client may retry.
     """
 
     group: str
--- a/src/dewledge/core/pooler/sharing/channel_proofs.py
+++ b/src/dewledge/core/pooler/sharing/channel_proofs.py
@@ -33,8 +33,8 @@
     ) -> None:
         """Updates the proven position, the view of the primary and the connection from an answer.
 
-        statement: the answered statement, None if the answer has none. writes: whether it writes.
-        sent_at: when the statement was sent (steady clock, seconds).
+        statement: the answered statement, None if no statement was in progress. writes: whether
+        it writes. sent_at: when the statement was sent (steady clock, seconds).
         """
         code = None if reply.failure is None else reply.failure.code
         if code is None and statement is not None and reply.position is not None:
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -1,9 +1,9 @@
 """Decides whether a holder resends a peer's statement that the database refused as overloaded.
 
 The statement is resent after a pause until its time limit, or until the database has run no
-statement of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a
-time at which to retry. A statement that is resent keeps its connection, so later statements queue
-behind it.
+statement of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a time at
+which to retry. A statement that is resent keeps its connection, so later statements queue behind
+it.
 """
 
 import math
