--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -116,7 +116,7 @@
     def change_view(self, view: GroupView) -> None:
         """Replaces the view, retires pools of removed databases and wakes waiting statements."""
         self.view = view
-        self._pools.follow_view(self.may_serve)
+        self._pools.on_view_changed(self.may_serve)
         if self.usable_primary is not None:
             self._wake_waiters()
 
--- a/src/dewledge/core/pooler/databases/group_pools.py
+++ b/src/dewledge/core/pooler/databases/group_pools.py
@@ -91,7 +91,7 @@
         """Returns the pools of all databases."""
         return [*self.client_pools.values(), *self._peer_pools.values()]
 
-    def follow_view(self, may_serve: Callable[[str], bool]) -> None:
+    def on_view_changed(self, may_serve: Callable[[str], bool]) -> None:
         """Retires the pools of removed databases, and closes idle connections to draining ones.
 
         may_serve: tells whether a database may get new work.
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -101,13 +101,15 @@
         options: ReadOptions,
     ) -> Completion:
         primary = options.view.primary
-        leads = primary is not None and primary.id == record.id
-        lacking = (
-            0.0 if leads else self._lags.seconds_until_applied(record.id, floor, self._clock())
+        is_primary = primary is not None and primary.id == record.id
+        lag_seconds = (
+            0.0 if is_primary else self._lags.seconds_until_applied(record.id, floor, self._clock())
         )
         is_direct = self._pools.holding(record.id).is_direct
         pool, steps = self._pools.client_pools.get(record.id), self._distance(record)
-        return choice.completion(record, pool, is_direct, options.caller, steps, lacking, leads)
+        return choice.completion(
+            record, pool, is_direct, options.caller, steps, lag_seconds, is_primary
+        )
 
     def _load(self, record: DatabaseRecord) -> int:
         pool = self._pools.client_pools.get(record.id)
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -162,12 +162,12 @@
         self._timer.start(SETUP_TIMEOUT_SECONDS, self._on_setup_timeout)
         send_setup(connection, steps, None, None, self._on_setup_done)
 
-    def _on_setup_done(self, verdict: Reply | None | bool) -> None:
+    def _on_setup_done(self, result: Reply | None | bool) -> None:
         connection, message = self._connection, self._current
         if self._ended or connection is None or message is None:
             return
         self._timer.clear()
-        if verdict is True:
+        if result is True:
             self._send(connection, message.statement, message.floor)
         else:
             self._fail_before_sending(connection)
--- a/tests/core/pooler/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -60,7 +60,7 @@
 
 
 @dataclass
-class Asked:
+class SentStatement:
     """A statement sent by a client, its answer, and the commits that it must show if it reads."""
 
     id: str
@@ -81,7 +81,7 @@
         self.day = day
         self.probe = probe
         self.consistency = consistency
-        self.asked: list[Asked] = []
+        self.asked: list[SentStatement] = []
         self.values: dict[str, str] = {}
         self.session_commits: set[str] = set()
         self.transaction = 0
@@ -95,9 +95,9 @@
         if waiting or now < self.next_at:
             return
         self.next_at = now + self.day.random.expovariate(8.0)
-        self._ask(self._choose(), now)
+        self._send(self._choose_kind(), now)
 
-    def _choose(self) -> StatementKind:
+    def _choose_kind(self) -> StatementKind:
         random_value = self.day.random.random()
         if self.transaction:
             if random_value < 0.15:
@@ -110,7 +110,7 @@
             return StatementKind.SET_VALUE
         return StatementKind.WRITE if self.day.random.random() < 0.35 else StatementKind.READ
 
-    def _ask(self, kind: StatementKind, now: float) -> None:
+    def _send(self, kind: StatementKind, now: float) -> None:
         if kind is StatementKind.BEGIN:
             self.transaction += 1
             self.day.transactions += 1
@@ -120,7 +120,7 @@
         if kind is StatementKind.SET_VALUE:
             name, value = f"n{self.day.random.randrange(3)}", str(self.day.random.random())
             self.values[name] = value
-        asked = Asked(
+        asked = SentStatement(
             "", kind, now, self.transaction, self.transaction_at or now, dict(self.values)
         )
         started = asked.transaction_at if self.transaction else now
@@ -140,7 +140,7 @@
                 asked.answered_at = now
                 self._apply_reply(asked, reply)
 
-    def _apply_reply(self, asked: Asked, reply: Reply) -> None:
+    def _apply_reply(self, asked: SentStatement, reply: Reply) -> None:
         done = reply.failure is None
         if asked.kind is StatementKind.WRITE and done and not asked.transaction:
             self._committed([asked.id], asked.answered_at)
@@ -177,7 +177,7 @@
                 draw = random.Random(f"{seed} {number}").random
                 pooler.group.choice = ReadChoice(self.scheduler.now, draw)
         self.acknowledged: dict[str, float] = {}
-        self.statements: dict[str, tuple[RandomClient, Asked]] = {}
+        self.statements: dict[str, tuple[RandomClient, SentStatement]] = {}
         self.transactions = 0
         kinds = list(Consistency)
         self.clients = [
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -77,9 +77,9 @@
     def test_random_follower_chains_converge(self) -> None:
         for seed in range(30):
             with self.subTest(seed):
-                self._play(random.Random(seed))
+                self._run_random_changes(random.Random(seed))
 
-    def _play(self, rng: random.Random) -> None:
+    def _run_random_changes(self, rng: random.Random) -> None:
         expected_rows: dict[str, StoreRow] = {}
         caches = [TableCache() for _ in range(4)]
         caches[0].replace([], 0)
