--- a/src/dewledge/core/pooler/databases/group_view.py
+++ b/src/dewledge/core/pooler/databases/group_view.py
@@ -126,7 +126,7 @@
         )
 
     def accepts_work(self, database_id: str, now: float, bound: float) -> bool:
-        """Tells whether a database is not draining, or began to less than `bound` seconds ago."""
+        """Tells whether a database is not draining, or has been for less than `bound` seconds."""
         since = self.draining_since.get(database_id)
         return since is None or now < since + bound
 
