--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -1,16 +1,13 @@
-"""Whether a database is suspect because one statement gets no answer: one of five judgements.
-
-Inputs: when something of this statement was last sent, and when any statement of this process last
-had an answer of the database (steady clock, seconds).
-Decision: after `SUSPECT_AFTER_SECONDS` without any answer the database is suspect, and so is one
-from which no answer came between the sending and the statement's own timeout.
-What follows: the process has the database's address tested (`failover/`), nothing else. The
-statement itself waits on. Reason: a statement without an answer is no sign of a lost database while
-others get theirs, since a full database answers late; and each test costs a full database more.
-
-The other judgements: `database_silence` (statements no longer wait before a pool),
-`pool/connection_openings` (the last opening failed), `load/shown_failures` (reads prefer other
-databases), `load/holder_health` (a process that holds connections, not a database).
+"""Reports a database as suspect when a statement gets no answer from it.
+
+The database becomes suspect after `SUSPECT_AFTER_SECONDS` without an answer to any statement of
+this process, or when the statement times out and the database has answered nothing since it was
+sent. Answers to other statements prevent this, because an overloaded database answers late and each
+check adds to its load. A suspect database only has its address checked (`failover/`); the statement
+keeps waiting.
+
+Related checks: `database_silence` (stops queueing in a pool), `pool/connection_openings` (failed
+openings), `load/shown_failures` (order of databases for reads), `load/holder_health` (processes).
 """
 
 from collections.abc import Callable
@@ -21,70 +18,78 @@
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.errors import ErrorCode
 
-_FAILURES = frozenset(
+_FAILURE_CODES = frozenset(
     {ErrorCode.DATABASE_UNREACHABLE, ErrorCode.OVERLOADED, ErrorCode.STATEMENT_TIMEOUT}
 )
-"""Codes of answers that show that a database can't serve. One whose log is behind is judged by its
-lag (`replica_lag`)."""
+"""Error codes that count as a failure of the database. A replica that lags behind is not a failure;
+`replica_lag` handles it."""
 
 SUSPECT_AFTER_SECONDS = 0.25
-"""Seconds without any answer of a database, after which it is suspect: some round trips between
-regions and the work of the longest statements, and well under the time in which a lost primary is
-to be replaced. """
+"""Seconds without any answer after which a database is suspect. Covers several round trips between
+regions plus the longest statements, and leaves time to replace a lost primary."""
 
 
 class AnswerWatch:
-    """Watches the wait of one statement; `begin` starts it anew."""
+    """Watches for the answer to one statement. `begin` restarts the watch at each send."""
 
-    def __init__(self, scheduler: Scheduler, group: Group, held: HeldConnection) -> None:
+    def __init__(self, scheduler: Scheduler, group: Group, held_connection: HeldConnection) -> None:
         self._scheduler = scheduler
         self._group = group
-        self._held = held
-        self.began_at = 0.0
+        self._held_connection = held_connection
+        self.sent_at = 0.0
 
     def begin(self) -> None:
-        """Something is sent to the database now."""
-        self.began_at = self._scheduler.now()
+        """Restarts the watch: a request is sent to the database now."""
+        self.sent_at = self._scheduler.now()
 
     def take(self, reply: Reply | None, statement: Statement | None) -> None:
-        """Notes what an answer shows: that the database is there, how far its log is, its slots.
+        """Records an answer: success or failure, the database's log position, the time it took.
 
-        statement: what was answered; None for what the proxy sent of its own before it.
+        reply: None if the connection ended without an answer. statement: the statement that was
+        answered; None for a request of the connection setup, which does not count for the pool.
         """
-        database_id = self._held.database_id
+        database_id = self._held_connection.database_id
         if not database_id:
             return
-        self._note_outcome(has_failed=reply is None or _fails(reply))
+        self._record_outcome(has_failed=reply is None or _is_failure(reply))
         if reply is None:
             return
         if reply.position is not None:
             self._group.observe_position(database_id, reply.position)
         if statement is not None:
-            held = self._scheduler.now() - self.began_at
+            held_seconds = self._scheduler.now() - self.sent_at
             pool = self._group.pool(database_id)
-            pool.note_answer(statement.kind, reply, held, self._held.connection)
+            pool.note_answer(statement.kind, reply, held_seconds, self._held_connection.connection)
+
+    def look(self, reschedule: Callable[[float], None]) -> None:
+        """Reports the database as suspect if its answer is overdue, else reschedules the check.
 
-    def look(self, again: Callable[[float], None]) -> None:
-        """Suspects a database that has been silent for long enough, else looks `again` later."""
-        if self._held.connection is None:
+        reschedule: schedules the next check after a delay in seconds.
+        """
+        if self._held_connection.connection is None:
             return
-        silent_since = max(self.began_at, self._group.heard_at(self._held.database_id))
+        silent_since = max(
+            self.sent_at, self._group.last_answer_at(self._held_connection.database_id)
+        )
         remaining = silent_since + SUSPECT_AFTER_SECONDS - self._scheduler.now()
         if remaining > 0:
-            again(remaining)
+            reschedule(remaining)
         else:
-            self._held.suspect()
+            self._held_connection.suspect()
 
     def limit_passed(self) -> None:
-        """The statement waits no longer: suspects a database that no answer has come from."""
-        self._note_outcome(has_failed=True)
-        if self._group.heard_at(self._held.database_id) <= self.began_at:
-            self._held.suspect()
+        """Records that the statement timed out, which counts as a failure.
+
+        Reports the database as suspect if it has answered nothing since the statement was sent.
+        """
+        self._record_outcome(has_failed=True)
+        if self._group.last_answer_at(self._held_connection.database_id) <= self.sent_at:
+            self._held_connection.suspect()
 
-    def _note_outcome(self, has_failed: bool) -> None:
-        elapsed = self._scheduler.now() - self.began_at
-        self._group.note_outcome(self._held.database_id, has_failed, elapsed)
+    def _record_outcome(self, has_failed: bool) -> None:
+        elapsed = self._scheduler.now() - self.sent_at
+        self._group.record_outcome(self._held_connection.database_id, has_failed, elapsed)
 
 
-def _fails(reply: Reply) -> bool:
-    return reply.failure is not None and reply.failure.code in _FAILURES
+def _is_failure(reply: Reply) -> bool:
+    return reply.failure is not None and reply.failure.code in _FAILURE_CODES
