--- a/src/dewledge/core/pooler/statements/__init__.py
+++ b/src/dewledge/core/pooler/statements/__init__.py
@@ -1,1 +1,1 @@
-"""One statement of a session: choice of a database, setup, sending, answer, retry."""
+"""Runs one statement of a session: database choice, connection setup, sending and retries."""
--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -1,7 +1,7 @@
-"""One attempt of a statement on the connection that it holds: setup, sending, answer.
+"""One attempt to run a statement on a connection: setup, sending and reply.
 
-It owns the timers and epochs of what was sent, and tells the `AttemptListener` how each step ended.
-What follows is not decided here but by retry_rule.py.
+Attempt owns the time limit of each step and the epoch that identifies late replies. It reports
+each result to the AttemptListener; retry_rule.py decides what happens next.
 """
 
 from collections.abc import Sequence
@@ -25,28 +25,32 @@
 
 
 class AttemptListener(Protocol):
-    """Called with how the steps of an attempt end; for each step one call at most."""
+    """Receives the result of each step of an attempt, at most once per step."""
 
     def set_up(self, connection: DatabaseConnection) -> None:
-        """The connection is prepared."""
+        """Called when the connection is prepared."""
 
     def set_up_refused(
         self, connection: DatabaseConnection, reply: Reply, failure: Failure
     ) -> None:
-        """A step of the setup was answered with a failure."""
+        """Called when the database returned a failure to a setup statement."""
 
     def set_up_failed(self, trouble: Trouble) -> None:
-        """The connection ended during the setup, or the setup was not answered in its time."""
+        """Called when the connection closed during setup, or the setup timed out."""
 
     def answered(self, reply: Reply | None) -> None:
-        """The statement was answered; None if the connection ended without an answer."""
+        """Called with the reply to the statement; None if the connection closed without one."""
 
     def silent(self) -> None:
-        """The statement was not answered in the time of this attempt."""
+        """Called when the attempt reached its time limit without a reply."""
 
 
 class Setup(msgspec.Struct, frozen=True):
-    """What prepares a connection: steps, then the begin of a transaction under a floor, if any."""
+    """The statements that prepare a connection.
+
+    steps: session values and prepared statements. begin: the transaction to open after them, None
+    for none. floor: the minimum log position for that transaction.
+    """
 
     steps: Sequence[SetupStep]
     begin: StatementKind | None
@@ -54,7 +58,7 @@
 
 
 class Attempt:
-    """Of one statement, one attempt after the other."""
+    """Performs the attempts of one statement, one at a time."""
 
     def __init__(
         self,
@@ -71,20 +75,20 @@
         self._watch = AnswerWatch(self._scheduler, scope.group, held)
         self._is_over = False
         self.is_setting_up = False
-        """Whether what prepares the connection is not answered yet."""
+        """Whether the setup has been sent and its replies are pending."""
         self.sent_at = 0.0
-        """When the statement itself was sent last (steady clock, seconds)."""
+        """When the statement was last sent (steady clock, seconds)."""
 
     def end(self) -> None:
-        """The statement is answered or given up: what still comes is ignored."""
+        """Ends the attempt; later replies are ignored."""
         self._is_over = True
 
     def stop_setup(self) -> None:
-        """The answer to the setup is awaited no more."""
+        """Stops waiting for the replies to the setup."""
         self.is_setting_up = False
 
     def begin_setup(self, connection: DatabaseConnection, setup: Setup, limit: float) -> None:
-        """Sends what prepares the connection; its answer is awaited until `limit`."""
+        """Sends the setup statements and waits for their replies until `limit`."""
         epoch = self._held.next_epoch()
         self._watch.begin()
         self.is_setting_up = True
@@ -96,12 +100,12 @@
         send_setup(connection, setup.steps, setup.begin, setup.floor, take)
 
     def note_sending(self) -> float:
-        """The statement is sent now: returns that moment."""
+        """Records the current time as the sending time and returns it."""
         self.sent_at = self._scheduler.now()
         return self.sent_at
 
     def send(self, connection: DatabaseConnection, floor: LogPosition | None, limit: float) -> None:
-        """Sends the statement itself; its answer is awaited until `limit`."""
+        """Sends the client's statement and waits for its reply until `limit`."""
         epoch = self._held.next_epoch()
         self._timers.limit(limit, self._silent)
         self._watch.begin()
@@ -129,7 +133,7 @@
             self._listener.set_up_failed(Trouble.SILENT)
 
     def limit_passed(self) -> None:
-        """The answer is awaited no more: a database that was silent meanwhile is suspected."""
+        """Stops waiting, and reports the database as suspect if it sent no reply at all since."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
--- a/src/dewledge/core/pooler/statements/client_reply.py
+++ b/src/dewledge/core/pooler/statements/client_reply.py
@@ -1,7 +1,4 @@
-"""What the client of a statement is answered, and what that makes of its transaction.
-
-It owns nothing; it changes the session's transaction as the answer says.
-"""
+"""Builds the reply to the client and updates the session's transaction accordingly."""
 
 from dewledge.core.pooler.sessions.session_state import OpenTransaction
 from dewledge.core.pooler.statements.retry_outcomes import Fail, InDoubt, TransactionLost
@@ -10,17 +7,17 @@
 
 
 class ClientReply:
-    """The answers to one statement; one of them is given."""
+    """Builds the reply to one statement."""
 
     def __init__(self, scope: StatementScope, transaction: OpenTransaction | None) -> None:
-        """`transaction`: the statement's, None outside of transactions."""
+        """`transaction`: the open transaction of the session, None outside of transactions."""
         self._session = scope.session
         self._transaction = transaction
         self._is_commit = scope.is_commit
         self._writes = scope.writes
 
     def done(self, reply: Reply, now: float) -> Reply:
-        """Returns the answer of a statement that was done; a transaction is used or committed."""
+        """Returns the reply to a successful statement; a commit also ends the transaction."""
         state = TransactionState.IDLE
         transaction = self._transaction
         if transaction is not None:
@@ -33,7 +30,7 @@
         return Reply(state, rows=reply.rows, signature=reply.signature)
 
     def after(self, outcome: InDoubt | TransactionLost | Fail) -> Reply:
-        """Returns the answer of a statement that was not done."""
+        """Returns the reply to a failed statement and updates its transaction."""
         if isinstance(outcome, InDoubt):
             self._session.transaction = None
             return Reply(TransactionState.IDLE, failure=outcome.failure)
@@ -42,7 +39,7 @@
         return self._failed(outcome.failure)
 
     def _failed(self, failure: Failure) -> Reply:
-        """A transaction can only be ended now."""
+        """Marks the transaction as failed: the client can only end it. A failed commit ends it."""
         state = TransactionState.IDLE
         if self._transaction is not None and self._is_commit:
             self._session.transaction = None
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -1,16 +1,10 @@
-"""What a refused client is told: when to come back. For statements and for sessions.
+"""Computes when a client whose statement was refused may retry, and the text that reports it.
 
-Inputs: the moments at which the databases that refused the statement said they will have room
-(steady clock, seconds), whether the group lacks a primary, and the return moments promised to
-others before. Rate limits compute theirs in core/pooler/rate_limits.
-
-Decision of `seconds_after_search`, the first that fits:
-1. a database said when it will have room: the earliest of these moments;
-2. the group has a primary, and a target was tried: the next free moment of that pool's queue;
-3. else the next free moment of the group, at or after the least time below.
-
-Reason: a caller that comes back earlier than there is room is refused again, and callers that come
-back together are a wave. So each moment is promised once.
+The retry time is the earliest time at which a database that refused the statement expects free
+capacity. If none is known, the queue of the last database tried, or the group if it has no primary
+or none was tried, reserves the next free retry time. Each reserved time goes to one caller only,
+because callers that retry together would be refused together again. Retry times of rate limits are
+computed in core/pooler/rate_limits.
 """
 
 from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases
@@ -21,30 +15,28 @@
 from dewledge.errors import ErrorCode
 
 COME_BACK_OVERLOADED_MS = 100
-"""Milliseconds, where no queue has said when it will have room: some times the work of a
-statement."""
+"""Used where no queue has reported when it will have capacity."""
 COME_BACK_NO_PRIMARY_MS = 500
-"""Milliseconds, while the group has no primary: one is usually replaced within a second or two, and
-the refused statement has waited for most of that already."""
+"""Used while the group has no primary. A primary is usually replaced within one or two seconds, and
+the refused statement has already waited for most of that time."""
 COME_BACK_STARTING_MS = 500
-"""Milliseconds, for a session that begins at a process without a configuration."""
+"""Used for a session that starts before the process has its configuration."""
 COME_BACK_ENDING_MS = 100
-"""Milliseconds, near the end of a planned stop: the client's next session begins at another
-process."""
+"""Used near the end of a planned stop: the client's next session starts at another process."""
 
 
 def not_run_text(come_back_ms: int) -> str:
-    """Returns the text that a refused client gets; it reads the number in it."""
+    """Returns the message for a refused client. Clients parse the number, so the text is fixed."""
     return f"not run, come back in {come_back_ms} ms"
 
 
 def refusal(code: ErrorCode, come_back_ms: int) -> Failure:
-    """Returns what the client of a refused statement gets."""
+    """Returns the failure for the client of a refused statement."""
     return Failure(code, not_run_text(come_back_ms), come_back_ms)
 
 
 def least_seconds(lacks_primary: bool) -> float:
-    """Returns the seconds where no queue has said when it will have room."""
+    """Returns the retry delay in seconds where no queue has reported when it will have capacity."""
     least_ms = COME_BACK_NO_PRIMARY_MS if lacks_primary else COME_BACK_OVERLOADED_MS
     return least_ms / MILLISECONDS
 
@@ -55,9 +47,9 @@
     exhausted: ExhaustedDatabases,
     lacks_primary: bool,
 ) -> float:
-    """Returns the seconds until there will be room for a statement that found no connection.
+    """Returns the retry delay in seconds for a statement that found no connection.
 
-    target: the last one tried.
+    target: the database tried last, None if none was tried.
     """
     now = scope.services.scheduler.now()
     known = [moment - now for moment in exhausted.room_moments if moment > now]
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -1,9 +1,8 @@
-"""What a shared database connection must be told before a session's statement may run there.
+"""Brings a shared database connection into the state that a session's statement needs.
 
-Inputs: what the session has (values, prepared statements) and what the connection has already.
-Decision: the steps by which the connection gets what it lacks; everything is discarded where it has
-values of another session. Reason: nothing of one session may be seen by another, and a statement
-should cost no step that is not needed. It owns nothing: the connection notes what it was told.
+The setup sends only the session values and prepared statements that the connection lacks. If the
+connection has values that the session does not set, or too many prepared statements, its whole
+state is discarded first: no session may see the state of another. The connection records its state.
 """
 
 from collections.abc import Callable, Sequence
@@ -22,12 +21,12 @@
 from dewledge.core.shared.positions import LogPosition
 
 MAX_PREPARED_PER_CONNECTION = 200
-"""Statements prepared on one database connection. With more everything is discarded, so that the
-memory of the database is bounded."""
+"""Statements prepared on one connection; above this its state is discarded, which bounds the memory
+used at the database."""
 
 
 class SetupStep(msgspec.Struct, frozen=True):
-    """One statement of the proxy's own that prepares a connection."""
+    """A statement that the proxy sends to prepare a connection."""
 
     kind: StatementKind
     name: str = ""
@@ -36,13 +35,13 @@
 
 
 def prepared_name(shape: PreparedShape) -> str:
-    """Returns the name of a shape at databases: the same for every session that prepares it."""
+    """Returns the name of a prepared statement at databases; sessions with one shape share it."""
     digest = xxhash.xxh3_128_hexdigest(f"{int(shape.writes)} {shape.shape}".encode())
     return f"p{digest}"
 
 
 def statement_for_database(session: SessionState, statement: Statement) -> Statement:
-    """Returns a client's statement as a database gets it, under its own names."""
+    """Returns the statement as sent to the database; EXECUTE gets the shared prepared name."""
     if statement.kind is not StatementKind.EXECUTE:
         return statement
     name = prepared_name(session.prepared[statement.name])
@@ -52,10 +51,10 @@
 def plan_setup(
     session: SessionState, connection: DatabaseConnection, statement: Statement, is_pinned: bool
 ) -> Sequence[SetupStep]:
-    """Returns the steps that give `connection` the session's state, and notes them as taken.
+    """Returns the steps that bring `connection` into the session's state, and records them there.
 
-    is_pinned: whether the session's transaction has been on this connection already.
-    A connection on which a step fails must be closed.
+    The caller must close a connection on which a step fails. is_pinned: whether the session's open
+    transaction already uses the connection; its state is then not discarded.
     """
     steps: list[SetupStep] = []
     shape = None
@@ -80,9 +79,10 @@
 
 
 class SetupAnswers:
-    """Collects the answers to setup statements sent at once; tells one verdict.
+    """Combines the replies to pipelined setup statements into one result.
 
-    `done` gets True if all succeeded, else the first bad answer, or None if the connection ended.
+    Calls `done` once: with True if all succeeded, otherwise with the first failed reply, or with
+    None if the connection closed.
     """
 
     def __init__(self, pending: int, done: Callable[[Reply | None | bool], None]) -> None:
@@ -91,7 +91,7 @@
         self._told = False
 
     def take(self, reply: Reply | None) -> None:
-        """Takes one answer; None if the connection ended."""
+        """Handles one reply; None if the connection closed."""
         self._pending -= 1
         if self._told:
             return
@@ -110,7 +110,10 @@
     floor: LogPosition | None,
     done: Callable[[Reply | None | bool], None],
 ) -> None:
-    """Sends the steps and, last, the begin of a transaction, without waiting between them."""
+    """Sends the steps, then the begin of a transaction if any, without waiting for replies between.
+
+    floor: minimum log position for a read-only transaction. done: see SetupAnswers.
+    """
     answers = SetupAnswers(len(steps) + (begin is not None), done)
     for step in steps:
         own = Statement(
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -1,8 +1,9 @@
-"""Finds a connection for a statement: targets in order, queues, waiting for a new primary.
+"""Finds a database connection for one statement.
 
-It owns the targets that are left and the statement's place in one queue. What it waits for is
-bounded by StatementDeadlines; which databases it asks no more is ExhaustedDatabases' to say; what
-follows a failed attempt is decided by retry_rule.py.
+The search tries the candidate databases in order, waits in one pool queue at a time and, if the
+group has no primary, waits for the next one. StatementDeadlines limits the waits,
+ExhaustedDatabases records which databases must not be asked again, and retry_rule.py decides
+whether the search continues after a failed attempt.
 """
 
 import math
@@ -30,14 +31,13 @@
 from dewledge.errors import ErrorCode
 
 LEAST_PAUSE_SECONDS = 0.001
-"""Seconds that the search rests at least before databases are asked anew: a timer is no more
-exact."""
+"""Avoids a busy loop when the next retry time is now or already over."""
 
 
 class SearchEnds(msgspec.Struct, frozen=True):
-    """How a search ends.
+    """Callbacks for the end of a search.
 
-    found: gets the connection. gave_up: gets the milliseconds after which the client may come back.
+    found: receives the connection. gave_up: receives the retry delay for the client, milliseconds.
     """
 
     found: Callable[[DatabaseConnection], None]
@@ -45,7 +45,7 @@
 
 
 class DatabaseSearch:
-    """The search of one statement; it may go on after an attempt that surely did not run."""
+    """Searches a connection for one statement; can continue after an attempt that did not run."""
 
     def __init__(
         self,
@@ -76,16 +76,16 @@
         self._has_waited_for_proof = False
         self._is_searching = False
         self.target: Target | None = None
-        """The database that is tried, or was tried last."""
+        """The database tried now or most recently."""
 
     def start(self) -> None:
-        """Begins the search, or begins it anew."""
+        """Starts the search with a new list of candidate databases."""
         self._is_searching = True
         self._timers.limit(self._deadlines.give_up_at, self._give_up)
         self._plan()
 
     def go_on(self) -> None:
-        """Tries the next target, or gives up if the time is over."""
+        """Continues with the next candidate, or gives up if the time limit has passed."""
         if self._services.scheduler.now() >= self._deadlines.give_up_at:
             self._is_searching = True
             self._give_up()
@@ -102,7 +102,7 @@
         return self.target is not None and self._exhausted.is_exhausted(self.target.database.id)
 
     def end(self) -> None:
-        """Withdraws from queues."""
+        """Ends the search and leaves the pool queue."""
         self._is_searching = False
         if self._is_seeking_proof:
             self._is_seeking_proof = False
@@ -112,14 +112,14 @@
             self._waiter = None
 
     def note_refused(self, failure: Failure) -> None:
-        """An attempt at the target was refused; only a refusal for want of room matters here."""
+        """Records the refusal if the current target is overloaded; ignores other failures."""
         if self.target is None or failure.code is not ErrorCode.OVERLOADED:
             return
         now = self._services.scheduler.now()
         self._exhausted.note_overloaded(self.target.database.id, failure, now)
 
     def note_served(self) -> None:
-        """The statement ran: the ticket of an earlier refusal has served its purpose."""
+        """Clears the ticket of an earlier refusal, because the statement has now succeeded."""
         self._session.ticket = None
 
     def _plan(self) -> None:
@@ -132,11 +132,14 @@
             self._try_next()
 
     def _may_try(self, target: Target) -> bool:
-        """Tells whether the target has not said that it has no room yet."""
+        """Returns whether the target may be asked now, given its earlier refusals."""
         return self._exhausted.may_ask(target.database.id, self._services.scheduler.now())
 
     def _waits_for_proof(self, found: Sequence[Target]) -> bool:
-        """Has a read without a floor wait for the one that another read seeks, or seek it."""
+        """Makes a read without a known floor wait while another read fetches one from the primary.
+
+        Returns False if the read need not wait; it then fetches the floor itself if one is missing.
+        """
         if not self._lacks_floor(found) or self._is_seeking_proof:
             return False
         if not self._has_waited_for_proof and not self._group.may_seek_proof():
@@ -149,7 +152,7 @@
         return False
 
     def _lacks_floor(self, found: Sequence[Target]) -> bool:
-        """Tells whether a replica could serve the read if only a floor were known."""
+        """Returns whether only a missing floor prevents replicas from serving the read."""
         is_replica_read = self._route.consistency is not Consistency.PRIMARY and not self._writes
         transaction = self._session.transaction
         if not is_replica_read or (transaction is not None and not transaction.read_only):
@@ -181,9 +184,9 @@
             self._take(self.target)
 
     def _seconds_until_ready(self, target: Target) -> float:
-        """Returns for how long a read is kept here, until a replica probably has its position.
+        """Returns the delay until the replica is expected to have applied the required position.
 
-        Sent before, it would be refused there and cost a detour. Not beyond the time to give up.
+        A read that is sent earlier would be refused there. Returns 0 if that time is too late.
         """
         if target.expected is None:
             return 0.0
@@ -218,7 +221,7 @@
         self._judge_later(waiter)
 
     def _judge_later(self, waiter: Waiter) -> None:
-        """Has the queue judge a statement that waits there anew, when it is time."""
+        """Lets the pool re-evaluate the wait each time its verdict expires."""
         if self._waiter is not waiter or self.target is None:
             return
         verdict = self._strategy.judge(self._group.pool(self.target.database.id), waiter)
@@ -226,7 +229,10 @@
             self._timers.limit(verdict.at, lambda: self._judge_later(waiter))
 
     def _wait_for_room(self, found: Sequence[Target]) -> None:
-        """All targets said when they will have room: the statement is back then, or refused."""
+        """Pauses until the first target is expected to have capacity.
+
+        Gives up if that is too late, or if all targets are exhausted.
+        """
         moment = self._exhausted.next_room_at(target.database.id for target in found)
         if moment is None or moment > self._deadlines.give_up_at:
             self._give_up()
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -1,12 +1,8 @@
-"""Which databases refused one statement for want of room, and until when it asks them no more.
+"""Records which databases refused one statement as overloaded, and when each may be asked again.
 
-Inputs: the refusals of one statement (`Failure.come_back_ms`, milliseconds from now), when each
-database was first asked and when it last served this process (steady clock, seconds).
-
-Decision: a database that said when it will have room is asked again then. One that refused the
-statement for EXHAUSTED_SECONDS, or has run nothing of this process for as long, is exhausted: this
-statement asks it no more. Reason: nobody is held to the end of its time before a database that
-serves nobody.
+A database that reported when it expects free capacity is asked again at that time. A database that
+has refused the statement for EXHAUSTED_SECONDS, or has served nothing of this process for as long,
+is exhausted: the statement does not ask it again, so that it does not use up its time there.
 """
 
 from collections.abc import Collection, Iterable
@@ -18,47 +14,47 @@
 
 
 class ExhaustedDatabases:
-    """Of one statement. Moments: steady clock, seconds."""
+    """Records overload refusals by database. Times: steady clock, seconds."""
 
     def __init__(self, group: Group) -> None:
         self._group = group
         self._room_at: dict[str, float] = {}
-        """When a database that refused the statement said it would have room."""
+        """When each database that refused the statement expects free capacity."""
         self._tried_at: dict[str, float] = {}
-        """When each database was first asked."""
+        """When the statement first asked each database."""
         self._exhausted: set[str] = set()
-        """The databases that are not asked again."""
+        """Databases that the statement does not ask again."""
 
     @property
     def room_moments(self) -> Collection[float]:
-        """When each database that refused the statement said it would have room."""
+        """The times at which databases that refused the statement expect free capacity."""
         return self._room_at.values()
 
     def is_exhausted(self, database_id: str) -> bool:
-        """Tells whether the statement does not ask the database again."""
+        """Returns whether the statement must not ask the database again."""
         return database_id in self._exhausted
 
     def may_ask(self, database_id: str, now: float) -> bool:
-        """Tells whether the database has not said that it has no room yet."""
+        """Returns whether the database may be asked now."""
         if database_id in self._exhausted:
             return False
         return self._room_at.get(database_id, 0.0) <= now
 
     def next_room_at(self, database_ids: Iterable[str]) -> float | None:
-        """Returns when the first of them will have room; None if all are exhausted."""
+        """Returns the earliest time at which one expects capacity; None if all are exhausted."""
         asked = [each for each in database_ids if each not in self._exhausted]
         return min((self._room_at[each] for each in asked), default=None)
 
     def note_tried(self, database_id: str, now: float) -> None:
-        """The database is asked now."""
+        """Records that the statement asks the database now."""
         self._tried_at.setdefault(database_id, now)
 
     def note_room_at(self, database_id: str, moment: float) -> None:
-        """The queue before the database refused the statement until `moment`."""
+        """Records a refusal by the queue of the database, which expects capacity at `moment`."""
         self._room_at[database_id] = moment
 
     def note_overloaded(self, database_id: str, failure: Failure, now: float) -> None:
-        """The database, or its holder, has no room; it may have said when it will."""
+        """Records that the database or its holder refused the statement as overloaded."""
         pool = self._group.pool(database_id)
         tried_at = self._tried_at.get(database_id, now)
         if failure.come_back_ms:
@@ -71,7 +67,7 @@
 
 
 class NeverExhausted(ExhaustedDatabases):
-    """Where waits aren't judged by use: a refusal for want of room changes nothing."""
+    """Ignores overload refusals; used with fixed waits."""
 
     def note_overloaded(self, database_id: str, failure: Failure, now: float) -> None:
-        """Notes nothing."""
+        """Does nothing."""
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -1,7 +1,4 @@
-"""The database connection that a statement holds, and every way to let go of it.
-
-It owns the connection between the pool that gave it and the pool that takes it back.
-"""
+"""The database connection that a statement has borrowed from a pool, and the ways to return it."""
 
 from collections.abc import Callable
 
@@ -16,7 +13,7 @@
 
 
 class HeldConnection:
-    """At most one connection. `epoch` rises whenever answers still to come stop to count."""
+    """Holds at most one connection. A higher `epoch` makes pending replies obsolete."""
 
     def __init__(
         self,
@@ -24,7 +21,7 @@
         group: Group,
         holder_judged: Callable[[HolderState], None] = ignore_holder,
     ) -> None:
-        """`holder_judged`: called when the process that carries the connection is judged anew."""
+        """`holder_judged`: called when the health state of the connection's holder changes."""
         self._holder_judged = holder_judged
         self._services = services
         self._group = group
@@ -33,11 +30,11 @@
 
     @property
     def database_id(self) -> str:
-        """The database of the connection, empty without one."""
+        """The id of the connected database, empty without a connection."""
         return "" if self.connection is None else self.connection.database_id
 
     def take(self, connection: DatabaseConnection) -> None:
-        """Holds a connection."""
+        """Takes over a connection from the pool."""
         self.connection = connection
         connection.holder_judged = self._holder_judged
 
@@ -48,24 +45,24 @@
         return connection
 
     def next_epoch(self) -> int:
-        """Returns the epoch of the answers to what is sent now."""
+        """Starts a new epoch for the replies to the next messages, and returns it."""
         self.epoch += 1
         return self.epoch
 
     def release(self) -> None:
-        """Gives the connection back for others to use."""
+        """Returns the connection to the pool."""
         connection = self._let_go()
         if connection is not None:
             self._group.pool(connection.database_id).release(connection)
 
     def roll_back(self) -> None:
-        """Ends the transaction on the connection, then gives it back."""
+        """Rolls back the transaction on the connection, then returns it to the pool."""
         connection = self._let_go()
         if connection is not None:
             self._group.roll_back(connection, self._services.scheduler)
 
     def drop(self) -> None:
-        """Closes a connection whose state is unknown; an answer pending there is never read."""
+        """Closes a connection whose state is unknown; ignores its pending replies."""
         self.epoch += 1
         connection = self._let_go()
         if connection is not None:
@@ -73,9 +70,9 @@
             self._group.pool(connection.database_id).release(connection)
 
     def settle(self, fate: ConnectionFate, has_begun: bool) -> None:
-        """Does with the connection what the retry rule says.
+        """Returns or closes the connection as the retry rule decided.
 
-        has_begun: whether the proxy opened a transaction of its own on it.
+        has_begun: whether the proxy opened a transaction on it for this attempt.
         """
         is_given_back = fate is ConnectionFate.GIVEN_BACK
         if fate is ConnectionFate.ROLLED_BACK or (is_given_back and has_begun):
@@ -86,24 +83,24 @@
             self.drop()
 
     def forget_prepared(self) -> None:
-        """The database does not know a prepared statement that should stand there."""
+        """Clears the list of prepared statements after the database did not know one of them."""
         if self.connection is not None:
             self.connection.prepared.clear()
 
     def take_failure(self, failure: Failure, statement_id: str) -> None:
-        """Tells the group what a failure shows of the database."""
+        """Updates the state of the database in the group according to a failure."""
         if failure.code is ErrorCode.NOT_PRIMARY:
             self.refute_primary(statement_id)
         if failure.code is ErrorCode.DATABASE_UNREACHABLE:
             self.suspect()
 
     def suspect(self) -> None:
-        """Tells that the database has not answered."""
+        """Reports the database as suspect because it did not reply."""
         if self.connection is not None:
             self._services.suspect(self._group.view.name, self.connection.database_id)
 
     def refute_primary(self, statement_id: str) -> None:
-        """Tells that the database refused work because it is not the primary."""
+        """Records that the database refused the statement because it is not the primary."""
         connection = self.connection
         if connection is None:
             return
--- a/src/dewledge/core/pooler/statements/position_learning.py
+++ b/src/dewledge/core/pooler/statements/position_learning.py
@@ -1,7 +1,4 @@
-"""What an answer tells of the log: floors of the session, proven positions of the group.
-
-It owns nothing: it writes the session's floor and the group's history of proofs.
-"""
+"""Updates the session's floor and the group's proven positions from the replies to a statement."""
 
 from dewledge.core.pooler.sessions.session_state import OpenTransaction
 from dewledge.core.pooler.statements.statement_scope import StatementScope
@@ -9,10 +6,10 @@
 
 
 class PositionLearner:
-    """Takes the positions in the answers to one statement."""
+    """Records the log positions in the replies to one statement."""
 
     def __init__(self, scope: StatementScope, transaction: OpenTransaction | None) -> None:
-        """`transaction`: the statement's, None outside of transactions."""
+        """`transaction`: the open transaction of the session, None outside of transactions."""
         self._group = scope.group
         self._session = scope.session
         self._transaction = transaction
@@ -20,10 +17,10 @@
         self._is_commit = scope.is_commit
 
     def take(self, position: LogPosition | None, sent_at: float, proved_lead: bool) -> None:
-        """Takes the answer of a statement that was done; None where it names no position.
+        """Records the position in the reply to a successful statement; None if the reply has none.
 
-        sent_at: when the statement left (steady clock, seconds). proved_lead: whether the database
-        held every commit then.
+        sent_at: sending time (steady clock, seconds). proved_lead: whether the database proved that
+        it was the primary, and so had every commit acknowledged before `sent_at`.
         """
         if position is None:
             return
@@ -42,7 +39,7 @@
     def _take_in_transaction(
         self, position: LogPosition, sent_at: float, transaction: OpenTransaction
     ) -> None:
-        """A commit that wrote nothing proves no lead."""
+        """Records a position in a transaction; a commit without writes proves no primary."""
         has_written = self._is_commit and transaction.wrote
         if has_written:
             self._session.raise_floor(position)
@@ -50,7 +47,11 @@
             self._group.record_proof(sent_at, position)
 
     def _forget_old_lineage(self, position: LogPosition) -> None:
-        """A proven primary of a later term holds all that is left of an earlier one."""
+        """Replaces a session floor of an earlier term.
+
+        A primary of a later term holds everything that survived that term, so that positions beyond
+        it no longer exist.
+        """
         floor = self._session.floor
         if floor is not None and floor.term < position.term:
             self._session.floor = position
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -1,10 +1,7 @@
-"""Whether one statement may use its database as primary, and what its success shows of that one.
+"""Checks that one statement may use its database as primary, and records confirmed primaries.
 
-Inputs: the target chosen, the client's transaction, the group's lease at this moment. Decision:
-whether the statement needs the lead and the database may not be used so; which transaction has to
-be opened so that the database proves its lead. Reason: the rule of the lease is in
-core/pooler/failover/primary_lease.py, which says who may use a primary; here is when one statement
-asks: before it is sent, and when its answer comes.
+The rule of the lease itself is in core/pooler/failover/primary_lease.py. A statement checks it
+before it is sent and again when its reply arrives.
 """
 
 from dewledge.core.pooler.databases.group import Group
@@ -14,12 +11,12 @@
 
 
 class PrimaryLeaseUse:
-    """The use of a primary by one statement, in one attempt after the other; `plan` begins each."""
+    """Applies the primary lease to the attempts of one statement; `plan` starts an attempt."""
 
     def __init__(
         self, group: Group, transaction: OpenTransaction | None, writes: bool, is_commit: bool
     ) -> None:
-        """`transaction`: the client's, None for a statement outside of transactions."""
+        """`transaction`: the open transaction of the session, None outside of transactions."""
         self._group = group
         self._transaction = transaction
         self._writes = writes
@@ -27,26 +24,29 @@
         self._target: Target | None = None
         self._fencing_token = 0
         self.has_begun = False
-        """Whether the attempt opens a transaction that only a primary opens."""
+        """Whether the attempt opens a transaction that only the primary accepts."""
 
     @property
     def is_pinned(self) -> bool:
-        """Whether the client's transaction has its connection already."""
+        """Whether the session's transaction already has a connection."""
         return self._transaction is not None and self._transaction.connection is not None
 
     @property
     def proves(self) -> bool:
-        """Whether a success shows that the database held every commit when it was sent."""
+        """Whether a success proves that the database had every commit at the time of sending."""
         return self.has_begun or self._reads_by_lease
 
     def plan(self, target: Target | None) -> None:
-        """An attempt begins; `target` is None for a statement of a pinned transaction."""
+        """Starts an attempt; `target` is None for a statement of a pinned transaction."""
         self._target = target
         self.has_begun = self.begin_kind is StatementKind.BEGIN
 
     @property
     def begin_kind(self) -> StatementKind | None:
-        """A read that must come from the primary runs in a transaction that only it opens."""
+        """The transaction that the attempt must open first, None for none.
+
+        A read that requires the primary runs in a transaction that only the primary accepts.
+        """
         target = self._target
         if self.is_pinned or target is None or target.proof is Proof.NONE or self._reads_by_lease:
             return None
@@ -55,7 +55,7 @@
         return StatementKind.BEGIN_READ_ONLY if self._transaction is not None else None
 
     def is_lacking(self, database_id: str) -> bool:
-        """Tells whether the database would have to lead, and may not be used as primary now."""
+        """Returns whether the statement requires the primary without permission of the lease."""
         transaction, target = self._transaction, self._target
         if transaction is not None and transaction.connection is not None:
             needs_lead = transaction.leads
@@ -64,11 +64,11 @@
         return needs_lead and not self._group.may_lead(database_id)
 
     def note_sending(self) -> None:
-        """The statement leaves now."""
+        """Records the fencing token under which the statement is sent."""
         self._fencing_token = self._group.right.fencing_token
 
     def note_success(self, database_id: str) -> None:
-        """The statement succeeded: the database leads if it would have refused it otherwise."""
+        """Records the database as proven primary if only a primary could have run the statement."""
         transaction = self._transaction
         if transaction is None:
             has_shown_lead = self._writes or self.has_begun
@@ -79,6 +79,6 @@
 
     @property
     def _reads_by_lease(self) -> bool:
-        """Whether this is a single read whose database need not prove its lead once more."""
+        """Whether this is a single read at a database already confirmed as primary by the lease."""
         target = self._target
         return self._transaction is None and target is not None and target.proof is Proof.RIGHT
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -1,10 +1,9 @@
-"""What a process knows of a group's databases when it chooses one for a read.
+"""Estimates when each database of a group would answer a read; load/choice.py orders them by that.
 
-Inputs: this process's own counts where it holds connections to a database, else the load reports of
-the holders (`LoadTable`, aged by their arrival), failures shown a moment ago, the distance, and the
-seconds until a replica has the position. Decision: when a read is expected to be answered by each
-database; load/choice.py orders them by that. Reason: distance alone keeps reads at a database that
-is several times slower than its group. It owns the load table and the shown failures of one group.
+The estimate uses the counters of this process if it holds connections to the database, otherwise
+the load reports of the holders, weighted by their age. It adds the network distance, recent
+failures, and the time until a replica has the required position. Distance alone would keep reads
+at a near database that is several times slower than the others.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,18 +18,16 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 ROUND_TRIP_SECONDS = (0.001, 0.004, 0.03)
-"""Seconds of a round trip within a zone, between two of a region, between regions: what is usual of
-networks. Only their order and the greatest, which a gain elsewhere must exceed, decide anything."""
+"""Typical round trips within a zone, between zones of a region, and between regions."""
 OPENING_SECONDS = 0.012
-"""Seconds for which the opening of a connection holds a slot of the database, beside the round
-trip."""
+"""Time to open a connection, in addition to the round trip."""
 UNREACHABLE_SECONDS = 10.0
-"""Seconds added where no connection could be opened a moment ago: longer than any statement has, so
-that such a database comes last."""
+"""Added for a database that is unreachable or silent. Longer than any statement timeout, so that it
+comes last."""
 
 
 def report_of(pool: ConnectionPool) -> LoadReport:
-    """Returns the load report of a process that holds connections to a database."""
+    """Returns the load report on a database for other processes, from the pool of its holder."""
     return bounded_report(
         pool.waiting,
         pool.urgent_waiting,
@@ -42,17 +39,20 @@
 
 
 class ReadChoice:
-    """One group's. Times: the steady clock, seconds."""
+    """Estimates completions for one group. Owns its load table and recent failures."""
 
     def __init__(self, clock: Callable[[], float], draw: Callable[[], float]) -> None:
-        """`draw`: returns a number from 0 up to 1, at random."""
+        """`clock`: steady clock, seconds. `draw`: returns a random number from 0 to below 1."""
         self._clock = clock
         self._draw = draw
         self.book = LoadTable()
         self.failures = ShownFailures()
 
     def known(self, record: DatabaseRecord, pool: ConnectionPool | None) -> KnownLoad:
-        """Returns the load before a database; `pool` if this process holds connections there."""
+        """Returns the load of a database.
+
+        pool: the pool of this process if it holds the connections itself, otherwise None.
+        """
         if pool is not None:
             window = min(pool.window_size, record.slots or pool.window_size)
             service = pool.service_rate.service_time
@@ -72,10 +72,11 @@
         position_wait: float,
         leads: bool,
     ) -> Completion:
-        """Returns when a read is expected to be answered there.
+        """Returns the expected completion of a read at a database.
 
-        pool: of this process before the database, of connections or of channels. steps: from this
-        process to the database. leads: whether it is the primary.
+        pool: the pool of this process for the database, None if it has none. is_direct: whether
+        this process holds the connections itself. steps: distance, an index of ROUND_TRIP_SECONDS.
+        position_wait: seconds until the replica has the position. leads: whether it is the primary.
         """
         known = self.known(record, pool if is_direct else None)
         in_flight = 0 if pool is None else pool.load
@@ -94,14 +95,14 @@
         )
 
     def _detour(self, record: DatabaseRecord, pool: ConnectionPool | None) -> float:
-        """Returns the seconds that failures at the database are expected to cost."""
+        """Returns the expected cost of failures at the database, in seconds."""
         detour = self.failures.detour(record.id, self._clock())
         if pool is not None and (pool.is_unreachable or pool.is_silent):
             detour += UNREACHABLE_SECONDS
         return detour
 
     def order(self, candidates: Sequence[Candidate]) -> Sequence[Candidate]:
-        """Returns the candidates in the order in which they are to be tried."""
+        """Returns the candidates in the order in which to try them."""
         return order(candidates, self._draw)
 
 
@@ -110,15 +111,16 @@
 
 
 def _opening(pool: ConnectionPool | None, caller: str, way: float) -> float:
-    """Returns the seconds until there is a connection of the caller."""
+    """Returns the seconds to open a connection for the caller; 0 if an idle one exists."""
     has_connection = pool is not None and pool.has_idle(caller)
     return 0.0 if has_connection else OPENING_SECONDS + way
 
 
 def _displacing(known: KnownLoad) -> float:
-    """Returns what a read at the primary takes from writes, which only the primary can serve.
+    """Returns the seconds of capacity that a read at the primary takes from writes.
 
-    Its own work at least; while no slot is free, it also has whoever comes wait for as long.
+    This is the service time, rising to twice that as the slots fill up, since the next statement
+    then has to wait for the read.
     """
     used = min((known.waiting + known.running) / max(known.window, 1.0), 1.0)
     return known.service_seconds * (1.0 + used)
--- a/src/dewledge/core/pooler/statements/retry_outcomes.py
+++ b/src/dewledge/core/pooler/statements/retry_outcomes.py
@@ -1,7 +1,4 @@
-"""What may follow when something fails on a statement's way: the outcomes of the retry rule.
-
-Immutable values; retry_rule.py decides which, StatementRun does what they say.
-"""
+"""The possible outcomes of a failure: what the retry rule returns and StatementRun carries out."""
 
 from enum import StrEnum
 
@@ -11,11 +8,12 @@
 
 
 class ConnectionFate(StrEnum):
-    """What becomes of the connection.
+    """What to do with the connection of the statement.
 
-    KEPT: the statement goes on holding it, or holds none. RELEASED: it serves others at once.
-    GIVEN_BACK: the same, after a rollback where the proxy has opened a transaction of its own.
-    ROLLED_BACK: it serves others after a rollback. CLOSED: its state is not known.
+    KEPT: the statement keeps it, or has none. RELEASED: it returns to the pool at once.
+    GIVEN_BACK: as RELEASED, after a rollback if the proxy opened a transaction for this attempt.
+    ROLLED_BACK: it returns to the pool after a rollback. CLOSED: it is closed, since its state is
+    unknown.
     """
 
     KEPT = "kept"
@@ -26,15 +24,15 @@
 
 
 class WaitOn(msgspec.Struct, frozen=True):
-    """Nothing follows: the statement may run, and its answer is still awaited."""
+    """Keep waiting: the statement may be running, and its reply is still accepted."""
 
     connection: ConnectionFate = ConnectionFate.KEPT
 
 
 class TryElsewhere(msgspec.Struct, frozen=True):
-    """The statement surely did not run: the search goes on.
+    """Continue the search: the statement did not run.
 
-    seeks_longer: whether it gets more time for that.
+    seeks_longer: whether the time limit of the search is extended.
     """
 
     connection: ConnectionFate
@@ -42,35 +40,35 @@
 
 
 class RerunRead(msgspec.Struct, frozen=True):
-    """The read is sent once more. is_counted: whether that uses up one of its reruns."""
+    """Send the read again. is_counted: whether this counts towards its limit of reruns."""
 
     connection: ConnectionFate
     is_counted: bool
 
 
 class SendAgain(msgspec.Struct, frozen=True):
-    """The statement is sent again on its own connection after `pause_seconds`."""
+    """Send the statement again on the same connection after `pause_seconds`."""
 
     pause_seconds: float
     connection: ConnectionFate = ConnectionFate.KEPT
 
 
 class InDoubt(msgspec.Struct, frozen=True):
-    """The commit may have taken effect: the transaction ends and its outcome is unknown."""
+    """End the transaction with an unknown outcome: the commit may have taken effect."""
 
     connection: ConnectionFate
     failure: Failure
 
 
 class TransactionLost(msgspec.Struct, frozen=True):
-    """Nothing of the transaction is kept: its commit was not sent, or did not run."""
+    """Fail the transaction: none of its changes can commit any more."""
 
     connection: ConnectionFate
     failure: Failure
 
 
 class Fail(msgspec.Struct, frozen=True):
-    """The client gets the failure."""
+    """Return the failure to the client."""
 
     connection: ConnectionFate
     failure: Failure
--- a/src/dewledge/core/pooler/statements/retry_rule.py
+++ b/src/dewledge/core/pooler/statements/retry_rule.py
@@ -1,43 +1,37 @@
-"""The retry rule: what follows when something fails on a statement's way. Pure, no state.
+"""The retry rule: a pure function that decides what happens after a failure.
 
-Inputs: an `Incident` (what failed, how far the statement had come, the failure that was answered)
-and the `StatementFacts` (what the statement is, its reruns so far, its moments on the steady clock
-in seconds; all of this instant, none of another process).
+The first matching row applies; reruns are subject to the deadline of the statement:
 
-Decision, the first row that fits:
-
-| progress | what failed | statement | what follows | connection |
+| progress | failure | statement | outcome | connection |
 | --- | --- | --- | --- | --- |
-| waiting | no room in its time | any | refused, with the time to come back | none |
-| waiting, in setup | no lease of the primary | pinned | transaction lost | rolled back |
-| waiting | no lease of the primary | other | tries elsewhere | released |
-| in setup | no lease of the primary | other | tries elsewhere | given back |
-| in setup | holder doubted or silent | pinned | waits on | kept |
-| in setup | holder doubted or silent | other | tries elsewhere, a while longer | closed |
+| waiting | no connection in time | any | refused with a retry time | none |
+| waiting, in setup | no lease on the primary | pinned | transaction lost | rolled back |
+| waiting | no lease on the primary | other | tries elsewhere | released |
+| in setup | no lease on the primary | other | tries elsewhere | given back |
+| in setup | holder suspected or silent | pinned | waits on | kept |
+| in setup | holder suspected or silent | other | tries elsewhere, with more time | closed |
 | in setup | refused, lost or silent | pinned | transaction lost | closed |
 | in setup | refused, connection clean | other | tries elsewhere | released |
 | in setup | refused otherwise, lost, silent | other | tries elsewhere | closed |
-| sent | holder silent, budget has room | read, no rerun yet | rerun, counted | closed |
-| sent | holder doubted or silent | any other | waits on | kept |
-| sent | refused, surely not run | read, write | tries elsewhere | given back or closed |
+| sent | holder silent, retry budget left | read, not rerun yet | rerun, counted | closed |
+| sent | holder suspected or silent | any other | waits on | kept |
+| sent | refused before running | read, write | tries elsewhere | given back or closed |
 | sent | refused otherwise | read, reruns left | rerun, counted | given back |
 | sent | refused otherwise | read, write | fails with the code | given back |
 | sent | overloaded, time left | in an open transaction | sent again here | kept |
 | sent | refused, may have run | commit | in doubt | closed |
 | sent | refused | in transaction, commit | transaction lost, with the code | rolled back |
-| sent | lost, answer without lease, silent | commit | in doubt | closed |
-| sent | lost, answer without lease, silent | in transaction | transaction lost | closed |
-| sent | lost, answer without lease, silent | write | fails, outcome unknown | closed |
-| sent | lost, answer without lease | read | rerun, not counted | closed |
-| sent | silent | read, no rerun yet | rerun, counted | closed |
+| sent | lost, reply without lease, silent | commit | in doubt | closed |
+| sent | lost, reply without lease, silent | in transaction | transaction lost | closed |
+| sent | lost, reply without lease, silent | write | fails, outcome unknown | closed |
+| sent | lost, reply without lease | read | rerun, not counted | closed |
+| sent | silent | read, not rerun yet | rerun, counted | closed |
 | sent | silent | read | fails, no answer | closed |
 
-A rerun for which no time is left fails with `statement_timeout` instead.
-
-Reason: a statement is sent again only while it surely did not run, or if it only reads. "Not run"
-is said only of what never left, was refused by the database, or stood in a transaction that cannot
-commit any more. A transaction lives on one connection, so it ends with it. An answer that comes
-after the lease lapsed counts as lost, since another database may be primary by then.
+A statement is sent again only if it did not run, or only reads. That it did not run is certain
+only if it was never sent, if the database refused it, or if its transaction can no longer commit. A
+reply that arrives after the lease has lapsed is treated as lost: another database may be primary by
+then.
 """
 
 from enum import StrEnum
@@ -59,18 +53,18 @@
 from dewledge.errors import ErrorCode
 
 RETRY_PAUSE_SECONDS = 0.03
-"""Seconds before the same database is asked again, and the least time in which a rerun can end:
-about a round trip between regions."""
+"""Pause before the same database is asked again, and the minimum time for a rerun: about one round
+trip between regions."""
 MAX_READ_RERUNS = 2
-"""Retries of one read after failures that the database answered: bounds what a read that always
-fails costs a group of three databases."""
+"""Retries of a read after failures returned by a database: limits the load of a read that always
+fails."""
 
 
 class Progress(StrEnum):
-    """How far a statement had come.
+    """How far the statement had progressed when the failure occurred.
 
-    WAITING: nothing of it was sent. IN_SETUP: the proxy's own statements that prepare the
-    connection were sent. SENT: the client's statement itself was sent.
+    WAITING: nothing was sent. IN_SETUP: the proxy sent statements that prepare the connection.
+    SENT: the client's statement was sent.
     """
 
     WAITING = "waiting"
@@ -81,10 +75,10 @@
 class Trouble(StrEnum):
     """What failed.
 
-    NO_ROOM: no connection in the statement's time. NO_LEASE: the process may not use the primary
-    now, or the answer came after its lease lapsed. REFUSED: a failure was answered. LOST: the
-    connection ended. SILENT: no answer in the time of this step. HOLDER_DOUBTED, HOLDER_SILENT:
-    the process that carries the connection gives no sign of life.
+    NO_ROOM: no connection was available in time. NO_LEASE: this process has no lease on the
+    primary, or the lease lapsed before the reply. REFUSED: the database returned a failure. LOST:
+    the connection closed. SILENT: no reply within the time limit of this step. HOLDER_DOUBTED,
+    HOLDER_SILENT: the process that holds the connection is suspected or does not respond.
     """
 
     NO_ROOM = "no_room"
@@ -97,7 +91,7 @@
 
 
 class Work(StrEnum):
-    """What a statement is. READ and WRITE are outside of transactions, COMMIT ends one."""
+    """Kind of statement for the retry rule; READ and WRITE are outside of transactions."""
 
     READ = "read"
     WRITE = "write"
@@ -109,11 +103,11 @@
 
 
 class Incident(msgspec.Struct, frozen=True):
-    """One thing that failed.
+    """A failure that occurred while the statement was processed.
 
-    failure: the answer's, or the refusal of a statement that found no room. state: the database
-    connection's after the answer. has_unanswered: whether the connection still owes answers.
-    is_within_budget: whether the budget of second reads has room for this one.
+    failure: returned by the database, or the refusal of a statement that found no connection.
+    state: transaction state of the connection after the reply. has_unanswered: whether replies on
+    the connection are still pending. is_within_budget: whether the retry budget permits a rerun.
     """
 
     trouble: Trouble
@@ -125,10 +119,10 @@
 
 
 class StatementFacts(msgspec.Struct, frozen=True):
-    """What the rule knows of the statement. Moments of the steady clock, in seconds.
+    """State of the statement that the rule depends on. Times: steady clock, seconds.
 
-    is_pinned: whether its transaction has its connection already. give_up_at: until when it may
-    seek a connection. deadline: when its time is over.
+    is_pinned: whether its transaction already has a connection. reruns: counted reruns so far.
+    give_up_at: end of the search for a connection. deadline: end of the statement's timeout.
     """
 
     work: Work
@@ -147,7 +141,7 @@
 
 
 def what_follows(incident: Incident, statement: StatementFacts) -> Outcome:
-    """Returns what follows; the table above."""
+    """Returns the outcome for a failure, according to the table above."""
     if incident.trouble in (Trouble.HOLDER_DOUBTED, Trouble.HOLDER_SILENT):
         return _after_judging_holder(incident, statement)
     if incident.progress is not Progress.SENT:
@@ -160,14 +154,14 @@
 
 
 def needs_budget(incident: Incident, statement: StatementFacts) -> bool:
-    """Tells whether a read would be sent a second time while its first may still be answered."""
+    """Returns whether a rerun would duplicate a read that may still be running, so needs budget."""
     if incident.trouble is not Trouble.HOLDER_SILENT or incident.progress is not Progress.SENT:
         return False
     return statement.work is Work.READ and not statement.is_pinned and not statement.reruns
 
 
 def _before_sending(incident: Incident, statement: StatementFacts) -> Outcome:
-    """Nothing of the client's was sent, so another connection may serve it unless it is pinned."""
+    """Handles failures before sending: unless pinned, the statement can use another connection."""
     if incident.trouble is Trouble.NO_ROOM and incident.failure is not None:
         return Fail(ConnectionFate.KEPT, incident.failure)
     if incident.trouble is Trouble.NO_LEASE:
@@ -182,7 +176,7 @@
 
 
 def _is_clean(incident: Incident) -> bool:
-    """Tells whether the connection can serve others though a step of the setup was refused."""
+    """Returns whether the connection can be reused although a setup statement was refused."""
     failure = incident.failure
     if failure is None or failure.code is ErrorCode.WRONG_DATABASE:
         return False
@@ -190,7 +184,7 @@
 
 
 def _after_judging_holder(incident: Incident, statement: StatementFacts) -> Outcome:
-    """The holder gives no sign of life; what was sent through it may run all the same."""
+    """Handles an unresponsive holder; statements that were sent through it may still run."""
     if statement.is_pinned:
         return WaitOn()
     if incident.progress is Progress.IN_SETUP:
@@ -201,7 +195,7 @@
 
 
 def _without_answer(incident: Incident, statement: StatementFacts) -> Outcome:
-    """The statement was sent, and no answer that counts has come."""
+    """Handles a sent statement without a usable reply."""
     closed = ConnectionFate.CLOSED
     is_silent = incident.trouble is Trouble.SILENT
     if statement.work is Work.COMMIT:
@@ -216,7 +210,7 @@
 
 
 def _refused_single(failure: Failure, statement: StatementFacts) -> Outcome:
-    """The database answered a statement outside of transactions with a failure."""
+    """Handles a failure returned to a statement outside of transactions."""
     is_wrong = failure.code is ErrorCode.WRONG_DATABASE
     fate = ConnectionFate.CLOSED if is_wrong else ConnectionFate.GIVEN_BACK
     if failure.code in NOT_RUN_CODES:
@@ -229,7 +223,7 @@
 def _refused_in_transaction(
     incident: Incident, failure: Failure, statement: StatementFacts
 ) -> Outcome:
-    """The database answered a statement of a transaction with a failure."""
+    """Handles a failure returned to a statement in a transaction."""
     is_busy = failure.code is ErrorCode.OVERLOADED and incident.state is TransactionState.OPEN
     if is_busy and statement.now + RETRY_PAUSE_SECONDS < statement.give_up_at:
         return SendAgain(RETRY_PAUSE_SECONDS)
@@ -240,7 +234,7 @@
 
 
 def _rerun(fate: ConnectionFate, statement: StatementFacts, is_counted: bool) -> Outcome:
-    """Sends a read once more, within the time that is left."""
+    """Returns a rerun of the read, or a timeout if too little time is left."""
     if statement.now >= statement.deadline - RETRY_PAUSE_SECONDS:
         return Fail(fate, _NO_ANSWER)
     return RerunRead(fate, is_counted)
--- a/src/dewledge/core/pooler/statements/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -1,7 +1,4 @@
-"""Ends a transaction on a connection that is to serve others again.
-
-It relies on the database's answer: without one the connection is closed, which rolls back too.
-"""
+"""Rolls back the transaction on a connection before it returns to the pool."""
 
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -9,13 +6,13 @@
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 
 ROLLBACK_LIMIT_SECONDS = 2.0
-"""Seconds, longer than any rollback takes: a connection that has not answered by then is closed."""
+"""Longer than any rollback takes; a connection that has not replied by then is closed."""
 
 
 def roll_back_then_release(
     connection: DatabaseConnection, pool: ConnectionPool, scheduler: Scheduler
 ) -> None:
-    """Rolls back on a connection of `pool` and gives it back; closed if that does not succeed."""
+    """Rolls back, then releases the connection to `pool`; closes it first if the rollback fails."""
 
     def give_up() -> None:
         connection.close()
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -1,7 +1,4 @@
-"""What one statement went through, for its line in the log (`statement_answered`).
-
-It owns the list of attempts; the parts of StatementRun add to it.
-"""
+"""Collects the attempts of one statement for its log line (`statement_answered`)."""
 
 from dewledge.core.pooler.events import StatementAnswered
 from dewledge.core.pooler.statements.statement_scope import StatementScope
@@ -11,7 +8,7 @@
 
 
 class RunRecord:
-    """Collects the attempts of a statement."""
+    """The attempts of one statement, in order."""
 
     def __init__(self, scope: StatementScope) -> None:
         self._services = scope.services
@@ -23,18 +20,18 @@
 
     @property
     def statement_id(self) -> str:
-        """Which statement it is."""
+        """The id of the statement."""
         return self._statement.id
 
     def note(self, database: str, target: Target | None, result: str) -> None:
-        """Notes how an attempt ended, as database:proof:result@milliseconds."""
+        """Adds the result of an attempt as database:proof:result@milliseconds since arrival."""
         if not database and target is not None:
             database = target.database.id
         proof = "" if target is None else target.proof
         self._way.append(f"{database}:{proof}:{result}@{self._elapsed_ms()}")
 
     def finish(self, reply: Reply, target: Target | None) -> None:
-        """Records the answer."""
+        """Logs the statement with its reply and all attempts."""
         floor = target.floor if target is not None else None
         expected = target.expected if target is not None else None
         self._services.record(
--- a/src/dewledge/core/pooler/statements/run_timers.py
+++ b/src/dewledge/core/pooler/statements/run_timers.py
@@ -1,7 +1,4 @@
-"""The timers of one statement: one limit, one pause, one look for silence.
-
-It owns the scheduled calls, so that an answered statement leaves none behind.
-"""
+"""The timers of one statement. They are cancelled together when the statement ends."""
 
 from collections.abc import Callable
 
@@ -9,7 +6,7 @@
 
 
 class RunTimers:
-    """Each kind of timer replaces its earlier one."""
+    """A time limit, a pause and a silence check; a new timer replaces one of the same kind."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
@@ -18,25 +15,25 @@
         self._suspicion: ScheduledCall | None = None
 
     def limit(self, when: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` at `when` (steady clock, seconds)."""
+        """Sets the time limit: calls `callback` at `when` (steady clock, seconds)."""
         self.clear_limit()
         delay = max(when - self._scheduler.now(), 0.0)
         self._limit = self._scheduler.call_later(delay, callback)
 
     def clear_limit(self) -> None:
-        """Cancels the limit."""
+        """Cancels the time limit."""
         if self._limit is not None:
             self._limit.cancel()
             self._limit = None
 
     def pause(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` after `seconds`."""
+        """Calls `callback` after a pause of `seconds`."""
         if self._pause is not None:
             self._pause.cancel()
         self._pause = self._scheduler.call_later(seconds, callback)
 
     def watch_answer(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Calls `callback` after `seconds`, to look whether the database is silent."""
+        """Calls `callback` after `seconds` to check whether the database is silent."""
         self._clear_suspicion()
         self._suspicion = self._scheduler.call_later(seconds, callback)
 
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -1,8 +1,8 @@
-"""One client statement from its arrival to its answer.
+"""Runs one client statement from its arrival to the reply.
 
-It owns the statement's parts and passes it from one to the next: DatabaseSearch finds a connection,
-Attempt prepares it and sends the statement, `what_follows` (retry_rule.py) decides after a failure,
-ClientReply makes the answer. StatementDeadlines holds every moment that bounds a step.
+StatementRun connects the parts: DatabaseSearch finds a connection, Attempt prepares it and sends
+the statement, `decide_outcome` (retry_rule.py) decides what to do after a failure, ClientReply
+builds the reply, and StatementDeadlines computes every time limit.
 """
 
 from collections.abc import Callable
@@ -43,7 +43,7 @@
 
 
 class StatementRun:
-    """The state of one statement until its answer. `answer` is called once."""
+    """Runs one statement and passes its reply to the callback `answer` exactly once."""
 
     def __init__(self, scope: StatementScope, answer: Callable[[Reply], None]) -> None:
         self._scope = scope
@@ -70,7 +70,7 @@
         self._finished = False
 
     def start(self) -> None:
-        """Begins; the answer may come before this returns."""
+        """Starts the statement; the reply may be delivered before this method returns."""
         self._second_reads.note_request()
         transaction = self._transaction
         if transaction is not None and transaction.connection is not None:
@@ -79,12 +79,12 @@
         self._search.start()
 
     def abandon(self) -> None:
-        """The client is gone: ends what has not been sent, and closes a connection in use."""
+        """Ends the statement after a client disconnect and closes the connection in use."""
         if not self._finished:
             self._end()
             self._held.drop()
 
-    # Preparing the connection, and sending.
+    # Connection setup and sending.
 
     def _given(self, connection: DatabaseConnection) -> None:
         self._held.take(connection)
@@ -105,11 +105,11 @@
 
     @property
     def _is_queued_elsewhere(self) -> bool:
-        """Whether another process has the statement wait in its queue, while that is of use."""
+        """Whether the statement may wait in the queue of another process."""
         return self._strategy.is_queued_elsewhere(self._scope, self._held.database_id)
 
     def _withhold(self, progress: Progress) -> None:
-        """The statement does not leave: the primary is being replaced, or may be."""
+        """Stops before sending, because this process has no valid lease on the primary."""
         self._note("without_right")
         self._decide(Incident(Trouble.NO_LEASE, progress))
 
@@ -125,10 +125,10 @@
             connection.wait_until = self._deadlines.slot_wait_until(limit)
         self._attempt.send(connection, floor, limit)
 
-    # What an attempt tells.
+    # AttemptListener: results of the steps of an attempt.
 
     def set_up(self, connection: DatabaseConnection) -> None:
-        """The connection is prepared."""
+        """Sends the statement on the prepared connection, if the lease still allows it."""
         if self._lease.is_lacking(connection.database_id):
             self._timers.clear_limit()
             self._withhold(Progress.IN_SETUP)
@@ -142,7 +142,7 @@
     def set_up_refused(
         self, connection: DatabaseConnection, reply: Reply, failure: Failure
     ) -> None:
-        """A step of the setup was answered with a failure."""
+        """Handles a failure that the database returned to a setup statement."""
         self._note(failure.code)
         self._held.take_failure(failure, self._scope.statement.id)
         self._search.note_refused(failure)
@@ -151,7 +151,7 @@
         self._decide(refused)
 
     def set_up_failed(self, trouble: Trouble) -> None:
-        """The connection ended during the setup, or was silent."""
+        """Handles a setup that ended with a closed connection or a timeout."""
         is_silent = trouble is Trouble.SILENT
         self._note("silent_setup" if is_silent else "closed")
         if is_silent:
@@ -159,7 +159,7 @@
         self._decide(Incident(trouble, Progress.IN_SETUP))
 
     def answered(self, reply: Reply | None) -> None:
-        """The statement was answered; None if the connection ended without an answer."""
+        """Handles the reply to the statement; None if the connection closed without one."""
         if reply is None:
             self._note("lost")
             self._lost()
@@ -174,18 +174,21 @@
             self._done(reply)
 
     def _answers_without_lease(self) -> bool:
-        """Another may lead by now, so nothing is said of what the old primary has done."""
+        """Whether the lease on the primary has lapsed since the statement was sent.
+
+        Another database may be primary by then, so a success of the old one can't be reported.
+        """
         connection = self._held.connection
         return connection is not None and self._lease.is_lacking(connection.database_id)
 
     def silent(self) -> None:
-        """The statement was not answered in the time of this attempt."""
+        """Handles an attempt that reached its time limit without a reply."""
         self._note("silent")
         self._attempt.limit_passed()
         self._decide(Incident(Trouble.SILENT, Progress.SENT))
 
     def _lost(self, trouble: Trouble = Trouble.LOST) -> None:
-        """Of the sent statement no answer comes, or none that counts."""
+        """Handles a sent statement that has no reply, or none that may be used."""
         self._decide(Incident(trouble, Progress.SENT))
 
     def _refused(self, reply: Reply, failure: Failure) -> None:
@@ -204,9 +207,9 @@
         self._follow(outcome)
 
     def _holder_judged(self, state: HolderState) -> None:
-        """The process that carries the connection is judged anew; see HolderHealth.
+        """Handles a changed health state of the process that holds the connection.
 
-        What the retry rule has wait on may run, and its answer is still awaited.
+        On `WaitOn` the statement may still be running and its reply is still accepted.
         """
         if self._finished or self._held.connection is None or state is HolderState.USABLE:
             return
@@ -257,7 +260,7 @@
             self._finish(self._reply.after(outcome))
 
     def _rerun_read(self) -> None:
-        """Sends a read once more, within all the time that is left."""
+        """Searches a database to send the read again; it may use all the remaining time."""
         self._deadlines.rerun()
         self._search.go_on()
 
@@ -278,7 +281,7 @@
         self._finish(answer)
 
     def _refuse(self, come_back_ms: int) -> None:
-        """The search found no connection in the statement's time."""
+        """Fails the statement because the search found no connection in time."""
         refused = refusal(ErrorCode.OVERLOADED, come_back_ms)
         self._decide(Incident(Trouble.NO_ROOM, Progress.WAITING, refused))
 
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -1,7 +1,4 @@
-"""What all parts of one statement share: a value, fixed from its arrival on.
-
-It owns nothing; ClientSession makes it.
-"""
+"""The immutable context that all parts of one statement share. Created by ClientSession."""
 
 import msgspec
 
@@ -14,10 +11,9 @@
 
 
 class StatementScope(msgspec.Struct, frozen=True):
-    """One statement, its session and what serves it.
+    """A statement with its session, route, group and services.
 
-    writes: whether the statement writes. arrived: when the client's statement came (steady clock,
-    seconds).
+    writes: whether the statement writes. arrived: arrival at this process (steady clock, seconds).
     """
 
     services: PoolServices
@@ -35,7 +31,7 @@
 
     @property
     def work(self) -> Work:
-        """What the statement is, by its session's transaction now."""
+        """Kind of statement for the retry rule; depends on the session's current transaction."""
         if self.session.transaction is not None:
             return Work.COMMIT if self.is_commit else Work.IN_TRANSACTION
         return Work.WRITE if self.writes else Work.READ
--- a/src/dewledge/core/pooler/statements/statements.py
+++ b/src/dewledge/core/pooler/statements/statements.py
@@ -1,7 +1,7 @@
-"""What a client may ask for in a session, and what a database answers: immutable values.
+"""Immutable values for client requests and database replies.
 
-The codecs of platform/ make them from bytes, and the core passes them on. NOT_RUN_CODES is what the
-promise "not run" rests on.
+The codecs in platform/ convert them from and to bytes. NOT_RUN_CODES lists the failures on which a
+statement can safely be sent again.
 """
 
 from enum import StrEnum
@@ -12,13 +12,13 @@
 from dewledge.errors import ErrorCode
 
 OWN_STATEMENT_ID = "-"
-"""The id of statements that the proxy sends of its own."""
+"""The id of statements that the proxy itself sends."""
 
 
 class StatementKind(StrEnum):
-    """What a statement does. The last three are sent by the proxy alone.
+    """Kind of statement. DISCARD, STATUS and STEP_DOWN are sent by the proxy only.
 
-    STEP_DOWN tells a primary of a lower term than its argument to lead no more.
+    STEP_DOWN demotes a primary whose term is lower than the argument.
     """
 
     READ = "read"
@@ -39,18 +39,17 @@
 TAKES_SLOT = frozenset(
     {StatementKind.READ, StatementKind.WRITE, StatementKind.EXECUTE, StatementKind.COMMIT}
 )
-"""What runs in one of a database's slots, or is refused as overloaded while none is free."""
+"""Statements that occupy a slot of the database, or are refused as overloaded if none is free."""
 OWN_QUESTIONS = frozenset({StatementKind.STATUS, StatementKind.STEP_DOWN})
-"""What the proxy asks a database about itself. Which database is primary depends on the answer, so
-the question waits for no statement of a client."""
+"""Statements by which the proxy queries or changes a database's role. They never wait behind client
+statements, because the choice of the primary depends on them."""
 
 
 class Statement(msgspec.Struct, frozen=True):
-    """One statement.
+    """A statement that a client or the proxy sends.
 
-    text: as the client wrote it; it reaches the database unchanged.
-    name: of a session value or of a prepared statement.
-    argument: the value, the shape to prepare, or what follows the name of a prepared statement.
+    text: the client's text, forwarded unchanged. name: name of a session value or prepared
+    statement. argument: the value, the shape to prepare, or the arguments of an execution.
     writes: whether a prepared shape writes.
     """
 
@@ -63,7 +62,7 @@
 
 
 class TransactionState(StrEnum):
-    """Where a session or a database connection stands after an answer."""
+    """Transaction state of a session or a database connection after a reply."""
 
     IDLE = "idle"
     OPEN = "open"
@@ -71,16 +70,19 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Why a statement was not done; the code says what is known of its effect."""
+    """Reason why a statement failed; the code defines whether it may have taken effect."""
 
     code: ErrorCode
     message: str = ""
     come_back_ms: int = 0
-    """When whoever asked may come back, milliseconds from now; 0 where nothing is known."""
+    """Retry delay for the client, milliseconds from now; 0 if unknown."""
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer: rows with a signature, or a failure."""
+    """A complete reply: rows with their signature, or a failure.
+
+    state: transaction state after the statement. position: log position of the database.
+    """
 
     state: TransactionState
     rows: tuple[str, ...] = ()
@@ -90,18 +92,18 @@
 
 
 class Startup(msgspec.Struct, frozen=True):
-    """The first message of a client's connection."""
+    """The first message on a client connection: the database name and the credential."""
 
     database: str
     token: str = ""
 
 
 class Terminate(msgspec.Struct, frozen=True):
-    """A client's planned end of its connection."""
+    """Message by which a client closes its connection."""
 
 
 class MalformedInput(msgspec.Struct, frozen=True):
-    """Bytes that are no message; `fatal` where the connection cannot go on."""
+    """Input that is not a valid message; if `fatal`, the connection must be closed."""
 
     statement_id: str
     message: str
@@ -121,4 +123,4 @@
         ErrorCode.DATABASE_UNREACHABLE,
     }
 )
-"""Failures of a database, or of a process before it: the statement surely did not run."""
+"""Failure codes of databases and holders that guarantee that the statement did not run."""
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -1,11 +1,10 @@
-"""Which databases may serve a statement, in the order in which they are tried. Pure functions.
-
-Inputs: the group's view, the floor that a read must show, the usable primary, and either this
-process's own counts of statements under way with the distance, or the expected completion (seconds)
-by what holders report.
-Decision: for a read all databases that take work, the cheapest first, each under the floor; then
-the primary once more under a proof of its own. Without a floor the primary alone.
-Reason: a replica may answer only what it shows to hold, and the primary holds everything.
+"""Selects the databases that may serve a statement and orders them. Pure functions.
+
+For a read every database that is not draining is a candidate, and must have applied the floor, the
+minimum log position of the read. The candidates are ordered either by local load and distance or by
+the expected completion from load reports. The primary is appended once more as the last target with
+a proof of its own, because it holds every commit. Without a known floor the primary is the only
+target.
 """
 
 from collections.abc import Callable, Sequence
@@ -20,20 +19,20 @@
 from dewledge.core.shared.positions import LogPosition
 
 LOAD_PER_ZONE_STEP = 2
-"""Statements; a count. A database one step farther away (zone, region) is preferred when it has so
-many less before it."""
+"""Statements added to the load of a database for each step of distance (zone, region) in the order
+of reads."""
 LOAD_OF_LEADING = 2
-"""Statements; a count. A primary serves a read that a replica could serve only if it has so many
-less: what it runs is taken from writes."""
+"""Statements added to the load of the primary in the order of reads, because reads at the primary
+take capacity from writes."""
 
 
 class Proof(StrEnum):
-    """What shows that the database may answer.
+    """How a database proves that it may serve the statement.
 
-    FLOOR: it compares its log with a position; any database may do so.
-    LEAD: the statement runs in a transaction that only a primary opens and keeps.
-    RIGHT: it has shown that it is primary, and no other is while this process has the lease.
-    NONE: any database but the primary refuses the statement itself.
+    FLOOR: the database checks that its log has reached the floor; replicas can do so too.
+    LEAD: the statement runs in a transaction that only the primary accepts.
+    RIGHT: the database was confirmed as primary under the current lease of this process.
+    NONE: no proof needed, since every database but the primary refuses the statement.
     """
 
     FLOOR = "floor"
@@ -43,9 +42,10 @@
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A database that may serve the statement, and under which proof.
+    """A database that may serve the statement, and the proof that it requires.
 
-    expected: when, for a read whose databases are chosen by that.
+    floor: minimum log position for Proof.FLOOR. expected: expected completion of a read, None if
+    the targets are ordered by local load.
     """
 
     database: DatabaseRecord
@@ -55,7 +55,11 @@
 
 
 class ReadNeed(msgspec.Struct, frozen=True):
-    """What a read must show, and whose it is."""
+    """The freshness requirements of a read.
+
+    arrived: arrival (steady clock, seconds). session_floor: log position of the session's newest
+    write. caller: the caller that sent the read.
+    """
 
     arrived: float
     session_floor: LogPosition | None
@@ -63,7 +67,7 @@
 
 
 def read_floor(route: Route, history: FreshnessHistory, need: ReadNeed) -> LogPosition | None:
-    """Returns the position that a replica must show for this read; None if none is known."""
+    """Returns the minimum log position for this read; None if only the primary may serve it."""
     if route.consistency is Consistency.PRIMARY:
         return None
     proof = history.floor(need.arrived, route.max_staleness)
@@ -84,11 +88,11 @@
     excluded: str | None = None,
     primary_proof: Proof = Proof.LEAD,
 ) -> Sequence[Target]:
-    """Returns the targets of a read by own counts: near and unloaded first, then the primary.
+    """Returns the targets of a read, ordered by the load of this process and the distance.
 
-    The primary stands last once more, under `primary_proof`, for a floor that none shows.
-    lacks: whether a database probably lacks the floor; such ones come after all others.
-    excluded: a database that cannot be reached.
+    The primary is added as the last target with `primary_proof`, if no database reaches the floor.
+    load: statements of this process at a database. lacks: whether a database probably lags behind
+    the floor; such replicas come last. excluded: an unreachable database.
     """
     leading = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
@@ -114,10 +118,10 @@
     excluded: str | None = None,
     primary_proof: Proof = Proof.LEAD,
 ) -> Sequence[Target]:
-    """Returns the targets of a read by expected completion: as `order` puts the candidates.
+    """Returns the targets of a read, ordered by expected completion.
 
-    The same databases under the same proofs as by own counts, and the primary last once more.
-    cost: when a database is expected to have answered under the floor.
+    Databases and proofs are the same as in `read_targets`. cost: expected completion at a database
+    for a floor. order: sorts the candidates.
     """
     leading = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -1,7 +1,7 @@
-"""Whether waits are judged by use: the one place that reads `LoadPolicy.useful_waits`.
+"""Selects how statements wait for connections; the only reader of `LoadPolicy.useful_waits`.
 
-A strategy is chosen when a statement begins, and makes the parts that differ: its deadlines, what
-refusals mean to it, whether queues judge it, and when it may come back.
+The strategy supplies the parts that differ: deadlines, handling of refusals, re-evaluation of
+queued statements, and the retry time for the client.
 """
 
 from typing import Protocol
@@ -18,19 +18,19 @@
 
 
 class WaitStrategy(Protocol):
-    """How long statements wait for a connection."""
+    """Controls how long statements wait for a connection."""
 
     def deadlines(self, scope: StatementScope) -> StatementDeadlines:
-        """Returns the moments of a statement that came."""
+        """Returns the deadlines of a statement that has just arrived."""
 
     def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
-        """Returns what notes the databases without room."""
+        """Returns the record of databases that refused the statement as overloaded."""
 
     def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
-        """Has a queue judge one that waits there anew; None where waits aren't judged."""
+        """Re-evaluates a queued statement; None if this strategy does not evaluate waits."""
 
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
-        """Tells whether another process has the statement wait in its queue."""
+        """Returns whether limits must allow for waiting in the queue of another process."""
 
     def come_back_seconds(
         self,
@@ -39,26 +39,26 @@
         exhausted: ExhaustedDatabases,
         lacks_primary: bool,
     ) -> float:
-        """Returns the seconds until one that found no connection may come back."""
+        """Returns the retry delay in seconds for a statement that found no connection."""
 
 
 class UsefulWaits:
-    """A statement waits while it can be served in its time, and is refused when it can't."""
+    """Lets a statement wait while it can meet its deadline, and refuses it as soon as it can't."""
 
     def deadlines(self, scope: StatementScope) -> StatementDeadlines:
-        """Returns moments by the statement's own time."""
+        """Returns deadlines derived from the statement's timeout and latency target."""
         return StatementDeadlines(scope.arrived, scope.route, scope.session.ticket)
 
     def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
-        """Returns what heeds refusals."""
+        """Returns a record that excludes overloaded databases for a time."""
         return ExhaustedDatabases(scope.group)
 
     def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
-        """Returns the queue's verdict."""
+        """Returns the verdict of the pool's queue."""
         return pool.judge(waiter)
 
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
-        """Tells whether the database is reached through another process."""
+        """Returns whether the database is reached through another process."""
         return not scope.group.holding(database_id).is_direct
 
     def come_back_seconds(
@@ -68,27 +68,27 @@
         exhausted: ExhaustedDatabases,
         lacks_primary: bool,
     ) -> float:
-        """Returns the seconds by what the queues promise."""
+        """Returns the delay until a queue is expected to have capacity."""
         return seconds_after_search(scope, target, exhausted, lacks_primary)
 
 
 class FixedWaits:
-    """A statement waits for a fixed time; see LoadPolicy."""
+    """Lets each statement wait for the same fixed time; see LoadPolicy."""
 
     def deadlines(self, scope: StatementScope) -> StatementDeadlines:
-        """Returns moments by a fixed time."""
+        """Returns deadlines with a fixed search time."""
         return FixedDeadlines(scope.arrived, scope.route, scope.session.ticket)
 
     def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
-        """Returns what heeds no refusals."""
+        """Returns a record that ignores overload refusals."""
         return NeverExhausted(scope.group)
 
     def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
-        """Returns None."""
+        """Returns None, because fixed waits are not re-evaluated."""
         return None
 
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
-        """Tells that no time is set aside for the queues of other processes."""
+        """Returns False: limits reserve no time for the queues of other processes."""
         return False
 
     def come_back_seconds(
@@ -98,7 +98,7 @@
         exhausted: ExhaustedDatabases,
         lacks_primary: bool,
     ) -> float:
-        """Returns a fixed time."""
+        """Returns a fixed delay."""
         return least_seconds(lacks_primary)
 
 
@@ -107,5 +107,5 @@
 
 
 def wait_strategy(policy: LoadPolicy) -> WaitStrategy:
-    """Returns the strategy of a policy."""
+    """Returns the strategy that a load policy selects."""
     return _USEFUL if policy.useful_waits else _FIXED
