--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -92,7 +92,7 @@
         epoch = self._held.next_epoch()
         self._watch.begin()
         self.is_setting_up = True
-        self._timers.limit(limit, self._setup_silent)
+        self._timers.set_limit(limit, self._setup_silent)
 
         def take(verdict: Reply | None | bool) -> None:
             self._take_setup(epoch, verdict)
@@ -107,7 +107,7 @@
     def send(self, connection: DatabaseConnection, floor: LogPosition | None, limit: float) -> None:
         """Sends the client's statement and waits for its reply until `limit`."""
         epoch = self._held.next_epoch()
-        self._timers.limit(limit, self._silent)
+        self._timers.set_limit(limit, self._silent)
         self._watch.begin()
         self._watch_answer(epoch, SUSPECT_AFTER_SECONDS)
         statement = statement_for_database(self._scope.session, self._scope.statement)
@@ -142,7 +142,7 @@
             if not self._is_over and epoch == self._held.epoch:
                 self._watch.look(lambda remaining: self._watch_answer(epoch, remaining))
 
-        self._timers.watch_answer(seconds, look)
+        self._timers.check_silence_after(seconds, look)
 
     def _answered(self, epoch: int, reply: Reply | None) -> None:
         if self._is_over or epoch != self._held.epoch:
--- a/src/dewledge/core/pooler/statements/client_reply.py
+++ b/src/dewledge/core/pooler/statements/client_reply.py
@@ -16,7 +16,7 @@
         self._is_commit = scope.is_commit
         self._writes = scope.writes
 
-    def done(self, reply: Reply, now: float) -> Reply:
+    def success(self, reply: Reply, now: float) -> Reply:
         """Returns the reply to a successful statement; a commit also ends the transaction."""
         state = TransactionState.IDLE
         transaction = self._transaction
@@ -29,16 +29,16 @@
                 state = TransactionState.OPEN
         return Reply(state, rows=reply.rows, signature=reply.signature)
 
-    def after(self, outcome: InDoubt | TransactionLost | Fail) -> Reply:
+    def for_outcome(self, outcome: InDoubt | TransactionLost | Fail) -> Reply:
         """Returns the reply to a failed statement and updates its transaction."""
         if isinstance(outcome, InDoubt):
             self._session.transaction = None
             return Reply(TransactionState.IDLE, failure=outcome.failure)
         if isinstance(outcome, TransactionLost) and self._transaction is not None:
             self._transaction.connection = None
-        return self._failed(outcome.failure)
+        return self._failure(outcome.failure)
 
-    def _failed(self, failure: Failure) -> Reply:
+    def _failure(self, failure: Failure) -> Reply:
         """Marks the transaction as failed: the client can only end it. A failed commit ends it."""
         state = TransactionState.IDLE
         if self._transaction is not None and self._is_commit:
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -81,7 +81,7 @@
     def start(self) -> None:
         """Starts the search with a new list of candidate databases."""
         self._is_searching = True
-        self._timers.limit(self._deadlines.give_up_at, self._give_up)
+        self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
         self._plan()
 
     def go_on(self) -> None:
@@ -91,7 +91,7 @@
             self._give_up()
             return
         self._is_searching = True
-        self._timers.limit(self._deadlines.give_up_at, self._give_up)
+        self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
         if self._targets or not self._is_last_exhausted:
             self._try_next()
         else:
@@ -145,7 +145,7 @@
         if not self._has_waited_for_proof and not self._group.may_seek_proof():
             self._has_waited_for_proof = True
             self._group.wait_for_proof(self._resume)
-            self._timers.pause(SEEK_AGAIN_SECONDS, self._resume)
+            self._timers.resume_after(SEEK_AGAIN_SECONDS, self._resume)
             return True
         self._is_seeking_proof = True
         self._group.begin_seeking()
@@ -179,7 +179,7 @@
         self.target = self._targets.pop(0)
         held_back = self._seconds_until_ready(self.target)
         if held_back > 0.0:
-            self._timers.pause(held_back, self._wait_is_over(self.target))
+            self._timers.resume_after(held_back, self._wait_is_over(self.target))
         else:
             self._take(self.target)
 
@@ -226,7 +226,7 @@
             return
         verdict = self._strategy.judge(self._group.pool(self.target.database.id), waiter)
         if isinstance(verdict, WaitUntil):
-            self._timers.limit(verdict.at, lambda: self._judge_later(waiter))
+            self._timers.set_limit(verdict.at, lambda: self._judge_later(waiter))
 
     def _wait_for_room(self, found: Sequence[Target]) -> None:
         """Pauses until the first target is expected to have capacity.
@@ -238,16 +238,16 @@
             self._give_up()
             return
         now = self._services.scheduler.now()
-        self._timers.pause(max(moment - now, LEAST_PAUSE_SECONDS), self._resume)
+        self._timers.resume_after(max(moment - now, LEAST_PAUSE_SECONDS), self._resume)
 
     def _wait_and_plan(self) -> None:
         if self._group.usable_primary is not None:
-            self._timers.pause(RETRY_PAUSE_SECONDS, self._resume)
+            self._timers.resume_after(RETRY_PAUSE_SECONDS, self._resume)
             return
         if not self._waits_for_primary:
             self._waits_for_primary = True
             self._deadlines.wait_for_primary()
-            self._timers.limit(self._deadlines.give_up_at, self._give_up)
+            self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
         self._group.wait_for_primary(self._resume)
 
     def _resume(self) -> None:
@@ -261,8 +261,8 @@
 
     def _denied(self, denial: Denial) -> None:
         waiter, self._waiter = self._waiter, None
-        self._timers.limit(self._deadlines.give_up_at, self._give_up)
-        self._record.note("", self.target, f"denied_{denial}")
+        self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
+        self._record.record_attempt("", self.target, f"denied_{denial}")
         if waiter is not None and waiter.refusal is not None and self.target is not None:
             self._note_no_room(waiter, waiter.refusal, self.target.database.id)
         if denial is Denial.UNREACHABLE and self.target is not None:
@@ -279,7 +279,7 @@
         if not self._is_searching:
             return
         self.end()
-        self._record.note("", self.target, "given_up")
+        self._record.record_attempt("", self.target, "given_up")
         seconds = self._strategy.come_back_seconds(
             self._scope, self.target, self._exhausted, self._lacks_primary
         )
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -19,10 +19,10 @@
         self,
         services: PoolServices,
         group: Group,
-        holder_judged: Callable[[HolderState], None] = ignore_holder,
+        on_holder_state: Callable[[HolderState], None] = ignore_holder,
     ) -> None:
-        """`holder_judged`: called when the health state of the connection's holder changes."""
-        self._holder_judged = holder_judged
+        """`on_holder_state`: called when the health state of the connection's holder changes."""
+        self._on_holder_state = on_holder_state
         self._services = services
         self._group = group
         self.connection: DatabaseConnection | None = None
@@ -33,12 +33,12 @@
         """The id of the connected database, empty without a connection."""
         return "" if self.connection is None else self.connection.database_id
 
-    def take(self, connection: DatabaseConnection) -> None:
+    def hold(self, connection: DatabaseConnection) -> None:
         """Takes over a connection from the pool."""
         self.connection = connection
-        connection.holder_judged = self._holder_judged
+        connection.holder_judged = self._on_holder_state
 
-    def _let_go(self) -> DatabaseConnection | None:
+    def _detach(self) -> DatabaseConnection | None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.holder_judged = ignore_holder
@@ -51,43 +51,43 @@
 
     def release(self) -> None:
         """Returns the connection to the pool."""
-        connection = self._let_go()
+        connection = self._detach()
         if connection is not None:
             self._group.pool(connection.database_id).release(connection)
 
     def roll_back(self) -> None:
         """Rolls back the transaction on the connection, then returns it to the pool."""
-        connection = self._let_go()
+        connection = self._detach()
         if connection is not None:
             self._group.roll_back(connection, self._services.scheduler)
 
     def drop(self) -> None:
         """Closes a connection whose state is unknown; ignores its pending replies."""
         self.epoch += 1
-        connection = self._let_go()
+        connection = self._detach()
         if connection is not None:
             connection.close()
             self._group.pool(connection.database_id).release(connection)
 
-    def settle(self, fate: ConnectionFate, has_begun: bool) -> None:
+    def dispose(self, fate: ConnectionFate, opened_transaction: bool) -> None:
         """Returns or closes the connection as the retry rule decided.
 
-        has_begun: whether the proxy opened a transaction on it for this attempt.
+        opened_transaction: whether the proxy opened a transaction on it for this attempt.
         """
         is_given_back = fate is ConnectionFate.GIVEN_BACK
-        if fate is ConnectionFate.ROLLED_BACK or (is_given_back and has_begun):
+        if fate is ConnectionFate.ROLLED_BACK or (is_given_back and opened_transaction):
             self.roll_back()
         elif fate is ConnectionFate.RELEASED or is_given_back:
             self.release()
         elif fate is ConnectionFate.CLOSED:
             self.drop()
 
-    def forget_prepared(self) -> None:
+    def clear_prepared(self) -> None:
         """Clears the list of prepared statements after the database did not know one of them."""
         if self.connection is not None:
             self.connection.prepared.clear()
 
-    def take_failure(self, failure: Failure, statement_id: str) -> None:
+    def report_failure(self, failure: Failure, statement_id: str) -> None:
         """Updates the state of the database in the group according to a failure."""
         if failure.code is ErrorCode.NOT_PRIMARY:
             self.refute_primary(statement_id)
--- a/src/dewledge/core/pooler/statements/position_learning.py
+++ b/src/dewledge/core/pooler/statements/position_recorder.py
@@ -5,7 +5,7 @@
 from dewledge.core.shared.positions import LogPosition
 
 
-class PositionLearner:
+class PositionRecorder:
     """Records the log positions in the replies to one statement."""
 
     def __init__(self, scope: StatementScope, transaction: OpenTransaction | None) -> None:
@@ -16,27 +16,27 @@
         self._writes = scope.writes
         self._is_commit = scope.is_commit
 
-    def take(self, position: LogPosition | None, sent_at: float, proved_lead: bool) -> None:
+    def record(self, position: LogPosition | None, sent_at: float, proved_primary: bool) -> None:
         """Records the position in the reply to a successful statement; None if the reply has none.
 
-        sent_at: sending time (steady clock, seconds). proved_lead: whether the database proved that
-        it was the primary, and so had every commit acknowledged before `sent_at`.
+        sent_at: sending time (steady clock, seconds). proved_primary: whether the database proved
+        that it was the primary, and so had every commit acknowledged before `sent_at`.
         """
         if position is None:
             return
         if self._transaction is None:
-            self._take_single(position, sent_at, proved_lead)
+            self._record_single(position, sent_at, proved_primary)
         else:
-            self._take_in_transaction(position, sent_at, self._transaction)
+            self._record_in_transaction(position, sent_at, self._transaction)
 
-    def _take_single(self, position: LogPosition, sent_at: float, proved_lead: bool) -> None:
+    def _record_single(self, position: LogPosition, sent_at: float, proved_primary: bool) -> None:
         if self._writes:
             self._session.raise_floor(position)
-        if self._writes or proved_lead:
+        if self._writes or proved_primary:
             self._group.record_proof(sent_at, position)
-            self._forget_old_lineage(position)
+            self._replace_floor_of_earlier_term(position)
 
-    def _take_in_transaction(
+    def _record_in_transaction(
         self, position: LogPosition, sent_at: float, transaction: OpenTransaction
     ) -> None:
         """Records a position in a transaction; a commit without writes proves no primary."""
@@ -46,7 +46,7 @@
         if has_written or (not self._is_commit and transaction.leads):
             self._group.record_proof(sent_at, position)
 
-    def _forget_old_lineage(self, position: LogPosition) -> None:
+    def _replace_floor_of_earlier_term(self, position: LogPosition) -> None:
         """Replaces a session floor of an earlier term.
 
         A primary of a later term holds everything that survived that term, so that positions beyond
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -55,7 +55,7 @@
         return StatementKind.BEGIN_READ_ONLY if self._transaction is not None else None
 
     def is_lacking(self, database_id: str) -> bool:
-        """Returns whether the statement requires the primary without permission of the lease."""
+        """Returns whether the statement requires the primary but the lease doesn't permit its use."""
         transaction, target = self._transaction, self._target
         if transaction is not None and transaction.connection is not None:
             needs_lead = transaction.leads
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -16,19 +16,19 @@
         self._route = scope.route
         self._statement = scope.statement
         self._arrived = scope.arrived
-        self._way: list[str] = []
+        self._attempts: list[str] = []
 
     @property
     def statement_id(self) -> str:
         """The id of the statement."""
         return self._statement.id
 
-    def note(self, database: str, target: Target | None, result: str) -> None:
+    def record_attempt(self, database: str, target: Target | None, result: str) -> None:
         """Adds the result of an attempt as database:proof:result@milliseconds since arrival."""
         if not database and target is not None:
             database = target.database.id
         proof = "" if target is None else target.proof
-        self._way.append(f"{database}:{proof}:{result}@{self._elapsed_ms()}")
+        self._attempts.append(f"{database}:{proof}:{result}@{self._elapsed_ms()}")
 
     def finish(self, reply: Reply, target: Target | None) -> None:
         """Logs the statement with its reply and all attempts."""
@@ -43,7 +43,7 @@
                 group=self._route.group,
                 consistency=self._route.consistency,
                 kind=self._statement.kind,
-                way=",".join(self._way),
+                way=",".join(self._attempts),
                 outcome="done" if reply.failure is None else reply.failure.code,
                 floor="" if floor is None else f"{floor.term}.{floor.offset}",
                 waited_ms=self._elapsed_ms(),
--- a/src/dewledge/core/pooler/statements/run_timers.py
+++ b/src/dewledge/core/pooler/statements/run_timers.py
@@ -12,9 +12,9 @@
         self._scheduler = scheduler
         self._limit: ScheduledCall | None = None
         self._pause: ScheduledCall | None = None
-        self._suspicion: ScheduledCall | None = None
+        self._silence_check: ScheduledCall | None = None
 
-    def limit(self, when: float, callback: Callable[[], None]) -> None:
+    def set_limit(self, when: float, callback: Callable[[], None]) -> None:
         """Sets the time limit: calls `callback` at `when` (steady clock, seconds)."""
         self.clear_limit()
         delay = max(when - self._scheduler.now(), 0.0)
@@ -26,26 +26,26 @@
             self._limit.cancel()
             self._limit = None
 
-    def pause(self, seconds: float, callback: Callable[[], None]) -> None:
+    def resume_after(self, seconds: float, callback: Callable[[], None]) -> None:
         """Calls `callback` after a pause of `seconds`."""
         if self._pause is not None:
             self._pause.cancel()
         self._pause = self._scheduler.call_later(seconds, callback)
 
-    def watch_answer(self, seconds: float, callback: Callable[[], None]) -> None:
+    def check_silence_after(self, seconds: float, callback: Callable[[], None]) -> None:
         """Calls `callback` after `seconds` to check whether the database is silent."""
-        self._clear_suspicion()
-        self._suspicion = self._scheduler.call_later(seconds, callback)
+        self._clear_silence_check()
+        self._silence_check = self._scheduler.call_later(seconds, callback)
 
     def clear(self) -> None:
         """Cancels all timers."""
         self.clear_limit()
-        self._clear_suspicion()
+        self._clear_silence_check()
         if self._pause is not None:
             self._pause.cancel()
             self._pause = None
 
-    def _clear_suspicion(self) -> None:
-        if self._suspicion is not None:
-            self._suspicion.cancel()
-            self._suspicion = None
+    def _clear_silence_check(self) -> None:
+        if self._silence_check is not None:
+            self._silence_check.cancel()
+            self._silence_check = None
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -15,7 +15,7 @@
 from dewledge.core.pooler.statements.connection_setup import plan_setup
 from dewledge.core.pooler.statements.database_search import DatabaseSearch, SearchEnds
 from dewledge.core.pooler.statements.held_connection import HeldConnection
-from dewledge.core.pooler.statements.position_learning import PositionLearner
+from dewledge.core.pooler.statements.position_recorder import PositionRecorder
 from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from dewledge.core.pooler.statements.retry_outcomes import (
     ConnectionFate,
@@ -58,7 +58,7 @@
         self._timers = RunTimers(self._scheduler)
         self._held = HeldConnection(scope.services, scope.group, self._holder_judged)
         self._lease = PrimaryLeaseUse(scope.group, self._transaction, scope.writes, scope.is_commit)
-        self._learner = PositionLearner(scope, self._transaction)
+        self._learner = PositionRecorder(scope, self._transaction)
         self._attempt = Attempt(scope, self._held, self._timers, self)
         self._reply = ClientReply(scope, self._transaction)
         ends = SearchEnds(self._given, self._refuse)
@@ -87,7 +87,7 @@
     # Connection setup and sending.
 
     def _given(self, connection: DatabaseConnection) -> None:
-        self._held.take(connection)
+        self._held.hold(connection)
         target = self._search.target
         limit = self._deadlines.set_up_limit(self._scheduler.now(), self._is_queued_elsewhere)
         self._deadlines.tell_holder(connection, self._lease.is_pinned, limit)
@@ -144,7 +144,7 @@
     ) -> None:
         """Handles a failure that the database returned to a setup statement."""
         self._note(failure.code)
-        self._held.take_failure(failure, self._scope.statement.id)
+        self._held.report_failure(failure, self._scope.statement.id)
         self._search.note_refused(failure)
         has_unanswered = bool(connection.unanswered)
         refused = Incident(Trouble.REFUSED, Progress.IN_SETUP, failure, reply.state, has_unanswered)
@@ -199,9 +199,9 @@
             self._decide(refused)
             return
         outcome = what_follows(refused, self._facts())
-        self._held.take_failure(failure, self._scope.statement.id)
+        self._held.report_failure(failure, self._scope.statement.id)
         if failure.code is ErrorCode.UNKNOWN_STATEMENT:
-            self._held.forget_prepared()
+            self._held.clear_prepared()
         self._settle_connection(outcome.connection)
         self._search.note_refused(failure)
         self._follow(outcome)
@@ -244,7 +244,7 @@
 
     def _settle_connection(self, fate: ConnectionFate) -> None:
         has_begun = self._lease.has_begun and not self._lease.is_pinned
-        self._held.settle(fate, has_begun)
+        self._held.dispose(fate, has_begun)
 
     def _follow(self, outcome: Outcome) -> None:
         if isinstance(outcome, TryElsewhere):
@@ -255,9 +255,9 @@
             self._reruns += outcome.is_counted
             self._rerun_read()
         elif isinstance(outcome, SendAgain):
-            self._timers.pause(outcome.pause_seconds, self._send_again)
+            self._timers.resume_after(outcome.pause_seconds, self._send_again)
         elif not isinstance(outcome, WaitOn):
-            self._finish(self._reply.after(outcome))
+            self._finish(self._reply.for_outcome(outcome))
 
     def _rerun_read(self) -> None:
         """Searches a database to send the read again; it may use all the remaining time."""
@@ -272,8 +272,8 @@
     def _done(self, reply: Reply) -> None:
         self._lease.note_success(self._held.database_id)
         self._search.note_served()
-        self._learner.take(reply.position, self._attempt.sent_at, self._lease.proves)
-        answer = self._reply.done(reply, self._scheduler.now())
+        self._learner.record(reply.position, self._attempt.sent_at, self._lease.proves)
+        answer = self._reply.success(reply, self._scheduler.now())
         if self._transaction is None:
             self._settle_connection(ConnectionFate.GIVEN_BACK)
         elif self._scope.is_commit:
@@ -299,4 +299,4 @@
         self._timers.clear()
 
     def _note(self, result: str) -> None:
-        self._record.note(self._held.database_id, self._search.target, result)
+        self._record.record_attempt(self._held.database_id, self._search.target, result)
