--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -52,7 +52,7 @@
     target: the database tried last, None if none was tried.
     """
     now = scope.services.scheduler.now()
-    known = [moment - now for moment in exhausted.room_moments if moment > now]
+    known = [moment - now for moment in exhausted.capacity_times if moment > now]
     if known:
         return min(known)
     if target is not None and not lacks_primary:
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -78,7 +78,7 @@
     return steps
 
 
-class SetupAnswers:
+class SetupReplies:
     """Combines the replies to pipelined setup statements into one result.
 
     Calls `done` once: with True if all succeeded, otherwise with the first failed reply, or with
@@ -87,20 +87,20 @@
 
     def __init__(self, pending: int, done: Callable[[Reply | None | bool], None]) -> None:
         self._pending = pending
-        self._done = done
-        self._told = False
+        self._on_done = done
+        self._is_reported = False
 
-    def take(self, reply: Reply | None) -> None:
+    def on_reply(self, reply: Reply | None) -> None:
         """Handles one reply; None if the connection closed."""
         self._pending -= 1
-        if self._told:
+        if self._is_reported:
             return
         if reply is None or reply.failure is not None:
-            self._told = True
-            self._done(reply)
+            self._is_reported = True
+            self._on_done(reply)
         elif self._pending == 0:
-            self._told = True
-            self._done(True)
+            self._is_reported = True
+            self._on_done(True)
 
 
 def send_setup(
@@ -112,15 +112,15 @@
 ) -> None:
     """Sends the steps, then the begin of a transaction if any, without waiting for replies between.
 
-    floor: minimum log position for a read-only transaction. done: see SetupAnswers.
+    floor: minimum log position for a read-only transaction. done: see SetupReplies.
     """
-    answers = SetupAnswers(len(steps) + (begin is not None), done)
+    answers = SetupReplies(len(steps) + (begin is not None), done)
     for step in steps:
         own = Statement(
             OWN_STATEMENT_ID, step.kind, name=step.name, argument=step.argument, writes=step.writes
         )
-        connection.send(own, answers.take)
+        connection.send(own, answers.on_reply)
     if begin is not None:
         read_only = begin is StatementKind.BEGIN_READ_ONLY
         own = Statement(OWN_STATEMENT_ID, begin)
-        connection.send(own, answers.take, floor if read_only else None)
+        connection.send(own, answers.on_reply, floor if read_only else None)
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -192,7 +192,7 @@
             return 0.0
         now = self._services.scheduler.now()
         ready_at = self._planned_at + target.expected.position
-        return ready_at - now if ready_at < self._deadlines.hold_until else 0.0
+        return ready_at - now if ready_at < self._deadlines.replica_wait_until else 0.0
 
     def _wait_is_over(self, target: Target) -> Callable[[], None]:
         def take() -> None:
@@ -205,7 +205,7 @@
         self._group.note_tried(target.database.id)
         now = self._services.scheduler.now()
         self._exhausted.note_tried(target.database.id, now)
-        self._deadlines.begin_turn(now, self._targets[0].expected if self._targets else None)
+        self._deadlines.begin_target_wait(now, self._targets[0].expected if self._targets else None)
         is_single = self._session.transaction is None
         demand = Demand.SINGLE if is_single else Demand.TRANSACTION
         waiter = Waiter(
@@ -214,7 +214,7 @@
             self._denied,
             demand,
             self._session.caller,
-            self._deadlines.in_queue(now),
+            self._deadlines.queue_deadlines(now),
         )
         self._waiter = waiter
         self._group.pool(target.database.id).acquire(waiter, self._session.values)
@@ -246,7 +246,7 @@
             return
         if not self._waits_for_primary:
             self._waits_for_primary = True
-            self._deadlines.wait_for_primary()
+            self._deadlines.extend_for_primary()
             self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
         self._group.wait_for_primary(self._resume)
 
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -18,7 +18,7 @@
 
     def __init__(self, group: Group) -> None:
         self._group = group
-        self._room_at: dict[str, float] = {}
+        self._capacity_at: dict[str, float] = {}
         """When each database that refused the statement expects free capacity."""
         self._tried_at: dict[str, float] = {}
         """When the statement first asked each database."""
@@ -26,9 +26,9 @@
         """Databases that the statement does not ask again."""
 
     @property
-    def room_moments(self) -> Collection[float]:
+    def capacity_times(self) -> Collection[float]:
         """The times at which databases that refused the statement expect free capacity."""
-        return self._room_at.values()
+        return self._capacity_at.values()
 
     def is_exhausted(self, database_id: str) -> bool:
         """Returns whether the statement must not ask the database again."""
@@ -38,12 +38,12 @@
         """Returns whether the database may be asked now."""
         if database_id in self._exhausted:
             return False
-        return self._room_at.get(database_id, 0.0) <= now
+        return self._capacity_at.get(database_id, 0.0) <= now
 
     def next_room_at(self, database_ids: Iterable[str]) -> float | None:
         """Returns the earliest time at which one expects capacity; None if all are exhausted."""
         asked = [each for each in database_ids if each not in self._exhausted]
-        return min((self._room_at[each] for each in asked), default=None)
+        return min((self._capacity_at[each] for each in asked), default=None)
 
     def note_tried(self, database_id: str, now: float) -> None:
         """Records that the statement asks the database now."""
@@ -51,18 +51,18 @@
 
     def note_room_at(self, database_id: str, moment: float) -> None:
         """Records a refusal by the queue of the database, which expects capacity at `moment`."""
-        self._room_at[database_id] = moment
+        self._capacity_at[database_id] = moment
 
     def note_overloaded(self, database_id: str, failure: Failure, now: float) -> None:
         """Records that the database or its holder refused the statement as overloaded."""
         pool = self._group.pool(database_id)
         tried_at = self._tried_at.get(database_id, now)
         if failure.come_back_ms:
-            self._room_at[database_id] = now + failure.come_back_ms / MILLISECONDS
+            self._capacity_at[database_id] = now + failure.come_back_ms / MILLISECONDS
             if now - tried_at >= EXHAUSTED_SECONDS:
                 self._exhausted.add(database_id)
         elif now - max(tried_at, pool.served_at) >= EXHAUSTED_SECONDS:
-            self._room_at[database_id] = now + pool.promise_return()
+            self._capacity_at[database_id] = now + pool.promise_return()
             self._exhausted.add(database_id)
 
 
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -23,7 +23,7 @@
         self._is_commit = is_commit
         self._target: Target | None = None
         self._fencing_token = 0
-        self.has_begun = False
+        self.opens_primary_transaction = False
         """Whether the attempt opens a transaction that only the primary accepts."""
 
     @property
@@ -32,14 +32,14 @@
         return self._transaction is not None and self._transaction.connection is not None
 
     @property
-    def proves(self) -> bool:
+    def proves_primary(self) -> bool:
         """Whether a success proves that the database had every commit at the time of sending."""
-        return self.has_begun or self._reads_by_lease
+        return self.opens_primary_transaction or self._reads_by_lease
 
-    def plan(self, target: Target | None) -> None:
+    def begin_attempt(self, target: Target | None) -> None:
         """Starts an attempt; `target` is None for a statement of a pinned transaction."""
         self._target = target
-        self.has_begun = self.begin_kind is StatementKind.BEGIN
+        self.opens_primary_transaction = self.begin_kind is StatementKind.BEGIN
 
     @property
     def begin_kind(self) -> StatementKind | None:
@@ -55,7 +55,7 @@
         return StatementKind.BEGIN_READ_ONLY if self._transaction is not None else None
 
     def is_lacking(self, database_id: str) -> bool:
-        """Returns whether the statement requires the primary but the lease doesn't permit its use."""
+        """Returns whether the statement requires the primary but the lease forbids its use."""
         transaction, target = self._transaction, self._target
         if transaction is not None and transaction.connection is not None:
             needs_lead = transaction.leads
@@ -63,15 +63,15 @@
             needs_lead = target is not None and target.proof is not Proof.FLOOR
         return needs_lead and not self._group.may_lead(database_id)
 
-    def note_sending(self) -> None:
+    def record_send(self) -> None:
         """Records the fencing token under which the statement is sent."""
         self._fencing_token = self._group.right.fencing_token
 
-    def note_success(self, database_id: str) -> None:
+    def record_success(self, database_id: str) -> None:
         """Records the database as proven primary if only a primary could have run the statement."""
         transaction = self._transaction
         if transaction is None:
-            has_shown_lead = self._writes or self.has_begun
+            has_shown_lead = self._writes or self.opens_primary_transaction
         else:
             has_shown_lead = transaction.leads and not self._is_commit
         if has_shown_lead:
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -19,7 +19,7 @@
 
 ROUND_TRIP_SECONDS = (0.001, 0.004, 0.03)
 """Typical round trips within a zone, between zones of a region, and between regions."""
-OPENING_SECONDS = 0.012
+CONNECTION_OPENING_SECONDS = 0.012
 """Time to open a connection, in addition to the round trip."""
 UNREACHABLE_SECONDS = 10.0
 """Added for a database that is unreachable or silent. Longer than any statement timeout, so that it
@@ -32,7 +32,7 @@
         pool.waiting,
         pool.urgent_waiting,
         pool.running,
-        0 if _serves_nobody(pool) else pool.window_size,
+        0 if _cannot_serve(pool) else pool.window_size,
         pool.openings,
         round(pool.service_rate.service_time * MILLISECONDS),
     )
@@ -48,7 +48,7 @@
         self.book = LoadTable()
         self.failures = ShownFailures()
 
-    def known(self, record: DatabaseRecord, pool: ConnectionPool | None) -> KnownLoad:
+    def load_of(self, record: DatabaseRecord, pool: ConnectionPool | None) -> KnownLoad:
         """Returns the load of a database.
 
         pool: the pool of this process if it holds the connections itself, otherwise None.
@@ -78,7 +78,7 @@
         this process holds the connections itself. steps: distance, an index of ROUND_TRIP_SECONDS.
         position_wait: seconds until the replica has the position. leads: whether it is the primary.
         """
-        known = self.known(record, pool if is_direct else None)
+        known = self.load_of(record, pool if is_direct else None)
         in_flight = 0 if pool is None else pool.load
         sent_since = 0 if is_direct else min(self.book.sent_since(record.id), in_flight)
         wait = known.expected_wait(sent_since, in_flight)
@@ -88,13 +88,13 @@
             wait.seconds,
             known.service_seconds,
             position_wait,
-            _opening(pool, caller, way),
-            _displacing(known) if leads else 0.0,
-            self._detour(record, pool),
+            _opening_seconds(pool, caller, way),
+            _displacement_seconds(known) if leads else 0.0,
+            self._detour_seconds(record, pool),
             wait.age_seconds,
         )
 
-    def _detour(self, record: DatabaseRecord, pool: ConnectionPool | None) -> float:
+    def _detour_seconds(self, record: DatabaseRecord, pool: ConnectionPool | None) -> float:
         """Returns the expected cost of failures at the database, in seconds."""
         detour = self.failures.detour(record.id, self._clock())
         if pool is not None and (pool.is_unreachable or pool.is_silent):
@@ -106,17 +106,17 @@
         return order(candidates, self._draw)
 
 
-def _serves_nobody(pool: ConnectionPool) -> bool:
+def _cannot_serve(pool: ConnectionPool) -> bool:
     return pool.is_silent or (pool.size == 0 and pool.is_unreachable)
 
 
-def _opening(pool: ConnectionPool | None, caller: str, way: float) -> float:
+def _opening_seconds(pool: ConnectionPool | None, caller: str, way: float) -> float:
     """Returns the seconds to open a connection for the caller; 0 if an idle one exists."""
     has_connection = pool is not None and pool.has_idle(caller)
-    return 0.0 if has_connection else OPENING_SECONDS + way
+    return 0.0 if has_connection else CONNECTION_OPENING_SECONDS + way
 
 
-def _displacing(known: KnownLoad) -> float:
+def _displacement_seconds(known: KnownLoad) -> float:
     """Returns the seconds of capacity that a read at the primary takes from writes.
 
     This is the service time, rising to twice that as the slots fill up, since the next statement
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -7,10 +7,10 @@
 - `in_time_until`: latest start that still meets the route's latency target, from `first_arrived`.
 - `give_up_at`: end of the search for a connection. Initially `latest_start`; later after a failure
   of a holder and for a rerun. FixedDeadlines starts with FIXED_WAIT_SECONDS after `arrived`.
-- `turn_ends_at`: end of the wait at the current database; earlier if another can serve the read.
-- `hold_until`: end of the wait for a replica that has not applied the required position.
-- `set_up_limit`: end of the wait for the replies to the connection setup.
-- `attempt_limit`: end of the wait for the reply to a read that may be rerun.
+- `target_wait_until`: end of the wait at the current database; earlier if another can serve the read.
+- `replica_wait_until`: end of the wait for a replica that has not applied the required position.
+- `setup_deadline`: end of the wait for the replies to the connection setup.
+- `attempt_deadline`: end of the wait for the reply to a read that may be rerun.
 
 The limits leave time for the network, so that a statement that can't be answered in time frees its
 place in the queue, and no step uses up the time that an attempt at another database needs.
@@ -24,50 +24,50 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import Route
 
-WAY_SECONDS = 0.1
+NETWORK_ALLOWANCE_SECONDS = 0.1
 """Reserved for the network: two round trips of 40 ms between regions, and delays in busy
 processes."""
 FIXED_WAIT_SECONDS = 0.25
 """Search time of FixedDeadlines: a quarter of the latency target of the slowest routes."""
-LEAST_TURN_SECONDS = 0.1
+MIN_TARGET_WAIT_SECONDS = 0.1
 """Minimum wait of a read at one database while others can serve it: two round trips between regions
 and several times the usual service time."""
-TURN_COMPLETIONS = 2.0
+TARGET_WAIT_FACTOR = 2.0
 """Factor of the expected completion at the next database: a read waits no longer than this at the
 current one, but at least MIN_TARGET_WAIT_SECONDS. Leaves a margin for a wrong estimate."""
-LONGEST_HOLD_SECONDS = 0.25
+MAX_REPLICA_WAIT_SECONDS = 0.25
 """Maximum wait of a read for a lagging replica, from its arrival. The lag is only predicted, and a
 replica that receives no log at all never catches up."""
 SETUP_LIMIT_SECONDS = 0.4
 """Time for the replies to the connection setup; after that the database is treated as silent
 (docs/design/silence.md). Half of a statement timeout of 0.8 s, so that another one can be tried."""
-QUEUED_SETUP_SHARE = 0.5
+QUEUED_SETUP_RATIO = 0.5
 """Ratio of the remaining search time that a setup may spend in the queue of another process. The
 rest is for one attempt elsewhere if that process is silent."""
-READ_ATTEMPT_SHARE = 0.5
+READ_ATTEMPT_RATIO = 0.5
 """Ratio of the remaining time for the first attempt of a read; the rerun gets an equal part."""
-QUEUED_READ_SHARE = 0.7
+QUEUED_READ_RATIO = 0.7
 """Ratio of the remaining time for the first attempt of a read that may wait in the queue of another
 process; the rest still suffices for a rerun."""
-MOVED_WAIT_SHARE = 0.25
+HOLDER_CHANGE_RATIO = 0.25
 """Ratio of the latency target: minimum search time after a holder became unresponsive."""
 
 
 class StatementDeadlines:
     """Time limits derived from the statement's timeout and latency target.
 
-    Only `give_up_at` and `turn_ends_at` change after construction, through the methods below.
+    Only `give_up_at` and `target_wait_until` change after construction, through the methods below.
     """
 
     __slots__ = (
-        "_moved_wait",
+        "_holder_change_seconds",
         "arrived",
         "deadline",
         "first_arrived",
         "give_up_at",
         "in_time_until",
         "latest_start",
-        "turn_ends_at",
+        "target_wait_until",
     )
 
     def __init__(self, arrived: float, route: Route, ticket: Ticket | None) -> None:
@@ -75,69 +75,73 @@
         self.arrived = arrived
         self.first_arrived = arrival_of(ticket, route.priority, arrived)
         self.deadline = arrived + route.statement_timeout
-        self.latest_start = arrived + max(route.statement_timeout - WAY_SECONDS, 0.0)
-        self.in_time_until = self.first_arrived + route.target_latency - WAY_SECONDS
-        self.give_up_at = self._first_give_up_at()
-        self.turn_ends_at = self.give_up_at
-        self._moved_wait = route.target_latency * MOVED_WAIT_SHARE
+        self.latest_start = arrived + max(route.statement_timeout - NETWORK_ALLOWANCE_SECONDS, 0.0)
+        self.in_time_until = self.first_arrived + route.target_latency - NETWORK_ALLOWANCE_SECONDS
+        self.give_up_at = self._initial_give_up_at()
+        self.target_wait_until = self.give_up_at
+        self._holder_change_seconds = route.target_latency * HOLDER_CHANGE_RATIO
 
-    def _first_give_up_at(self) -> float:
+    def _initial_give_up_at(self) -> float:
         return self.latest_start
 
-    def in_queue(self, now: float) -> WaitDeadlines:
+    def queue_deadlines(self, now: float) -> WaitDeadlines:
         """Returns the deadlines for the queue of a database that the statement enters now."""
-        return WaitDeadlines(self.first_arrived, now, self.in_time_until, self.turn_ends_at)
+        return WaitDeadlines(self.first_arrived, now, self.in_time_until, self.target_wait_until)
 
     @property
-    def hold_until(self) -> float:
+    def replica_wait_until(self) -> float:
         """End of the wait for a replica that has not yet applied the required position."""
-        return min(self.give_up_at, self.arrived + LONGEST_HOLD_SECONDS)
+        return min(self.give_up_at, self.arrived + MAX_REPLICA_WAIT_SECONDS)
 
-    def begin_turn(self, now: float, alternative: Completion | None) -> None:
+    def begin_target_wait(self, now: float, alternative: Completion | None) -> None:
         """Sets the end of the wait at the next database.
 
         alternative: expected completion at the database after that, None if there is none.
         """
-        self.turn_ends_at = self.give_up_at
+        self.target_wait_until = self.give_up_at
         if alternative is not None:
-            turn = max(alternative.seconds * TURN_COMPLETIONS, LEAST_TURN_SECONDS)
-            self.turn_ends_at = min(self.give_up_at, now + turn)
+            turn = max(alternative.seconds * TARGET_WAIT_FACTOR, MIN_TARGET_WAIT_SECONDS)
+            self.target_wait_until = min(self.give_up_at, now + turn)
 
-    def wait_for_primary(self) -> None:
+    def extend_for_primary(self) -> None:
         """Extends the search while the group has no primary."""
         self.give_up_at = max(self.give_up_at, self.latest_start)
 
-    def seek_next_holder(self, now: float) -> None:
+    def extend_for_next_holder(self, now: float) -> None:
         """Extends the search after the holder of the connection became unresponsive."""
-        self.give_up_at = max(self.give_up_at, min(now + self._moved_wait, self.deadline))
+        self.give_up_at = max(
+            self.give_up_at, min(now + self._holder_change_seconds, self.deadline)
+        )
 
-    def rerun(self) -> None:
+    def extend_for_rerun(self) -> None:
         """Extends the search to the deadline for a read that is sent again."""
         self.give_up_at = self.deadline
 
-    def set_up_limit(self, now: float, is_queued_elsewhere: bool) -> float:
+    def setup_deadline(self, now: float, is_queued_elsewhere: bool) -> float:
         """Returns the end of the wait for the replies to the connection setup.
 
         is_queued_elsewhere: whether the setup may wait in the queue of another process.
         """
         limit = now + SETUP_LIMIT_SECONDS
         if is_queued_elsewhere:
-            limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_SHARE)
+            limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_RATIO)
         return limit
 
-    def attempt_limit(self, sent_at: float, is_queued_elsewhere: bool) -> float:
+    def attempt_deadline(self, sent_at: float, is_queued_elsewhere: bool) -> float:
         """Returns the end of the wait for the reply to a read that may be rerun.
 
         For all other statements the limit is the deadline. sent_at: sending time of the read.
         """
-        share = QUEUED_READ_SHARE if is_queued_elsewhere else READ_ATTEMPT_SHARE
+        share = QUEUED_READ_RATIO if is_queued_elsewhere else READ_ATTEMPT_RATIO
         return sent_at + (self.deadline - sent_at) * share
 
     def slot_wait_until(self, limit: float) -> float:
         """Returns the end of the wait for a database slot at the holder of the connection."""
-        return min(limit, self.turn_ends_at)
+        return min(limit, self.target_wait_until)
 
-    def tell_holder(self, connection: DatabaseConnection, is_pinned: bool, limit: float) -> None:
+    def set_connection_deadlines(
+        self, connection: DatabaseConnection, is_pinned: bool, limit: float
+    ) -> None:
         """Sets on the connection the deadlines that its holder receives with each statement.
 
         is_pinned: whether an open transaction already uses the connection. Such a statement has no
@@ -153,9 +157,9 @@
 
     __slots__ = ()
 
-    def _first_give_up_at(self) -> float:
+    def _initial_give_up_at(self) -> float:
         return self.arrived + FIXED_WAIT_SECONDS
 
-    def in_queue(self, now: float) -> WaitDeadlines:
+    def queue_deadlines(self, now: float) -> WaitDeadlines:
         """Returns deadlines without a latest start, so that the queue does not limit the wait."""
         return WaitDeadlines(now, now)
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -89,9 +89,9 @@
     def _given(self, connection: DatabaseConnection) -> None:
         self._held.hold(connection)
         target = self._search.target
-        limit = self._deadlines.set_up_limit(self._scheduler.now(), self._is_queued_elsewhere)
-        self._deadlines.tell_holder(connection, self._lease.is_pinned, limit)
-        self._lease.plan(target)
+        limit = self._deadlines.setup_deadline(self._scheduler.now(), self._is_queued_elsewhere)
+        self._deadlines.set_connection_deadlines(connection, self._lease.is_pinned, limit)
+        self._lease.begin_attempt(target)
         if self._lease.is_lacking(connection.database_id):
             self._withhold(Progress.WAITING)
             return
@@ -115,12 +115,12 @@
 
     def _send(self, connection: DatabaseConnection) -> None:
         now = self._attempt.note_sending()
-        self._lease.note_sending()
+        self._lease.record_send()
         target = self._search.target
         floor = target.floor if self._transaction is None and target is not None else None
         limit = self._deadlines.deadline
         if self._work is Work.READ and not self._reruns:
-            limit = self._deadlines.attempt_limit(now, self._is_queued_elsewhere)
+            limit = self._deadlines.attempt_deadline(now, self._is_queued_elsewhere)
         if not self._lease.is_pinned:
             connection.wait_until = self._deadlines.slot_wait_until(limit)
         self._attempt.send(connection, floor, limit)
@@ -136,7 +136,7 @@
         transaction = self._transaction
         if transaction is not None and transaction.connection is None:
             transaction.connection = connection
-            transaction.leads = self._lease.has_begun
+            transaction.leads = self._lease.opens_primary_transaction
         self._send(connection)
 
     def set_up_refused(
@@ -243,13 +243,13 @@
         )
 
     def _settle_connection(self, fate: ConnectionFate) -> None:
-        has_begun = self._lease.has_begun and not self._lease.is_pinned
+        has_begun = self._lease.opens_primary_transaction and not self._lease.is_pinned
         self._held.dispose(fate, has_begun)
 
     def _follow(self, outcome: Outcome) -> None:
         if isinstance(outcome, TryElsewhere):
             if outcome.seeks_longer:
-                self._deadlines.seek_next_holder(self._scheduler.now())
+                self._deadlines.extend_for_next_holder(self._scheduler.now())
             self._search.go_on()
         elif isinstance(outcome, RerunRead):
             self._reruns += outcome.is_counted
@@ -261,7 +261,7 @@
 
     def _rerun_read(self) -> None:
         """Searches a database to send the read again; it may use all the remaining time."""
-        self._deadlines.rerun()
+        self._deadlines.extend_for_rerun()
         self._search.go_on()
 
     def _send_again(self) -> None:
@@ -270,9 +270,9 @@
             self._send(connection)
 
     def _done(self, reply: Reply) -> None:
-        self._lease.note_success(self._held.database_id)
+        self._lease.record_success(self._held.database_id)
         self._search.note_served()
-        self._learner.record(reply.position, self._attempt.sent_at, self._lease.proves)
+        self._learner.record(reply.position, self._attempt.sent_at, self._lease.proves_primary)
         answer = self._reply.success(reply, self._scheduler.now())
         if self._transaction is None:
             self._settle_connection(ConnectionFate.GIVEN_BACK)
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -21,7 +21,7 @@
 LOAD_PER_ZONE_STEP = 2
 """Statements added to the load of a database for each step of distance (zone, region) in the order
 of reads."""
-LOAD_OF_LEADING = 2
+PRIMARY_LOAD_PENALTY = 2
 """Statements added to the load of the primary in the order of reads, because reads at the primary
 take capacity from writes."""
 
@@ -101,11 +101,11 @@
 
     def cost(record: DatabaseRecord) -> tuple[bool, int, bool]:
         leads = record.id == leader
-        penalty = LOAD_OF_LEADING if leads else 0
+        penalty = PRIMARY_LOAD_PENALTY if leads else 0
         weight = load(record) + LOAD_PER_ZONE_STEP * distance(record) + penalty
         return (not leads and lacks(record, floor), weight, leads)
 
-    serving = sorted(_serving(view, excluded), key=cost)
+    serving = sorted(_available(view, excluded), key=cost)
     return [Target(record, Proof.FLOOR, floor) for record in serving] + leading
 
 
@@ -126,7 +126,7 @@
     leading = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
         return leading
-    candidates = [Candidate(each.id, cost(each, floor)) for each in _serving(view, excluded)]
+    candidates = [Candidate(each.id, cost(each, floor)) for each in _available(view, excluded)]
     ordered = [
         Target(view.databases[each.database_id], Proof.FLOOR, floor, each.completion)
         for each in order(candidates)
@@ -134,7 +134,7 @@
     return ordered + leading
 
 
-def _serving(view: GroupView, excluded: str | None) -> Sequence[DatabaseRecord]:
+def _available(view: GroupView, excluded: str | None) -> Sequence[DatabaseRecord]:
     return [
         record
         for record in view.databases.values()
