--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -1,6 +1,5 @@
-"""Callers before one full database: one sends ten times its usual, the others are served as before.
-
-Each pattern is played with shares and without; the load that each answers is in its name.
+"""Fair shares: a caller that overloads a full database must not delay the other callers.
+Each load is also run without fair shares, where the others do wait.
 """
 
 import unittest
@@ -31,8 +30,8 @@
 SERVED = Reply(TransactionState.IDLE)
 
 
-class Asked:
-    """One statement: when it came and was served, in seconds, and what became of it."""
+class SentStatement:
+    """A statement of a caller with its arrival, its start (seconds) and its outcomes."""
 
     def __init__(self, caller: str, at: float, work: float) -> None:
         self.caller = caller
@@ -47,14 +46,14 @@
 
 
 class FixedWindow(SlotWindow):
-    """As many as the database runs, known from the beginning."""
+    """A slot window of constant size."""
 
     def note_served(self, widest: int) -> None:
-        """It stays."""
+        """Keeps the size."""
 
 
 class Database:
-    """A pool, and callers that ask."""
+    """A connection pool with simulated callers; records the outcome of each statement."""
 
     def __init__(self, is_fair: bool, connections: int = CONNECTIONS, slots: int = SLOTS) -> None:
         self.scheduler = ModelScheduler()
@@ -68,232 +67,234 @@
             self.window,
             PoolRules(is_fair=is_fair),
         )
-        self.held: list[HeldToShare] = []
-        self.pool.on_held_to_share(self.held.append)
-        self.asked: list[Asked] = []
-        self.most_lent: Counter[str] = Counter()
-        self._lent: Counter[str] = Counter()
+        self.over_share: list[HeldToShare] = []
+        self.pool.on_held_to_share(self.over_share.append)
+        self.sent: list[SentStatement] = []
+        self.max_borrowed: Counter[str] = Counter()
+        self._borrowed: Counter[str] = Counter()
 
-    def ask(
+    def send(
         self,
         caller: str,
         work: float = WORK,
         priority: int = 1,
         target: float = TARGET,
         demand: Demand = Demand.SINGLE,
-    ) -> Asked:
+    ) -> SentStatement:
         now = self.scheduler.now()
-        asked = Asked(caller, now, work)
-        self.asked.append(asked)
+        statement = SentStatement(caller, now, work)
+        self.sent.append(statement)
         deadlines = WaitDeadlines(now, now, now + target, now + TIMEOUT)
 
-        def given(connection: DatabaseConnection) -> None:
-            self._given(asked, connection)
+        def on_connection(connection: DatabaseConnection) -> None:
+            self._on_connection(statement, connection)
 
-        def denied(denial: Denial) -> None:
-            asked.outcomes.append(denial)
+        def on_denied(denial: Denial) -> None:
+            statement.outcomes.append(denial)
 
-        waiter = Waiter(priority, given, denied, demand, caller, deadlines)
+        waiter = Waiter(priority, on_connection, on_denied, demand, caller, deadlines)
         self.pool.acquire(waiter, {})
-        self._judge_later(asked, waiter)
-        return asked
+        self._reassess_later(statement, waiter)
+        return statement
 
-    def _judge_later(self, asked: Asked, waiter: Waiter) -> None:
-        if asked.outcomes:
+    def _reassess_later(self, statement: SentStatement, waiter: Waiter) -> None:
+        if statement.outcomes:
             return
         verdict = self.pool.judge(waiter)
         if isinstance(verdict, WaitUntil):
             delay = max(verdict.at - self.scheduler.now(), 0.0)
-            self.scheduler.call_later(delay, lambda: self._judge_later(asked, waiter))
-
-    def _given(self, asked: Asked, connection: DatabaseConnection) -> None:
-        asked.outcomes.append("served")
-        asked.started = self.scheduler.now()
-        self._lent[asked.caller] += 1
-        self.most_lent[asked.caller] = max(self.most_lent[asked.caller], self._lent[asked.caller])
+            self.scheduler.call_later(delay, lambda: self._reassess_later(statement, waiter))
+
+    def _on_connection(self, statement: SentStatement, connection: DatabaseConnection) -> None:
+        statement.outcomes.append("served")
+        statement.started = self.scheduler.now()
+        self._borrowed[statement.caller] += 1
+        self.max_borrowed[statement.caller] = max(
+            self.max_borrowed[statement.caller], self._borrowed[statement.caller]
+        )
 
         def finish() -> None:
-            self._lent[asked.caller] -= 1
-            self.pool.note_answer(StatementKind.READ, SERVED, asked.work, connection)
+            self._borrowed[statement.caller] -= 1
+            self.pool.note_answer(StatementKind.READ, SERVED, statement.work, connection)
             self.pool.release(connection)
 
-        self.scheduler.call_later(asked.work, finish)
+        self.scheduler.call_later(statement.work, finish)
 
-    def play(self, loads: dict[str, float], seconds: float, step: float = 0.01) -> None:
-        """Each caller asks so many times a second, evenly."""
-        due = dict.fromkeys(loads, 0.0)
+    def run_load(self, loads: dict[str, float], seconds: float, step: float = 0.01) -> None:
+        """Sends statements at the given rates per caller (per second), evenly spaced."""
+        pending = dict.fromkeys(loads, 0.0)
         for _ in range(int(seconds / step)):
             for caller, rate in loads.items():
-                due[caller] += rate * step
-                while due[caller] >= 1.0:
-                    due[caller] -= 1.0
-                    self.ask(caller)
+                pending[caller] += rate * step
+                while pending[caller] >= 1.0:
+                    pending[caller] -= 1.0
+                    self.send(caller)
             self.scheduler.advance(step)
         self.scheduler.advance(2 * TIMEOUT)
 
-    def longest(self, caller: str) -> float:
-        return max(each.wait for each in self.asked if each.caller == caller)
+    def longest_wait(self, caller: str) -> float:
+        return max(each.wait for each in self.sent if each.caller == caller)
 
     def outcomes(self, caller: str) -> Counter[str]:
         return Counter(
-            outcome for each in self.asked if each.caller == caller for outcome in each.outcomes
+            outcome for each in self.sent if each.caller == caller for outcome in each.outcomes
         )
 
 
-def burst_beside_others(is_fair: bool) -> tuple[float, float]:
-    """Returns the longest waits of the hot caller and of one that comes after its burst."""
+def waits_around_burst(is_fair: bool) -> tuple[float, float]:
+    """Returns the longest waits of a busy caller and of one that arrives after its burst."""
     database = Database(is_fair)
-    database.ask("hot")
-    database.ask("rare")
+    database.send("hot")
+    database.send("rare")
     database.scheduler.advance(1.0)
     for _ in range(30):
-        database.ask("hot", target=9.0)
+        database.send("hot", target=9.0)
     database.scheduler.advance(0.04)
-    rare = database.ask("rare", target=9.0)
+    rare = database.send("rare", target=9.0)
     database.scheduler.advance(9.0)
-    return database.longest("hot"), rare.wait
+    return database.longest_wait("hot"), rare.wait
 
 
 class SlotsTest(unittest.TestCase):
-    def test_one_request_beside_the_backlog_of_a_hot_caller(self) -> None:
-        """30 statements of one caller stand there when one of another comes."""
-        hot, rare = burst_beside_others(is_fair=True)
+    def test_single_request_overtakes_backlog_of_busy_caller(self) -> None:
+        """A statement arrives behind 30 queued statements of another caller."""
+        hot, rare = waits_around_burst(is_fair=True)
         self.assertLess(rare, 2 * WORK)
         self.assertGreater(hot, 6 * WORK)
-        _, rare_by_arrival = burst_beside_others(is_fair=False)
+        _, rare_by_arrival = waits_around_burst(is_fair=False)
         self.assertGreater(rare_by_arrival, 6 * WORK)
 
-    def test_a_caller_at_ten_times_its_usual(self) -> None:
-        """The slots serve 60 a second; five callers send 4 a second each, one sends 80."""
+    def test_overloading_caller_does_not_delay_others(self) -> None:
+        """The slots serve 60 statements/s; five callers send 4/s each, one sends 80/s."""
         loads = {f"caller {number}": 4.0 for number in range(5)} | {"hot": 80.0}
         database = Database(is_fair=True, connections=12)
-        database.play(loads, 4.0)
+        database.run_load(loads, 4.0)
         for caller in loads:
             if caller != "hot":
                 self.assertEqual(set(database.outcomes(caller)), {"served"})
-                self.assertLess(database.longest(caller), 0.3)
+                self.assertLess(database.longest_wait(caller), 0.3)
         hot = database.outcomes("hot")
         self.assertGreater(hot["served"], 0.6 * 40 * 4)
-        self.assertTrue(all(held.caller == "hot" for held in database.held))
-        self.assertIn(len(database.held), range(2, 9))
+        self.assertTrue(all(each.caller == "hot" for each in database.over_share))
+        self.assertIn(len(database.over_share), range(2, 9))
         by_arrival = Database(is_fair=False, connections=12)
-        by_arrival.play(loads, 4.0)
+        by_arrival.run_load(loads, 4.0)
         refused = sum(by_arrival.outcomes(name)["no_room"] for name in loads if name != "hot")
         self.assertGreater(refused, 20)
 
-    def test_long_statements_cost_their_slot_time(self) -> None:
-        """Two callers with as many statements, one with work three times as long."""
+    def test_shares_count_slot_time_instead_of_statements(self) -> None:
+        """Two callers send equally many statements; those of one take three times as long."""
         database = Database(is_fair=True)
         for caller in ("long", "short"):
-            database.ask(caller)
+            database.send(caller)
         database.scheduler.advance(1.0)
         for _ in range(60):
-            database.ask("long", work=3 * WORK, target=99.0)
-            database.ask("short", target=99.0)
+            database.send("long", work=3 * WORK, target=99.0)
+            database.send("short", target=99.0)
         database.scheduler.advance(2.0)
         short = database.outcomes("short")["served"]
         self.assertGreater(short, 1.8 * database.outcomes("long")["served"])
 
-    def test_unused_shares_go_to_who_can_use_them(self) -> None:
-        """One caller alone has all slots, whatever it sends."""
+    def test_unused_shares_are_available_to_other_callers(self) -> None:
+        """A single caller can use all slots."""
         for is_fair in (True, False):
             database = Database(is_fair)
             for _ in range(30):
-                database.ask("hot", target=9.0)
+                database.send("hot", target=9.0)
             database.scheduler.advance(0.3)
             self.assertEqual(database.pool.running, SLOTS)
-            self.assertEqual(database.most_lent["hot"], SLOTS)
+            self.assertEqual(database.max_borrowed["hot"], SLOTS)
 
-    def test_no_caller_is_told_apart_where_none_is_named(self) -> None:
-        """The order of one caller alone is that without shares, urgency and lateness included."""
+    def test_order_is_unchanged_without_caller_names(self) -> None:
+        """With one caller, fair shares must not change the order by urgency and lateness."""
         orders = []
         for is_fair in (True, False):
             database = Database(is_fair)
             for number in range(40):
-                database.ask("", priority=number % 3, target=(0.05, 9.0)[number % 2])
+                database.send("", priority=number % 3, target=(0.05, 9.0)[number % 2])
                 database.scheduler.advance(0.01 * (number % 2))
             database.scheduler.advance(9.0)
-            orders.append([(each.started, each.outcomes) for each in database.asked])
+            orders.append([(each.started, each.outcomes) for each in database.sent])
         self.assertEqual(orders[0], orders[1])
 
-    def test_what_is_in_time_stays_before_what_is_late(self) -> None:
-        """A rare caller's late statement doesn't pass what another may have in time."""
+    def test_late_statement_does_not_overtake_statements_in_time(self) -> None:
+        """A low share does not let a late statement pass statements that can still be in time."""
         database = Database(is_fair=True)
         for caller in ("hot", "rare"):
-            database.ask(caller)
+            database.send(caller)
         database.scheduler.advance(1.0)
         for _ in range(9):
-            database.ask("hot", target=9.0)
+            database.send("hot", target=9.0)
         database.scheduler.advance(0.04)
-        late = database.ask("rare", target=-0.1)
+        late = database.send("rare", target=-0.1)
         database.scheduler.advance(9.0)
-        self.assertGreater(late.started, max(each.started for each in database.asked[2:11]))
+        self.assertGreater(late.started, max(each.started for each in database.sent[2:11]))
 
 
 class ConnectionsTest(unittest.TestCase):
-    def test_a_hot_caller_that_holds_all_connections(self) -> None:
-        """Its backlog never ends; another has none there, and gets one of them at once."""
+    def test_caller_gets_connection_while_busy_caller_has_all(self) -> None:
+        """A caller without a connection must get one although the other has an endless backlog."""
         waits = []
         for is_fair in (True, False):
             database = Database(is_fair, connections=SLOTS)
-            database.ask("hot")
+            database.send("hot")
             database.scheduler.advance(1.0)
             for _ in range(40):
-                database.ask("hot", target=9.0)
+                database.send("hot", target=9.0)
             database.scheduler.advance(0.1)
-            rare = database.ask("rare", target=9.0)
+            rare = database.send("rare", target=9.0)
             database.scheduler.advance(9.0)
             waits.append(rare.wait)
         self.assertLess(waits[0], 3 * WORK)
         self.assertGreater(waits[1], 8 * WORK)
 
-    def test_openings_of_callers_below_their_share_come_first(self) -> None:
-        """All came while the database was not reached; then connections are opened anew."""
+    def test_connections_open_first_for_callers_below_their_share(self) -> None:
+        """Statements of all callers arrive before the first connection can be opened."""
         firsts = []
         for is_fair in (True, False):
             database = Database(is_fair, connections=SLOTS, slots=CONNECTIONS)
             database.pool.change_limit(0)
             for _ in range(10):
-                database.ask("hot", target=9.0)
+                database.send("hot", target=9.0)
             for caller in "ab":
-                database.ask(caller, target=9.0)
+                database.send(caller, target=9.0)
             database.pool.change_limit(SLOTS)
-            database.ask("hot", target=9.0)
+            database.send("hot", target=9.0)
             database.scheduler.advance(0.04)
-            firsts.append(sorted(each.caller for each in database.asked if each.outcomes))
+            firsts.append(sorted(each.caller for each in database.sent if each.outcomes))
         self.assertEqual(firsts, [["a", "b", "hot"], ["hot", "hot", "hot"]])
 
-    def test_no_storm_of_openings(self) -> None:
-        """Twelve callers with backlogs before three connections: one is opened at a time."""
+    def test_many_backlogs_cause_no_burst_of_openings(self) -> None:
+        """Twelve callers with backlogs share three connections; reopening must not add load."""
         database = Database(is_fair=True, connections=SLOTS)
         loads = {f"caller {number}": 10.0 for number in range(12)}
-        database.play(loads, 3.0)
+        database.run_load(loads, 3.0)
         for caller in loads:
             self.assertGreater(database.outcomes(caller)["served"], 2)
         self.assertLessEqual(database.model.databases["p"].open_connections, SLOTS)
         self.assertLessEqual(database.pool.size, SLOTS)
-        self.assertLessEqual(len(database.model.transports), len(database.asked))
+        self.assertLessEqual(len(database.model.transports), len(database.sent))
 
-    def test_no_more_than_two_are_opened_ahead(self) -> None:
-        """All callers come at once to a full database, with room for connections."""
+    def test_connections_opened_ahead_are_limited(self) -> None:
+        """All callers arrive at once at a full database that still accepts connections."""
         database = Database(is_fair=True, connections=40)
         for _ in range(SLOTS):
-            database.ask("hot", target=9.0)
+            database.send("hot", target=9.0)
         database.scheduler.advance(1.0)
         for _ in range(20):
-            database.ask("hot", target=9.0)
+            database.send("hot", target=9.0)
         for number in range(30):
-            database.ask(f"caller {number}", target=9.0)
-        most = 0
+            database.send(f"caller {number}", target=9.0)
+        max_openings = 0
         while database.pool.waiting:
             database.scheduler.advance(0.002)
-            most = max(most, database.pool.openings)
-        self.assertEqual(most, MOST_OPENED_AHEAD)
-        self.assertEqual({len(each.outcomes) for each in database.asked}, {1})
+            max_openings = max(max_openings, database.pool.openings)
+        self.assertEqual(max_openings, MOST_OPENED_AHEAD)
+        self.assertEqual({len(each.outcomes) for each in database.sent}, {1})
 
 
-def held_events(is_fair: bool) -> list[CallerHeldToShare]:
-    """Returns what a group logs, whose pool has one connection, 40 of one caller and a rare one."""
+def over_share_events(is_fair: bool) -> list[CallerHeldToShare]:
+    """Returns the events logged for one connection with 40 statements of a busy caller."""
     scheduler = ModelScheduler()
     group = Group(
         GROUP,
@@ -311,24 +312,24 @@
     def serve(connection: DatabaseConnection) -> None:
         scheduler.call_later(0.1, lambda: pool.release(connection))
 
-    def ask(caller: str) -> None:
+    def send(caller: str) -> None:
         pool.acquire(Waiter(1, serve, lambda denial: None, Demand.SINGLE, caller), {})
 
     for _ in range(40):
-        ask("hot")
+        send("hot")
     for _ in range(30):
-        ask("rare")
+        send("rare")
         scheduler.advance(0.1)
     return [event for event in events if isinstance(event, CallerHeldToShare)]
 
 
 class LogTest(unittest.TestCase):
-    def test_who_is_held_to_its_share_is_logged_once_a_second(self) -> None:
-        """Through the group, as the process makes its pools; not where shares are off."""
-        found = held_events(is_fair=True)
+    def test_callers_over_fair_share_are_logged_once_per_second(self) -> None:
+        """Tested through the group, which creates the pools. Nothing is logged without shares."""
+        found = over_share_events(is_fair=True)
         self.assertEqual({event.caller for event in found}, {"hot"})
         self.assertIn(len(found), (2, 3))
-        self.assertEqual(held_events(is_fair=False), [])
+        self.assertEqual(over_share_events(is_fair=False), [])
 
 
 STATEMENTS = st.lists(
@@ -346,7 +347,7 @@
 class PropertyTest(unittest.TestCase):
     @settings(max_examples=80, deadline=None)
     @given(STATEMENTS, st.booleans(), st.integers(1, 6))
-    def test_each_has_one_outcome_and_nothing_is_left(
+    def test_every_statement_has_one_outcome_and_none_is_left(
         self,
         statements: list[tuple[float, str, int, Demand, float]],
         is_fair: bool,
@@ -355,22 +356,22 @@
         database = Database(is_fair, connections)
         for pause, caller, priority, demand, work in statements:
             database.scheduler.advance(pause)
-            database.ask(caller, work, priority, demand=demand)
+            database.send(caller, work, priority, demand=demand)
             self.assertLessEqual(database.pool.size, connections)
         database.scheduler.advance(30.0)
-        self.assertEqual([len(each.outcomes) for each in database.asked], [1] * len(statements))
+        self.assertEqual([len(each.outcomes) for each in database.sent], [1] * len(statements))
         self.assertEqual((database.pool.waiting, database.pool.in_use), (0, 0))
 
     @settings(max_examples=80, deadline=None)
     @given(STATEMENTS)
-    def test_no_slot_stands_free_while_one_waits_with_a_connection(
+    def test_no_slot_is_idle_while_a_statement_waits(
         self, statements: list[tuple[float, str, int, Demand, float]]
     ) -> None:
-        """Work conserving: with a connection for everyone, all slots run while anyone waits."""
+        """With enough connections, all slots must be busy while a statement waits."""
         database = Database(True, connections=100)
         for pause, caller, priority, _, work in statements:
             database.scheduler.advance(pause)
-            database.ask(caller, work, priority)
+            database.send(caller, work, priority)
             if database.pool.waiting and not database.pool.openings:
                 self.assertEqual(database.pool.running, SLOTS)
 
--- a/tests/core/pooler/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -1,8 +1,4 @@
-"""The queue before a full database under load: each one's outcome, who comes first, who is refused.
-
-Statements of equal work come faster than six slots serve them, some urgent, some late when they
-come; each is judged when it comes and when the queue says so, as its owner does.
-"""
+"""Queue of a full database: which statements are served or refused, and in which order."""
 
 import heapq
 import unittest
@@ -24,8 +20,8 @@
 SERVED = Reply(TransactionState.IDLE)
 
 
-class Asked:
-    """One statement and what became of it."""
+class SentStatement:
+    """A statement with its deadlines and outcomes; `waited`: seconds since its first attempt."""
 
     def __init__(self, priority: int, waited: float, target: float, timeout: float) -> None:
         self.priority = priority
@@ -38,89 +34,91 @@
         self.waiter: Waiter | None = None
 
 
-class Day:
-    """A pool with `SLOTS` warm connections, and what is asked of it."""
+class QueueSimulation:
+    """A pool with `SLOTS` open connections; checks the order and each refusal as time passes."""
 
     def __init__(self) -> None:
         self.scheduler = ModelScheduler()
         self.model = ModelGroup(self.scheduler)
         window = SlotWindow(SLOTS)
         self.pool = ConnectionPool("p", SLOTS, self.model, self.scheduler.now, window)
-        self.asked: list[Asked] = []
-        self.waiting: list[Asked] = []
-        self.ends: list[float] = []
+        self.sent: list[SentStatement] = []
+        self.waiting: list[SentStatement] = []
+        self.slot_ends: list[float] = []
         self.faults: list[str] = []
         for _ in range(SLOTS):
-            self.ask(Asked(0, 0.0, 9.0, 9.0))
+            self.send(SentStatement(0, 0.0, 9.0, 9.0))
         self.scheduler.advance(1.0)
 
-    def ask(self, asked: Asked) -> None:
+    def send(self, statement: SentStatement) -> None:
         now = self.scheduler.now()
-        asked.arrived = now - asked.waited
-        asked.latest_start = now + asked.timeout - WORK
+        statement.arrived = now - statement.waited
+        statement.latest_start = now + statement.timeout - WORK
         deadlines = WaitDeadlines(
-            asked.arrived, now, asked.arrived + asked.target, now + asked.timeout
+            statement.arrived, now, statement.arrived + statement.target, now + statement.timeout
         )
 
-        def given(connection: DatabaseConnection) -> None:
-            self._given(asked, connection)
+        def on_connection(connection: DatabaseConnection) -> None:
+            self._on_connection(statement, connection)
 
-        def denied(denial: Denial) -> None:
-            self._denied(asked, denial)
+        def on_denied(denial: Denial) -> None:
+            self._on_denied(statement, denial)
 
-        waiter = Waiter(asked.priority, given, denied, Demand.SINGLE, deadlines=deadlines)
-        asked.waiter = waiter
-        self.asked.append(asked)
-        self.waiting.append(asked)
+        waiter = Waiter(
+            statement.priority, on_connection, on_denied, Demand.SINGLE, deadlines=deadlines
+        )
+        statement.waiter = waiter
+        self.sent.append(statement)
+        self.waiting.append(statement)
         self.pool.acquire(waiter, {})
-        self._judge_later(asked)
+        self._reassess_later(statement)
 
-    def _judge_later(self, asked: Asked) -> None:
-        if asked.outcomes or asked.waiter is None:
+    def _reassess_later(self, statement: SentStatement) -> None:
+        if statement.outcomes or statement.waiter is None:
             return
-        verdict = self.pool.judge(asked.waiter)
+        verdict = self.pool.judge(statement.waiter)
         if isinstance(verdict, WaitUntil):
             delay = max(verdict.at - self.scheduler.now(), 0.0)
-            self.scheduler.call_later(delay, lambda: self._judge_later(asked))
+            self.scheduler.call_later(delay, lambda: self._reassess_later(statement))
 
-    def _given(self, asked: Asked, connection: DatabaseConnection) -> None:
-        asked.outcomes.append("served")
-        self.waiting.remove(asked)
+    def _on_connection(self, statement: SentStatement, connection: DatabaseConnection) -> None:
+        statement.outcomes.append("served")
+        self.waiting.remove(statement)
         now = self.scheduler.now()
-        if any(other.priority < asked.priority for other in self.waiting):
-            self.faults.append("a less urgent one came first")
-        if now > asked.latest_start + WORK:
-            self.faults.append("served after its time")
+        if any(other.priority < statement.priority for other in self.waiting):
+            self.faults.append("served before a more urgent statement")
+        if now > statement.latest_start + WORK:
+            self.faults.append("served after its deadline")
         end = now + WORK
-        heapq.heappush(self.ends, end)
+        heapq.heappush(self.slot_ends, end)
 
         def finish() -> None:
-            self.ends.remove(end)
-            heapq.heapify(self.ends)
+            self.slot_ends.remove(end)
+            heapq.heapify(self.slot_ends)
             self.pool.note_answer(StatementKind.READ, SERVED, WORK)
             self.pool.release(connection)
 
         self.scheduler.call_later(WORK, finish)
 
-    def _denied(self, asked: Asked, denial: Denial) -> None:
-        asked.outcomes.append(denial)
-        self.waiting.remove(asked)
-        if self._exact_start(asked) + WORK < asked.latest_start:
-            self.faults.append("refused although it would have been served")
+    def _on_denied(self, statement: SentStatement, denial: Denial) -> None:
+        statement.outcomes.append(denial)
+        self.waiting.remove(statement)
+        if self._exact_start(statement) + WORK < statement.latest_start:
+            self.faults.append("refused although it could have been served")
 
-    def _exact_start(self, asked: Asked) -> float:
-        """When a slot would have come free for it, if nobody more urgent came meanwhile."""
-        assert asked.waiter is not None
+    def _exact_start(self, statement: SentStatement) -> float:
+        """Returns when a slot would become free for it, if no more urgent statement arrives."""
+        assert statement.waiter is not None
         now = self.scheduler.now()
-        rank = asked.waiter.rank(now)
+        rank = statement.waiter.rank(now)
         waiters = [other.waiter for other in self.waiting if other.waiter is not None]
         ahead = sum(waiter.rank(now) < rank for waiter in waiters)
-        ends = sorted(self.ends)
-        ends += [now] * (SLOTS - len(ends))
-        heapq.heapify(ends)
+        slot_ends = sorted(self.slot_ends)
+        slot_ends += [now] * (SLOTS - len(slot_ends))
+        heapq.heapify(slot_ends)
         for _ in range(ahead):
-            heapq.heappush(ends, heapq.heappop(ends) + WORK)
-        return max(ends[0], now)
+            heapq.heappush(slot_ends, heapq.heappop(slot_ends) + WORK)
+        return max(slot_ends[0], now)
 
 
 STATEMENTS = st.lists(
@@ -138,93 +136,93 @@
 class QueueTest(unittest.TestCase):
     @settings(max_examples=150, deadline=None)
     @given(STATEMENTS)
-    def test_each_has_one_outcome_the_urgent_first_and_none_is_refused_without_need(
+    def test_one_outcome_each_urgent_first_and_no_needless_refusal(
         self, statements: list[tuple[float, int, float, float, float]]
     ) -> None:
-        day = Day()
+        simulation = QueueSimulation()
         for pause, priority, waited, target, timeout in statements:
-            day.scheduler.advance(pause)
-            day.ask(Asked(priority, waited, target, timeout))
-        day.scheduler.advance(10.0)
-        self.assertEqual([len(asked.outcomes) for asked in day.asked], [1] * len(day.asked))
-        self.assertEqual(day.faults, [])
-        self.assertEqual(day.pool.waiting, 0)
+            simulation.scheduler.advance(pause)
+            simulation.send(SentStatement(priority, waited, target, timeout))
+        simulation.scheduler.advance(10.0)
+        self.assertEqual(
+            [len(statement.outcomes) for statement in simulation.sent], [1] * len(simulation.sent)
+        )
+        self.assertEqual(simulation.faults, [])
+        self.assertEqual(simulation.pool.waiting, 0)
 
     @settings(max_examples=100, deadline=None)
     @given(st.lists(st.floats(0, 3), min_size=1, max_size=40))
-    def test_who_comes_back_is_served_in_the_order_of_first_arrival(
-        self, waited: list[float]
-    ) -> None:
-        day = Day()
+    def test_retries_are_served_in_order_of_first_arrival(self, waited: list[float]) -> None:
+        simulation = QueueSimulation()
         for _ in range(SLOTS):
-            day.ask(Asked(0, 0.0, 9.0, 9.0))
-        returned = [Asked(1, each, 9.0, 9.0) for each in waited]
+            simulation.send(SentStatement(0, 0.0, 9.0, 9.0))
+        retries = [SentStatement(1, each, 9.0, 9.0) for each in waited]
         order: list[float] = []
-        for asked in returned:
-            day.ask(asked)
-            assert asked.waiter is not None
-            inner = asked.waiter.given
+        for statement in retries:
+            simulation.send(statement)
+            assert statement.waiter is not None
+            inner = statement.waiter.given
 
-            def given(
+            def on_connection(
                 connection: DatabaseConnection,
-                asked: Asked = asked,
+                statement: SentStatement = statement,
                 inner: object = inner,
             ) -> None:
-                order.append(asked.arrived)
+                order.append(statement.arrived)
                 inner(connection)  # type: ignore[operator]
 
-            asked.waiter.given = given
-        day.scheduler.advance(10.0)
+            statement.waiter.given = on_connection
+        simulation.scheduler.advance(10.0)
         self.assertEqual(order, sorted(order))
-        self.assertEqual(len(order), len(returned))
+        self.assertEqual(len(order), len(retries))
 
-    def test_the_late_are_passed_and_served_before_their_time_is_over(self) -> None:
-        """Nine tenths of what the slots serve, all in time: whoever is late waits, then goes."""
-        day = Day()
+    def test_late_statements_are_overtaken_but_served_before_timeout(self) -> None:
+        """At 90% load late statements wait, but must not wait until their timeout."""
+        simulation = QueueSimulation()
         step = WORK / SLOTS / 0.9
-        late = [Asked(1, 2.0, 1.0, 2.0) for _ in range(5)]
+        late = [SentStatement(1, 2.0, 1.0, 2.0) for _ in range(5)]
         for number in range(400):
             if number == 50:
-                for asked in late:
-                    day.ask(asked)
-            day.ask(Asked(1, 0.0, 1.0, 2.0))
-            day.scheduler.advance(step)
-        day.scheduler.advance(5.0)
-        self.assertEqual([asked.outcomes for asked in late], [["served"]] * 5)
-        self.assertEqual(day.faults, [])
-
-    def test_a_burst_is_refused_at_once_as_far_as_it_cannot_be_served(self) -> None:
-        """Of 200 with 0.8 s, 48 fit before 0.75 s; the others are told so when they come."""
-        day = Day()
-        burst = [Asked(1, 0.0, 0.6, 0.8) for _ in range(200)]
-        for asked in burst:
-            day.ask(asked)
-        refused = [asked for asked in burst if asked.outcomes == [Denial.NO_ROOM]]
+                for statement in late:
+                    simulation.send(statement)
+            simulation.send(SentStatement(1, 0.0, 1.0, 2.0))
+            simulation.scheduler.advance(step)
+        simulation.scheduler.advance(5.0)
+        self.assertEqual([statement.outcomes for statement in late], [["served"]] * 5)
+        self.assertEqual(simulation.faults, [])
+
+    def test_burst_beyond_capacity_is_refused_immediately(self) -> None:
+        """Of 200 statements with a timeout of 0.8 s the slots can start 48 before 0.75 s."""
+        simulation = QueueSimulation()
+        burst = [SentStatement(1, 0.0, 0.6, 0.8) for _ in range(200)]
+        for statement in burst:
+            simulation.send(statement)
+        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_ROOM]]
         self.assertIn(len(refused), range(150, 160))
-        moments = {
-            asked.waiter.refusal.come_back_seconds
-            for asked in refused
-            if asked.waiter is not None and asked.waiter.refusal is not None
+        delays = {
+            statement.waiter.refusal.come_back_seconds
+            for statement in refused
+            if statement.waiter is not None and statement.waiter.refusal is not None
         }
-        self.assertGreater(len(moments), 130)
-        day.scheduler.advance(5.0)
-        served = [asked for asked in burst if asked.outcomes == ["served"]]
-        refused = [asked for asked in burst if asked.outcomes == [Denial.NO_ROOM]]
+        self.assertGreater(len(delays), 130)
+        simulation.scheduler.advance(5.0)
+        served = [statement for statement in burst if statement.outcomes == ["served"]]
+        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_ROOM]]
         self.assertEqual(len(served) + len(refused), 200)
         self.assertIn(len(served), range(42, 50))
-        counts = day.pool.wait_counts
+        counts = simulation.pool.wait_counts
         self.assertGreaterEqual(counts.within_double, 0.9 * counts.served)
 
-    def test_what_the_pool_tells_of_its_load(self) -> None:
-        day = Day()
+    def test_pool_reports_its_load(self) -> None:
+        simulation = QueueSimulation()
         for priority in (2, 1, 1, 2, 1, 1):
-            day.ask(Asked(priority, 0.0, 9.0, 9.0))
-        pool = day.pool
+            simulation.send(SentStatement(priority, 0.0, 9.0, 9.0))
+        pool = simulation.pool
         self.assertEqual((pool.waiting, pool.urgent_waiting, pool.running), (3, 2, 3))
         self.assertEqual((pool.window_size, pool.openings, pool.has_idle("")), (3, 0, False))
         self.assertAlmostEqual(pool.service_rate.service_time, WORK)
 
-    def test_where_nothing_is_measured_one_may_wait(self) -> None:
+    def test_statement_may_wait_before_service_time_is_known(self) -> None:
         scheduler = ModelScheduler()
         pool = ConnectionPool("p", 1, ModelGroup(scheduler), scheduler.now, SlotWindow(1))
         denied: list[Denial] = []
@@ -236,14 +234,14 @@
             )
         self.assertEqual(denied, [])
 
-    def test_a_database_slower_than_all_patience_is_still_tried(self) -> None:
-        """Else nothing would show when it is quick again."""
-        day = Day()
+    def test_database_slower_than_the_timeout_is_still_tried(self) -> None:
+        """Otherwise nothing would detect that the database has become fast again."""
+        simulation = QueueSimulation()
         for _ in range(100):
-            day.pool.note_answer(StatementKind.READ, SERVED, 5.0)
-        asked = Asked(1, 0.0, 0.5, 0.8)
-        day.ask(asked)
-        self.assertEqual(asked.outcomes, ["served"])
+            simulation.pool.note_answer(StatementKind.READ, SERVED, 5.0)
+        statement = SentStatement(1, 0.0, 0.5, 0.8)
+        simulation.send(statement)
+        self.assertEqual(statement.outcomes, ["served"])
 
 
 if __name__ == "__main__":
