--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -27,21 +27,21 @@
 class AttemptListener(Protocol):
     """Receives the result of each step of an attempt, at most once per step."""
 
-    def set_up(self, connection: DatabaseConnection) -> None:
+    def on_setup_done(self, connection: DatabaseConnection) -> None:
         """Called when the connection is prepared."""
 
-    def set_up_refused(
+    def on_setup_refused(
         self, connection: DatabaseConnection, reply: Reply, failure: Failure
     ) -> None:
         """Called when the database returned a failure to a setup statement."""
 
-    def set_up_failed(self, trouble: Trouble) -> None:
+    def on_setup_failed(self, trouble: Trouble) -> None:
         """Called when the connection closed during setup, or the setup timed out."""
 
-    def answered(self, reply: Reply | None) -> None:
+    def on_reply(self, reply: Reply | None) -> None:
         """Called with the reply to the statement; None if the connection closed without one."""
 
-    def silent(self) -> None:
+    def on_timeout(self) -> None:
         """Called when the attempt reached its time limit without a reply."""
 
 
@@ -73,7 +73,7 @@
         self._timers = timers
         self._listener = listener
         self._watch = AnswerWatch(self._scheduler, scope.group, held)
-        self._is_over = False
+        self._has_ended = False
         self.is_setting_up = False
         """Whether the setup has been sent and its replies are pending."""
         self.sent_at = 0.0
@@ -81,7 +81,7 @@
 
     def end(self) -> None:
         """Ends the attempt; later replies are ignored."""
-        self._is_over = True
+        self._has_ended = True
 
     def stop_setup(self) -> None:
         """Stops waiting for the replies to the setup."""
@@ -92,14 +92,14 @@
         epoch = self._held.next_epoch()
         self._watch.begin()
         self.is_setting_up = True
-        self._timers.set_limit(limit, self._setup_silent)
+        self._timers.set_limit(limit, self._on_setup_timeout)
 
-        def take(verdict: Reply | None | bool) -> None:
-            self._take_setup(epoch, verdict)
+        def on_result(result: Reply | None | bool) -> None:
+            self._on_setup_result(epoch, result)
 
-        send_setup(connection, setup.steps, setup.begin, setup.floor, take)
+        send_setup(connection, setup.steps, setup.begin, setup.floor, on_result)
 
-    def note_sending(self) -> float:
+    def record_sent_at(self) -> float:
         """Records the current time as the sending time and returns it."""
         self.sent_at = self._scheduler.now()
         return self.sent_at
@@ -107,50 +107,50 @@
     def send(self, connection: DatabaseConnection, floor: LogPosition | None, limit: float) -> None:
         """Sends the client's statement and waits for its reply until `limit`."""
         epoch = self._held.next_epoch()
-        self._timers.set_limit(limit, self._silent)
+        self._timers.set_limit(limit, self._on_timeout)
         self._watch.begin()
-        self._watch_answer(epoch, SUSPECT_AFTER_SECONDS)
+        self._check_silence_after(epoch, SUSPECT_AFTER_SECONDS)
         statement = statement_for_database(self._scope.session, self._scope.statement)
-        connection.send(statement, lambda reply: self._answered(epoch, reply), floor)
+        connection.send(statement, lambda reply: self._on_reply(epoch, reply), floor)
 
-    def _take_setup(self, epoch: int, verdict: Reply | None | bool) -> None:
+    def _on_setup_result(self, epoch: int, result: Reply | None | bool) -> None:
         connection = self._held.connection
-        if self._is_over or epoch != self._held.epoch or connection is None:
+        if self._has_ended or epoch != self._held.epoch or connection is None:
             return
         self.is_setting_up = False
-        if verdict is True:
-            self._listener.set_up(connection)
+        if result is True:
+            self._listener.on_setup_done(connection)
             return
         self._timers.clear_limit()
-        if isinstance(verdict, Reply) and verdict.failure is not None:
-            self._watch.take(verdict, None)
-            self._listener.set_up_refused(connection, verdict, verdict.failure)
+        if isinstance(result, Reply) and result.failure is not None:
+            self._watch.take(result, None)
+            self._listener.on_setup_refused(connection, result, result.failure)
         else:
-            self._listener.set_up_failed(Trouble.LOST)
+            self._listener.on_setup_failed(Trouble.LOST)
 
-    def _setup_silent(self) -> None:
-        if not self._is_over and self._held.connection is not None:
-            self._listener.set_up_failed(Trouble.SILENT)
+    def _on_setup_timeout(self) -> None:
+        if not self._has_ended and self._held.connection is not None:
+            self._listener.on_setup_failed(Trouble.SILENT)
 
-    def limit_passed(self) -> None:
+    def stop_waiting(self) -> None:
         """Stops waiting, and reports the database as suspect if it sent no reply at all since."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
-    def _watch_answer(self, epoch: int, seconds: float) -> None:
-        def look() -> None:
-            if not self._is_over and epoch == self._held.epoch:
-                self._watch.look(lambda remaining: self._watch_answer(epoch, remaining))
+    def _check_silence_after(self, epoch: int, seconds: float) -> None:
+        def check() -> None:
+            if not self._has_ended and epoch == self._held.epoch:
+                self._watch.look(lambda remaining: self._check_silence_after(epoch, remaining))
 
-        self._timers.check_silence_after(seconds, look)
+        self._timers.check_silence_after(seconds, check)
 
-    def _answered(self, epoch: int, reply: Reply | None) -> None:
-        if self._is_over or epoch != self._held.epoch:
+    def _on_reply(self, epoch: int, reply: Reply | None) -> None:
+        if self._has_ended or epoch != self._held.epoch:
             return
         self._timers.clear_limit()
         self._watch.take(reply, self._scope.statement)
-        self._listener.answered(reply)
+        self._listener.on_reply(reply)
 
-    def _silent(self) -> None:
-        if not self._is_over and self._held.connection is not None:
-            self._listener.silent()
+    def _on_timeout(self) -> None:
+        if not self._has_ended and self._held.connection is not None:
+            self._listener.on_timeout()
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -15,14 +15,14 @@
 from dewledge.errors import ErrorCode
 
 COME_BACK_OVERLOADED_MS = 100
-"""Used where no queue has reported when it will have capacity."""
+"""Retry delay where no queue has reported when it will have capacity."""
 COME_BACK_NO_PRIMARY_MS = 500
-"""Used while the group has no primary. A primary is usually replaced within one or two seconds, and
+"""Retry delay while the group has no primary. A primary is usually replaced within two seconds, and
 the refused statement has already waited for most of that time."""
 COME_BACK_STARTING_MS = 500
-"""Used for a session that starts before the process has its configuration."""
+"""Retry delay for a session that starts before the process has its configuration."""
 COME_BACK_ENDING_MS = 100
-"""Used near the end of a planned stop: the client's next session starts at another process."""
+"""Retry delay near the end of a planned stop: the next session starts at another process."""
 
 
 def not_run_text(come_back_ms: int) -> str:
@@ -37,8 +37,8 @@
 
 def least_seconds(lacks_primary: bool) -> float:
     """Returns the retry delay in seconds where no queue has reported when it will have capacity."""
-    least_ms = COME_BACK_NO_PRIMARY_MS if lacks_primary else COME_BACK_OVERLOADED_MS
-    return least_ms / MILLISECONDS
+    default_ms = COME_BACK_NO_PRIMARY_MS if lacks_primary else COME_BACK_OVERLOADED_MS
+    return default_ms / MILLISECONDS
 
 
 def seconds_after_search(
@@ -52,9 +52,9 @@
     target: the database tried last, None if none was tried.
     """
     now = scope.services.scheduler.now()
-    known = [moment - now for moment in exhausted.capacity_times if moment > now]
-    if known:
-        return min(known)
+    delays = [moment - now for moment in exhausted.capacity_times if moment > now]
+    if delays:
+        return min(delays)
     if target is not None and not lacks_primary:
         return scope.group.pool(target.database.id).promise_return()
     returns = scope.services.return_moments(scope.route.group)
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -60,9 +60,9 @@
     shape = None
     if statement.kind is StatementKind.EXECUTE:
         shape = session.prepared[statement.name]
-    foreign = connection.values.keys() - session.values.keys()
-    crowded = len(connection.prepared) > MAX_PREPARED_PER_CONNECTION
-    if not is_pinned and (foreign or crowded):
+    foreign_values = connection.values.keys() - session.values.keys()
+    has_too_many = len(connection.prepared) > MAX_PREPARED_PER_CONNECTION
+    if not is_pinned and (foreign_values or has_too_many):
         steps.append(SetupStep(StatementKind.DISCARD))
         connection.values.clear()
         connection.prepared.clear()
@@ -114,13 +114,13 @@
 
     floor: minimum log position for a read-only transaction. done: see SetupReplies.
     """
-    answers = SetupReplies(len(steps) + (begin is not None), done)
+    replies = SetupReplies(len(steps) + (begin is not None), done)
     for step in steps:
-        own = Statement(
+        message = Statement(
             OWN_STATEMENT_ID, step.kind, name=step.name, argument=step.argument, writes=step.writes
         )
-        connection.send(own, answers.on_reply)
+        connection.send(message, replies.on_reply)
     if begin is not None:
         read_only = begin is StatementKind.BEGIN_READ_ONLY
-        own = Statement(OWN_STATEMENT_ID, begin)
-        connection.send(own, answers.on_reply, floor if read_only else None)
+        message = Statement(OWN_STATEMENT_ID, begin)
+        connection.send(message, replies.on_reply, floor if read_only else None)
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -30,11 +30,11 @@
 from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ErrorCode
 
-LEAST_PAUSE_SECONDS = 0.001
-"""Avoids a busy loop when the next retry time is now or already over."""
+MIN_PAUSE_SECONDS = 0.001
+"""Minimum pause before the search asks again; timers are no more precise than this."""
 
 
-class SearchEnds(msgspec.Struct, frozen=True):
+class SearchCallbacks(msgspec.Struct, frozen=True):
     """Callbacks for the end of a search.
 
     found: receives the connection. gave_up: receives the retry delay for the client, milliseconds.
@@ -45,7 +45,7 @@
 
 
 class DatabaseSearch:
-    """Searches a connection for one statement; can continue after an attempt that did not run."""
+    """Searches for a connection for one statement; can continue after a failed attempt."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         deadlines: StatementDeadlines,
         record: RunRecord,
         timers: RunTimers,
-        ends: SearchEnds,
+        callbacks: SearchCallbacks,
     ) -> None:
         self._scope = scope
         self._services = scope.services
@@ -66,13 +66,13 @@
         self._deadlines = deadlines
         self._record = record
         self._timers = timers
-        self._ends = ends
+        self._callbacks = callbacks
         self._exhausted = strategy.exhausted(scope)
         self._targets: list[Target] = []
-        self._planned_at = deadlines.arrived
+        self._targets_found_at = deadlines.arrived
         self._waiter: Waiter | None = None
         self._waits_for_primary = False
-        self._is_seeking_proof = False
+        self._is_fetching_proof = False
         self._has_waited_for_proof = False
         self._is_searching = False
         self.target: Target | None = None
@@ -82,9 +82,9 @@
         """Starts the search with a new list of candidate databases."""
         self._is_searching = True
         self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
-        self._plan()
+        self._find_and_try()
 
-    def go_on(self) -> None:
+    def continue_search(self) -> None:
         """Continues with the next candidate, or gives up if the time limit has passed."""
         if self._services.scheduler.now() >= self._deadlines.give_up_at:
             self._is_searching = True
@@ -95,69 +95,69 @@
         if self._targets or not self._is_last_exhausted:
             self._try_next()
         else:
-            self._plan()
+            self._find_and_try()
 
     @property
     def _is_last_exhausted(self) -> bool:
         return self.target is not None and self._exhausted.is_exhausted(self.target.database.id)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Ends the search and leaves the pool queue."""
         self._is_searching = False
-        if self._is_seeking_proof:
-            self._is_seeking_proof = False
+        if self._is_fetching_proof:
+            self._is_fetching_proof = False
             self._group.end_seeking()
         if self._waiter is not None:
             self._waiter.withdrawn = True
             self._waiter = None
 
-    def note_refused(self, failure: Failure) -> None:
+    def record_refusal(self, failure: Failure) -> None:
         """Records the refusal if the current target is overloaded; ignores other failures."""
         if self.target is None or failure.code is not ErrorCode.OVERLOADED:
             return
         now = self._services.scheduler.now()
         self._exhausted.note_overloaded(self.target.database.id, failure, now)
 
-    def note_served(self) -> None:
+    def clear_ticket(self) -> None:
         """Clears the ticket of an earlier refusal, because the statement has now succeeded."""
         self._session.ticket = None
 
-    def _plan(self) -> None:
-        self._planned_at = self._services.scheduler.now()
-        found = self._find_targets(self._session.transaction)
-        self._targets = [target for target in found if self._may_try(target)]
-        if found and not self._targets:
-            self._wait_for_room(found)
-        elif not self._waits_for_proof(found):
+    def _find_and_try(self) -> None:
+        self._targets_found_at = self._services.scheduler.now()
+        targets = self._find_targets(self._session.transaction)
+        self._targets = [target for target in targets if self._may_try(target)]
+        if targets and not self._targets:
+            self._wait_for_capacity(targets)
+        elif not self._wait_for_proof(targets):
             self._try_next()
 
     def _may_try(self, target: Target) -> bool:
         """Returns whether the target may be asked now, given its earlier refusals."""
         return self._exhausted.may_ask(target.database.id, self._services.scheduler.now())
 
-    def _waits_for_proof(self, found: Sequence[Target]) -> bool:
+    def _wait_for_proof(self, targets: Sequence[Target]) -> bool:
         """Makes a read without a known floor wait while another read fetches one from the primary.
 
         Returns False if the read need not wait; it then fetches the floor itself if one is missing.
         """
-        if not self._lacks_floor(found) or self._is_seeking_proof:
+        if not self._lacks_floor(targets) or self._is_fetching_proof:
             return False
         if not self._has_waited_for_proof and not self._group.may_seek_proof():
             self._has_waited_for_proof = True
             self._group.wait_for_proof(self._resume)
             self._timers.resume_after(SEEK_AGAIN_SECONDS, self._resume)
             return True
-        self._is_seeking_proof = True
+        self._is_fetching_proof = True
         self._group.begin_seeking()
         return False
 
-    def _lacks_floor(self, found: Sequence[Target]) -> bool:
+    def _lacks_floor(self, targets: Sequence[Target]) -> bool:
         """Returns whether only a missing floor prevents replicas from serving the read."""
         is_replica_read = self._route.consistency is not Consistency.PRIMARY and not self._writes
         transaction = self._session.transaction
         if not is_replica_read or (transaction is not None and not transaction.read_only):
             return False
-        return bool(found) and all(target.proof is not Proof.FLOOR for target in found)
+        return bool(targets) and all(target.proof is not Proof.FLOOR for target in targets)
 
     def _find_targets(self, transaction: OpenTransaction | None) -> Sequence[Target]:
         need = ReadNeed(self._deadlines.arrived, self._session.floor, self._session.caller)
@@ -174,14 +174,14 @@
         while self._targets and not self._may_try(self._targets[0]):
             self._targets.pop(0)
         if not self._targets:
-            self._wait_and_plan()
+            self._wait_and_retry()
             return
         self.target = self._targets.pop(0)
-        held_back = self._seconds_until_ready(self.target)
-        if held_back > 0.0:
-            self._timers.resume_after(held_back, self._wait_is_over(self.target))
+        delay = self._seconds_until_ready(self.target)
+        if delay > 0.0:
+            self._timers.resume_after(delay, self._acquire_later(self.target))
         else:
-            self._take(self.target)
+            self._acquire(self.target)
 
     def _seconds_until_ready(self, target: Target) -> float:
         """Returns the delay until the replica is expected to have applied the required position.
@@ -191,17 +191,17 @@
         if target.expected is None:
             return 0.0
         now = self._services.scheduler.now()
-        ready_at = self._planned_at + target.expected.position
+        ready_at = self._targets_found_at + target.expected.position
         return ready_at - now if ready_at < self._deadlines.replica_wait_until else 0.0
 
-    def _wait_is_over(self, target: Target) -> Callable[[], None]:
-        def take() -> None:
+    def _acquire_later(self, target: Target) -> Callable[[], None]:
+        def acquire() -> None:
             if self._is_searching and self._waiter is None and self.target is target:
-                self._take(target)
+                self._acquire(target)
 
-        return take
+        return acquire
 
-    def _take(self, target: Target) -> None:
+    def _acquire(self, target: Target) -> None:
         self._group.note_tried(target.database.id)
         now = self._services.scheduler.now()
         self._exhausted.note_tried(target.database.id, now)
@@ -210,37 +210,37 @@
         demand = Demand.SINGLE if is_single else Demand.TRANSACTION
         waiter = Waiter(
             self._route.priority,
-            self._given,
-            self._denied,
+            self._on_connection,
+            self._on_denied,
             demand,
             self._session.caller,
             self._deadlines.queue_deadlines(now),
         )
         self._waiter = waiter
         self._group.pool(target.database.id).acquire(waiter, self._session.values)
-        self._judge_later(waiter)
+        self._reassess_later(waiter)
 
-    def _judge_later(self, waiter: Waiter) -> None:
+    def _reassess_later(self, waiter: Waiter) -> None:
         """Lets the pool re-evaluate the wait each time its verdict expires."""
         if self._waiter is not waiter or self.target is None:
             return
-        verdict = self._strategy.judge(self._group.pool(self.target.database.id), waiter)
+        verdict = self._strategy.reassess(self._group.pool(self.target.database.id), waiter)
         if isinstance(verdict, WaitUntil):
-            self._timers.set_limit(verdict.at, lambda: self._judge_later(waiter))
+            self._timers.set_limit(verdict.at, lambda: self._reassess_later(waiter))
 
-    def _wait_for_room(self, found: Sequence[Target]) -> None:
+    def _wait_for_capacity(self, targets: Sequence[Target]) -> None:
         """Pauses until the first target is expected to have capacity.
 
         Gives up if that is too late, or if all targets are exhausted.
         """
-        moment = self._exhausted.next_room_at(target.database.id for target in found)
-        if moment is None or moment > self._deadlines.give_up_at:
+        capacity_at = self._exhausted.next_room_at(target.database.id for target in targets)
+        if capacity_at is None or capacity_at > self._deadlines.give_up_at:
             self._give_up()
             return
         now = self._services.scheduler.now()
-        self._timers.resume_after(max(moment - now, LEAST_PAUSE_SECONDS), self._resume)
+        self._timers.resume_after(max(capacity_at - now, MIN_PAUSE_SECONDS), self._resume)
 
-    def _wait_and_plan(self) -> None:
+    def _wait_and_retry(self) -> None:
         if self._group.usable_primary is not None:
             self._timers.resume_after(RETRY_PAUSE_SECONDS, self._resume)
             return
@@ -252,24 +252,24 @@
 
     def _resume(self) -> None:
         if self._is_searching and self._waiter is None:
-            self._plan()
+            self._find_and_try()
 
-    def _given(self, connection: DatabaseConnection) -> None:
+    def _on_connection(self, connection: DatabaseConnection) -> None:
         self._waiter = None
         self._is_searching = False
-        self._ends.found(connection)
+        self._callbacks.found(connection)
 
-    def _denied(self, denial: Denial) -> None:
+    def _on_denied(self, denial: Denial) -> None:
         waiter, self._waiter = self._waiter, None
         self._timers.set_limit(self._deadlines.give_up_at, self._give_up)
         self._record.record_attempt("", self.target, f"denied_{denial}")
         if waiter is not None and waiter.refusal is not None and self.target is not None:
-            self._note_no_room(waiter, waiter.refusal, self.target.database.id)
+            self._record_refused_wait(waiter, waiter.refusal, self.target.database.id)
         if denial is Denial.UNREACHABLE and self.target is not None:
             self._services.suspect(self._route.group, self.target.database.id)
         self._try_next()
 
-    def _note_no_room(self, waiter: Waiter, refusal: Refuse, database_id: str) -> None:
+    def _record_refused_wait(self, waiter: Waiter, refusal: Refuse, database_id: str) -> None:
         now = self._services.scheduler.now()
         self._exhausted.note_room_at(database_id, now + refusal.come_back_seconds)
         group, statement = self._route.group, self._record.statement_id
@@ -278,7 +278,7 @@
     def _give_up(self) -> None:
         if not self._is_searching:
             return
-        self.end()
+        self.stop()
         self._record.record_attempt("", self.target, "given_up")
         seconds = self._strategy.come_back_seconds(
             self._scope, self.target, self._exhausted, self._lacks_primary
@@ -286,7 +286,7 @@
         now = self._services.scheduler.now()
         first_arrived = self._deadlines.first_arrived
         self._session.ticket = Ticket(first_arrived, now + seconds, self._route.priority)
-        self._ends.gave_up(math.ceil(seconds * MILLISECONDS))
+        self._callbacks.gave_up(math.ceil(seconds * MILLISECONDS))
 
     @property
     def _lacks_primary(self) -> bool:
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection, ignore_holder
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.statements.retry_outcomes import ConnectionFate
+from dewledge.core.pooler.statements.retry_outcomes import ConnectionDisposition
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.errors import ErrorCode
 
@@ -69,17 +69,19 @@
             connection.close()
             self._group.pool(connection.database_id).release(connection)
 
-    def dispose(self, fate: ConnectionFate, opened_transaction: bool) -> None:
+    def dispose(self, disposition: ConnectionDisposition, opened_transaction: bool) -> None:
         """Returns or closes the connection as the retry rule decided.
 
         opened_transaction: whether the proxy opened a transaction on it for this attempt.
         """
-        is_given_back = fate is ConnectionFate.GIVEN_BACK
-        if fate is ConnectionFate.ROLLED_BACK or (is_given_back and opened_transaction):
+        is_given_back = disposition is ConnectionDisposition.GIVEN_BACK
+        if disposition is ConnectionDisposition.ROLLED_BACK or (
+            is_given_back and opened_transaction
+        ):
             self.roll_back()
-        elif fate is ConnectionFate.RELEASED or is_given_back:
+        elif disposition is ConnectionDisposition.RELEASED or is_given_back:
             self.release()
-        elif fate is ConnectionFate.CLOSED:
+        elif disposition is ConnectionDisposition.CLOSED:
             self.drop()
 
     def clear_prepared(self) -> None:
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -11,7 +11,7 @@
 
 
 class PrimaryLeaseUse:
-    """Applies the primary lease to the attempts of one statement; `plan` starts an attempt."""
+    """Applies the primary lease to the attempts of one statement; `begin_attempt` starts each."""
 
     def __init__(
         self, group: Group, transaction: OpenTransaction | None, writes: bool, is_commit: bool
@@ -58,10 +58,10 @@
         """Returns whether the statement requires the primary but the lease forbids its use."""
         transaction, target = self._transaction, self._target
         if transaction is not None and transaction.connection is not None:
-            needs_lead = transaction.leads
+            needs_primary = transaction.leads
         else:
-            needs_lead = target is not None and target.proof is not Proof.FLOOR
-        return needs_lead and not self._group.may_lead(database_id)
+            needs_primary = target is not None and target.proof is not Proof.FLOOR
+        return needs_primary and not self._group.may_lead(database_id)
 
     def record_send(self) -> None:
         """Records the fencing token under which the statement is sent."""
@@ -71,14 +71,14 @@
         """Records the database as proven primary if only a primary could have run the statement."""
         transaction = self._transaction
         if transaction is None:
-            has_shown_lead = self._writes or self.opens_primary_transaction
+            is_confirmed = self._writes or self.opens_primary_transaction
         else:
-            has_shown_lead = transaction.leads and not self._is_commit
-        if has_shown_lead:
+            is_confirmed = transaction.leads and not self._is_commit
+        if is_confirmed:
             self._group.right.prove(database_id, self._fencing_token)
 
     @property
     def _reads_by_lease(self) -> bool:
-        """Whether this is a single read at a database already confirmed as primary by the lease."""
+        """Whether a read outside of transactions uses a primary already confirmed by the lease."""
         target = self._target
         return self._transaction is None and target is not None and target.proof is Proof.RIGHT
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -22,12 +22,12 @@
 CONNECTION_OPENING_SECONDS = 0.012
 """Time to open a connection, in addition to the round trip."""
 UNREACHABLE_SECONDS = 10.0
-"""Added for a database that is unreachable or silent. Longer than any statement timeout, so that it
+"""Cost added for an unreachable or silent database. Longer than any statement timeout, so that it
 comes last."""
 
 
 def report_of(pool: ConnectionPool) -> LoadReport:
-    """Returns the load report on a database for other processes, from the pool of its holder."""
+    """Returns the load report that a holder sends to other processes, from its pool."""
     return bounded_report(
         pool.waiting,
         pool.urgent_waiting,
@@ -57,9 +57,9 @@
             window = min(pool.window_size, record.slots or pool.window_size)
             service = pool.service_rate.service_time
             return KnownLoad(pool.waiting, pool.running, window, service)
-        known = self.book.known(record.id, self._clock())
-        if known is not None:
-            return known
+        load = self.book.known(record.id, self._clock())
+        if load is not None:
+            return load
         return KnownLoad(0.0, 0.0, max(record.slots, 1), self.book.usual_service(), weight=0.0)
 
     def completion(
@@ -78,18 +78,18 @@
         this process holds the connections itself. steps: distance, an index of ROUND_TRIP_SECONDS.
         position_wait: seconds until the replica has the position. leads: whether it is the primary.
         """
-        known = self.load_of(record, pool if is_direct else None)
+        load = self.load_of(record, pool if is_direct else None)
         in_flight = 0 if pool is None else pool.load
         sent_since = 0 if is_direct else min(self.book.sent_since(record.id), in_flight)
-        wait = known.expected_wait(sent_since, in_flight)
-        way = ROUND_TRIP_SECONDS[steps]
+        wait = load.expected_wait(sent_since, in_flight)
+        round_trip = ROUND_TRIP_SECONDS[steps]
         return Completion(
-            way,
+            round_trip,
             wait.seconds,
-            known.service_seconds,
+            load.service_seconds,
             position_wait,
-            _opening_seconds(pool, caller, way),
-            _displacement_seconds(known) if leads else 0.0,
+            _opening_seconds(pool, caller, round_trip),
+            _displacement_seconds(load) if leads else 0.0,
             self._detour_seconds(record, pool),
             wait.age_seconds,
         )
@@ -110,17 +110,17 @@
     return pool.is_silent or (pool.size == 0 and pool.is_unreachable)
 
 
-def _opening_seconds(pool: ConnectionPool | None, caller: str, way: float) -> float:
+def _opening_seconds(pool: ConnectionPool | None, caller: str, round_trip: float) -> float:
     """Returns the seconds to open a connection for the caller; 0 if an idle one exists."""
     has_connection = pool is not None and pool.has_idle(caller)
-    return 0.0 if has_connection else CONNECTION_OPENING_SECONDS + way
+    return 0.0 if has_connection else CONNECTION_OPENING_SECONDS + round_trip
 
 
-def _displacement_seconds(known: KnownLoad) -> float:
+def _displacement_seconds(load: KnownLoad) -> float:
     """Returns the seconds of capacity that a read at the primary takes from writes.
 
     This is the service time, rising to twice that as the slots fill up, since the next statement
     then has to wait for the read.
     """
-    used = min((known.waiting + known.running) / max(known.window, 1.0), 1.0)
-    return known.service_seconds * (1.0 + used)
+    utilization = min((load.waiting + load.running) / max(load.window, 1.0), 1.0)
+    return load.service_seconds * (1.0 + utilization)
--- a/src/dewledge/core/pooler/statements/retry_outcomes.py
+++ b/src/dewledge/core/pooler/statements/retry_outcomes.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.statements.statements import Failure
 
 
-class ConnectionFate(StrEnum):
+class ConnectionDisposition(StrEnum):
     """What to do with the connection of the statement.
 
     KEPT: the statement keeps it, or has none. RELEASED: it returns to the pool at once.
@@ -23,10 +23,10 @@
     CLOSED = "closed"
 
 
-class WaitOn(msgspec.Struct, frozen=True):
+class KeepWaiting(msgspec.Struct, frozen=True):
     """Keep waiting: the statement may be running, and its reply is still accepted."""
 
-    connection: ConnectionFate = ConnectionFate.KEPT
+    connection: ConnectionDisposition = ConnectionDisposition.KEPT
 
 
 class TryElsewhere(msgspec.Struct, frozen=True):
@@ -35,43 +35,43 @@
     seeks_longer: whether the time limit of the search is extended.
     """
 
-    connection: ConnectionFate
+    connection: ConnectionDisposition
     seeks_longer: bool = False
 
 
 class RerunRead(msgspec.Struct, frozen=True):
     """Send the read again. is_counted: whether this counts towards its limit of reruns."""
 
-    connection: ConnectionFate
+    connection: ConnectionDisposition
     is_counted: bool
 
 
-class SendAgain(msgspec.Struct, frozen=True):
+class Resend(msgspec.Struct, frozen=True):
     """Send the statement again on the same connection after `pause_seconds`."""
 
     pause_seconds: float
-    connection: ConnectionFate = ConnectionFate.KEPT
+    connection: ConnectionDisposition = ConnectionDisposition.KEPT
 
 
 class InDoubt(msgspec.Struct, frozen=True):
     """End the transaction with an unknown outcome: the commit may have taken effect."""
 
-    connection: ConnectionFate
+    connection: ConnectionDisposition
     failure: Failure
 
 
 class TransactionLost(msgspec.Struct, frozen=True):
     """Fail the transaction: none of its changes can commit any more."""
 
-    connection: ConnectionFate
+    connection: ConnectionDisposition
     failure: Failure
 
 
 class Fail(msgspec.Struct, frozen=True):
     """Return the failure to the client."""
 
-    connection: ConnectionFate
+    connection: ConnectionDisposition
     failure: Failure
 
 
-Outcome = WaitOn | TryElsewhere | RerunRead | SendAgain | InDoubt | TransactionLost | Fail
+Outcome = KeepWaiting | TryElsewhere | RerunRead | Resend | InDoubt | TransactionLost | Fail
--- a/src/dewledge/core/pooler/statements/retry_rule.py
+++ b/src/dewledge/core/pooler/statements/retry_rule.py
@@ -1,6 +1,6 @@
 """The retry rule: a pure function that decides what happens after a failure.
 
-The first matching row applies; reruns are subject to the deadline of the statement:
+The first matching row applies. A rerun fails with `statement_timeout` if too little time is left:
 
 | progress | failure | statement | outcome | connection |
 | --- | --- | --- | --- | --- |
@@ -8,13 +8,13 @@
 | waiting, in setup | no lease on the primary | pinned | transaction lost | rolled back |
 | waiting | no lease on the primary | other | tries elsewhere | released |
 | in setup | no lease on the primary | other | tries elsewhere | given back |
-| in setup | holder suspected or silent | pinned | waits on | kept |
+| in setup | holder suspected or silent | pinned | keeps waiting | kept |
 | in setup | holder suspected or silent | other | tries elsewhere, with more time | closed |
 | in setup | refused, lost or silent | pinned | transaction lost | closed |
 | in setup | refused, connection clean | other | tries elsewhere | released |
 | in setup | refused otherwise, lost, silent | other | tries elsewhere | closed |
 | sent | holder silent, retry budget left | read, not rerun yet | rerun, counted | closed |
-| sent | holder suspected or silent | any other | waits on | kept |
+| sent | holder suspected or silent | any other | keeps waiting | kept |
 | sent | refused before running | read, write | tries elsewhere | given back or closed |
 | sent | refused otherwise | read, reruns left | rerun, counted | given back |
 | sent | refused otherwise | read, write | fails with the code | given back |
@@ -39,15 +39,15 @@
 import msgspec
 
 from dewledge.core.pooler.statements.retry_outcomes import (
-    ConnectionFate,
+    ConnectionDisposition,
     Fail,
     InDoubt,
+    KeepWaiting,
     Outcome,
     RerunRead,
-    SendAgain,
+    Resend,
     TransactionLost,
     TryElsewhere,
-    WaitOn,
 )
 from dewledge.core.pooler.statements.statements import NOT_RUN_CODES, Failure, TransactionState
 from dewledge.errors import ErrorCode
@@ -75,22 +75,22 @@
 class Trouble(StrEnum):
     """What failed.
 
-    NO_ROOM: no connection was available in time. NO_LEASE: this process has no lease on the
+    NO_CONNECTION: no connection was available in time. NO_LEASE: this process has no lease on the
     primary, or the lease lapsed before the reply. REFUSED: the database returned a failure. LOST:
-    the connection closed. SILENT: no reply within the time limit of this step. HOLDER_DOUBTED,
-    HOLDER_SILENT: the process that holds the connection is suspected or does not respond.
+    the connection closed. SILENT: no reply within the time limit of this step. HOLDER_SUSPECTED,
+    HOLDER_SILENT: the process that holds the connection responds late or not at all.
     """
 
-    NO_ROOM = "no_room"
+    NO_CONNECTION = "no_room"
     NO_LEASE = "no_lease"
     REFUSED = "refused"
     LOST = "lost"
     SILENT = "silent"
-    HOLDER_DOUBTED = "holder_doubted"
+    HOLDER_SUSPECTED = "holder_doubted"
     HOLDER_SILENT = "holder_silent"
 
 
-class Work(StrEnum):
+class RetryClass(StrEnum):
     """Kind of statement for the retry rule; READ and WRITE are outside of transactions."""
 
     READ = "read"
@@ -99,7 +99,7 @@
     COMMIT = "commit"
 
 
-IN_TRANSACTIONS = frozenset({Work.IN_TRANSACTION, Work.COMMIT})
+TRANSACTION_CLASSES = frozenset({RetryClass.IN_TRANSACTION, RetryClass.COMMIT})
 
 
 class Incident(msgspec.Struct, frozen=True):
@@ -125,7 +125,7 @@
     give_up_at: end of the search for a connection. deadline: end of the statement's timeout.
     """
 
-    work: Work
+    work: RetryClass
     is_pinned: bool
     reruns: int
     now: float
@@ -140,42 +140,46 @@
 _NO_ANSWER = Failure(ErrorCode.STATEMENT_TIMEOUT, "no answer")
 
 
-def what_follows(incident: Incident, statement: StatementFacts) -> Outcome:
+def decide_outcome(incident: Incident, statement: StatementFacts) -> Outcome:
     """Returns the outcome for a failure, according to the table above."""
-    if incident.trouble in (Trouble.HOLDER_DOUBTED, Trouble.HOLDER_SILENT):
-        return _after_judging_holder(incident, statement)
+    if incident.trouble in (Trouble.HOLDER_SUSPECTED, Trouble.HOLDER_SILENT):
+        return _holder_unresponsive(incident, statement)
     if incident.progress is not Progress.SENT:
         return _before_sending(incident, statement)
     if incident.failure is None:
-        return _without_answer(incident, statement)
-    if statement.work in IN_TRANSACTIONS:
-        return _refused_in_transaction(incident, incident.failure, statement)
-    return _refused_single(incident.failure, statement)
+        return _no_reply(incident, statement)
+    if statement.work in TRANSACTION_CLASSES:
+        return _transaction_statement_failed(incident, incident.failure, statement)
+    return _single_statement_failed(incident.failure, statement)
 
 
-def needs_budget(incident: Incident, statement: StatementFacts) -> bool:
+def needs_retry_budget(incident: Incident, statement: StatementFacts) -> bool:
     """Returns whether a rerun would duplicate a read that may still be running, so needs budget."""
     if incident.trouble is not Trouble.HOLDER_SILENT or incident.progress is not Progress.SENT:
         return False
-    return statement.work is Work.READ and not statement.is_pinned and not statement.reruns
+    return statement.work is RetryClass.READ and not statement.is_pinned and not statement.reruns
 
 
 def _before_sending(incident: Incident, statement: StatementFacts) -> Outcome:
     """Handles failures before sending: unless pinned, the statement can use another connection."""
-    if incident.trouble is Trouble.NO_ROOM and incident.failure is not None:
-        return Fail(ConnectionFate.KEPT, incident.failure)
+    if incident.trouble is Trouble.NO_CONNECTION and incident.failure is not None:
+        return Fail(ConnectionDisposition.KEPT, incident.failure)
     if incident.trouble is Trouble.NO_LEASE:
         if statement.is_pinned:
-            return TransactionLost(ConnectionFate.ROLLED_BACK, _PRIMARY_REPLACED)
-        has_begun = incident.progress is Progress.IN_SETUP
-        return TryElsewhere(ConnectionFate.GIVEN_BACK if has_begun else ConnectionFate.RELEASED)
+            return TransactionLost(ConnectionDisposition.ROLLED_BACK, _PRIMARY_REPLACED)
+        has_opened = incident.progress is Progress.IN_SETUP
+        return TryElsewhere(
+            ConnectionDisposition.GIVEN_BACK if has_opened else ConnectionDisposition.RELEASED
+        )
     if statement.is_pinned:
-        return TransactionLost(ConnectionFate.CLOSED, _CONNECTION_LOST)
-    is_clean = _is_clean(incident)
-    return TryElsewhere(ConnectionFate.RELEASED if is_clean else ConnectionFate.CLOSED)
+        return TransactionLost(ConnectionDisposition.CLOSED, _CONNECTION_LOST)
+    is_reusable = _is_reusable(incident)
+    return TryElsewhere(
+        ConnectionDisposition.RELEASED if is_reusable else ConnectionDisposition.CLOSED
+    )
 
 
-def _is_clean(incident: Incident) -> bool:
+def _is_reusable(incident: Incident) -> bool:
     """Returns whether the connection can be reused although a setup statement was refused."""
     failure = incident.failure
     if failure is None or failure.code is ErrorCode.WRONG_DATABASE:
@@ -183,58 +187,62 @@
     return incident.state is TransactionState.IDLE and not incident.has_unanswered
 
 
-def _after_judging_holder(incident: Incident, statement: StatementFacts) -> Outcome:
+def _holder_unresponsive(incident: Incident, statement: StatementFacts) -> Outcome:
     """Handles an unresponsive holder; statements that were sent through it may still run."""
     if statement.is_pinned:
-        return WaitOn()
+        return KeepWaiting()
     if incident.progress is Progress.IN_SETUP:
-        return TryElsewhere(ConnectionFate.CLOSED, seeks_longer=True)
-    if needs_budget(incident, statement) and incident.is_within_budget:
-        return _rerun(ConnectionFate.CLOSED, statement, is_counted=True)
-    return WaitOn()
+        return TryElsewhere(ConnectionDisposition.CLOSED, seeks_longer=True)
+    if needs_retry_budget(incident, statement) and incident.is_within_budget:
+        return _rerun(ConnectionDisposition.CLOSED, statement, is_counted=True)
+    return KeepWaiting()
 
 
-def _without_answer(incident: Incident, statement: StatementFacts) -> Outcome:
+def _no_reply(incident: Incident, statement: StatementFacts) -> Outcome:
     """Handles a sent statement without a usable reply."""
-    closed = ConnectionFate.CLOSED
+    closed = ConnectionDisposition.CLOSED
     is_silent = incident.trouble is Trouble.SILENT
-    if statement.work is Work.COMMIT:
+    if statement.work is RetryClass.COMMIT:
         return InDoubt(closed, _NO_ANSWER if is_silent else _OUTCOME_UNKNOWN)
-    if statement.work is Work.IN_TRANSACTION:
+    if statement.work is RetryClass.IN_TRANSACTION:
         return TransactionLost(closed, _ROLLED_BACK if is_silent else _CONNECTION_LOST)
-    if statement.work is Work.WRITE:
+    if statement.work is RetryClass.WRITE:
         return Fail(closed, _NO_ANSWER if is_silent else _OUTCOME_UNKNOWN)
     if is_silent and statement.reruns:
         return Fail(closed, _NO_ANSWER)
     return _rerun(closed, statement, is_counted=is_silent)
 
 
-def _refused_single(failure: Failure, statement: StatementFacts) -> Outcome:
+def _single_statement_failed(failure: Failure, statement: StatementFacts) -> Outcome:
     """Handles a failure returned to a statement outside of transactions."""
-    is_wrong = failure.code is ErrorCode.WRONG_DATABASE
-    fate = ConnectionFate.CLOSED if is_wrong else ConnectionFate.GIVEN_BACK
+    is_wrong_database = failure.code is ErrorCode.WRONG_DATABASE
+    disposition = (
+        ConnectionDisposition.CLOSED if is_wrong_database else ConnectionDisposition.GIVEN_BACK
+    )
     if failure.code in NOT_RUN_CODES:
-        return TryElsewhere(fate)
-    if statement.work is Work.READ and statement.reruns < MAX_READ_RERUNS:
-        return _rerun(fate, statement, is_counted=True)
-    return Fail(fate, Failure(failure.code, failure.message))
+        return TryElsewhere(disposition)
+    if statement.work is RetryClass.READ and statement.reruns < MAX_READ_RERUNS:
+        return _rerun(disposition, statement, is_counted=True)
+    return Fail(disposition, Failure(failure.code, failure.message))
 
 
-def _refused_in_transaction(
+def _transaction_statement_failed(
     incident: Incident, failure: Failure, statement: StatementFacts
 ) -> Outcome:
     """Handles a failure returned to a statement in a transaction."""
     is_busy = failure.code is ErrorCode.OVERLOADED and incident.state is TransactionState.OPEN
     if is_busy and statement.now + RETRY_PAUSE_SECONDS < statement.give_up_at:
-        return SendAgain(RETRY_PAUSE_SECONDS)
-    if statement.work is Work.COMMIT and failure.code not in NOT_RUN_CODES:
-        return InDoubt(ConnectionFate.CLOSED, failure)
+        return Resend(RETRY_PAUSE_SECONDS)
+    if statement.work is RetryClass.COMMIT and failure.code not in NOT_RUN_CODES:
+        return InDoubt(ConnectionDisposition.CLOSED, failure)
     lost = Failure(failure.code, failure.message)
-    return TransactionLost(ConnectionFate.ROLLED_BACK, lost)
+    return TransactionLost(ConnectionDisposition.ROLLED_BACK, lost)
 
 
-def _rerun(fate: ConnectionFate, statement: StatementFacts, is_counted: bool) -> Outcome:
+def _rerun(
+    disposition: ConnectionDisposition, statement: StatementFacts, is_counted: bool
+) -> Outcome:
     """Returns a rerun of the read, or a timeout if too little time is left."""
     if statement.now >= statement.deadline - RETRY_PAUSE_SECONDS:
-        return Fail(fate, _NO_ANSWER)
-    return RerunRead(fate, is_counted)
+        return Fail(disposition, _NO_ANSWER)
+    return RerunRead(disposition, is_counted)
--- a/src/dewledge/core/pooler/statements/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 
 ROLLBACK_LIMIT_SECONDS = 2.0
-"""Longer than any rollback takes; a connection that has not replied by then is closed."""
+"""Time limit of a rollback, longer than any takes; then the connection is closed."""
 
 
 def roll_back_then_release(
@@ -14,16 +14,16 @@
 ) -> None:
     """Rolls back, then releases the connection to `pool`; closes it first if the rollback fails."""
 
-    def give_up() -> None:
+    def on_timeout() -> None:
         connection.close()
         pool.release(connection)
 
-    timer = scheduler.call_later(ROLLBACK_LIMIT_SECONDS, give_up)
+    timer = scheduler.call_later(ROLLBACK_LIMIT_SECONDS, on_timeout)
 
-    def rolled_back(reply: Reply | None) -> None:
+    def on_reply(reply: Reply | None) -> None:
         timer.cancel()
         if reply is None or reply.state is not TransactionState.IDLE:
             connection.close()
         pool.release(connection)
 
-    connection.send_own(StatementKind.ROLLBACK, rolled_back)
+    connection.send_own(StatementKind.ROLLBACK, on_reply)
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -1,17 +1,5 @@
 """Computes every time limit of one statement. All times are of the steady clock, in seconds.
 
-- `arrived`: arrival of the statement.
-- `first_arrived`: arrival of its first attempt, if the session holds a ticket of a refusal.
-- `deadline`: end of the route's timeout; the client must have the reply by then.
-- `latest_start`: latest start at a database that still meets `deadline`.
-- `in_time_until`: latest start that still meets the route's latency target, from `first_arrived`.
-- `give_up_at`: end of the search for a connection. Initially `latest_start`; later after a failure
-  of a holder and for a rerun. FixedDeadlines starts with FIXED_WAIT_SECONDS after `arrived`.
-- `target_wait_until`: end of the wait at the current database; earlier if another can serve the read.
-- `replica_wait_until`: end of the wait for a replica that has not applied the required position.
-- `setup_deadline`: end of the wait for the replies to the connection setup.
-- `attempt_deadline`: end of the wait for the reply to a read that may be rerun.
-
 The limits leave time for the network, so that a statement that can't be answered in time frees its
 place in the queue, and no step uses up the time that an attempt at another database needs.
 """
@@ -25,7 +13,7 @@
 from dewledge.core.pooler.sessions.routes import Route
 
 NETWORK_ALLOWANCE_SECONDS = 0.1
-"""Reserved for the network: two round trips of 40 ms between regions, and delays in busy
+"""Time reserved for the network: two round trips of 40 ms between regions, and delays in busy
 processes."""
 FIXED_WAIT_SECONDS = 0.25
 """Search time of FixedDeadlines: a quarter of the latency target of the slowest routes."""
@@ -33,8 +21,8 @@
 """Minimum wait of a read at one database while others can serve it: two round trips between regions
 and several times the usual service time."""
 TARGET_WAIT_FACTOR = 2.0
-"""Factor of the expected completion at the next database: a read waits no longer than this at the
-current one, but at least MIN_TARGET_WAIT_SECONDS. Leaves a margin for a wrong estimate."""
+"""Factor of the expected completion at the next best database: a read waits that long at the current
+one, or MIN_TARGET_WAIT_SECONDS if that is longer. Leaves a margin for a wrong estimate."""
 MAX_REPLICA_WAIT_SECONDS = 0.25
 """Maximum wait of a read for a lagging replica, from its arrival. The lag is only predicted, and a
 replica that receives no log at all never catches up."""
@@ -56,7 +44,13 @@
 class StatementDeadlines:
     """Time limits derived from the statement's timeout and latency target.
 
-    Only `give_up_at` and `target_wait_until` change after construction, through the methods below.
+    arrived: arrival of the statement. first_arrived: arrival of the first attempt if the session
+    holds a ticket of an earlier refusal, otherwise `arrived`. deadline: end of the route's timeout;
+    the client must have the reply by then. latest_start: latest start at a database that still
+    meets `deadline`. in_time_until: latest start that still meets the route's latency target,
+    counted from `first_arrived`. give_up_at: end of the search for a connection, initially
+    `latest_start`. target_wait_until: end of the wait at the current database, earlier if another
+    one can serve the read. Only the last two change, through the methods below.
     """
 
     __slots__ = (
@@ -100,8 +94,8 @@
         """
         self.target_wait_until = self.give_up_at
         if alternative is not None:
-            turn = max(alternative.seconds * TARGET_WAIT_FACTOR, MIN_TARGET_WAIT_SECONDS)
-            self.target_wait_until = min(self.give_up_at, now + turn)
+            wait_seconds = max(alternative.seconds * TARGET_WAIT_FACTOR, MIN_TARGET_WAIT_SECONDS)
+            self.target_wait_until = min(self.give_up_at, now + wait_seconds)
 
     def extend_for_primary(self) -> None:
         """Extends the search while the group has no primary."""
@@ -132,8 +126,8 @@
 
         For all other statements the limit is the deadline. sent_at: sending time of the read.
         """
-        share = QUEUED_READ_RATIO if is_queued_elsewhere else READ_ATTEMPT_RATIO
-        return sent_at + (self.deadline - sent_at) * share
+        ratio = QUEUED_READ_RATIO if is_queued_elsewhere else READ_ATTEMPT_RATIO
+        return sent_at + (self.deadline - sent_at) * ratio
 
     def slot_wait_until(self, limit: float) -> float:
         """Returns the end of the wait for a database slot at the holder of the connection."""
@@ -153,7 +147,10 @@
 
 
 class FixedDeadlines(StatementDeadlines):
-    """Time limits with a fixed search time; queues do not evaluate the wait."""
+    """Time limits with a fixed search time; queues do not evaluate the wait.
+
+    The search lasts FIXED_WAIT_SECONDS, or until `latest_start` while the group has no primary.
+    """
 
     __slots__ = ()
 
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
-from dewledge.core.pooler.statements.retry_rule import Work
+from dewledge.core.pooler.statements.retry_rule import RetryClass
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
 
@@ -30,8 +30,8 @@
         return self.statement.kind is StatementKind.COMMIT
 
     @property
-    def work(self) -> Work:
+    def retry_class(self) -> RetryClass:
         """Kind of statement for the retry rule; depends on the session's current transaction."""
         if self.session.transaction is not None:
-            return Work.COMMIT if self.is_commit else Work.IN_TRANSACTION
-        return Work.WRITE if self.writes else Work.READ
+            return RetryClass.COMMIT if self.is_commit else RetryClass.IN_TRANSACTION
+        return RetryClass.WRITE if self.writes else RetryClass.READ
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -90,23 +90,24 @@
 ) -> Sequence[Target]:
     """Returns the targets of a read, ordered by the load of this process and the distance.
 
-    The primary is added as the last target with `primary_proof`, if no database reaches the floor.
+    The primary is always added as the last target with `primary_proof`, in case no database has
+    reached the floor.
     load: statements of this process at a database. lacks: whether a database probably lags behind
     the floor; such replicas come last. excluded: an unreachable database.
     """
-    leading = [] if primary is None else [Target(primary, primary_proof)]
+    primary_targets = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
-        return leading
-    leader = None if primary is None else primary.id
+        return primary_targets
+    primary_id = None if primary is None else primary.id
 
     def cost(record: DatabaseRecord) -> tuple[bool, int, bool]:
-        leads = record.id == leader
-        penalty = PRIMARY_LOAD_PENALTY if leads else 0
+        is_primary = record.id == primary_id
+        penalty = PRIMARY_LOAD_PENALTY if is_primary else 0
         weight = load(record) + LOAD_PER_ZONE_STEP * distance(record) + penalty
-        return (not leads and lacks(record, floor), weight, leads)
+        return (not is_primary and lacks(record, floor), weight, is_primary)
 
     serving = sorted(_available(view, excluded), key=cost)
-    return [Target(record, Proof.FLOOR, floor) for record in serving] + leading
+    return [Target(record, Proof.FLOOR, floor) for record in serving] + primary_targets
 
 
 def expected_targets(
@@ -123,15 +124,15 @@
     Databases and proofs are the same as in `read_targets`. cost: expected completion at a database
     for a floor. order: sorts the candidates.
     """
-    leading = [] if primary is None else [Target(primary, primary_proof)]
+    primary_targets = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
-        return leading
+        return primary_targets
     candidates = [Candidate(each.id, cost(each, floor)) for each in _available(view, excluded)]
     ordered = [
         Target(view.databases[each.database_id], Proof.FLOOR, floor, each.completion)
         for each in order(candidates)
     ]
-    return ordered + leading
+    return ordered + primary_targets
 
 
 def _available(view: GroupView, excluded: str | None) -> Sequence[DatabaseRecord]:
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -26,7 +26,7 @@
     def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
         """Returns the record of databases that refused the statement as overloaded."""
 
-    def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
+    def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
         """Re-evaluates a queued statement; None if this strategy does not evaluate waits."""
 
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
@@ -53,7 +53,7 @@
         """Returns a record that excludes overloaded databases for a time."""
         return ExhaustedDatabases(scope.group)
 
-    def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
+    def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
         """Returns the verdict of the pool's queue."""
         return pool.judge(waiter)
 
@@ -83,7 +83,7 @@
         """Returns a record that ignores overload refusals."""
         return NeverExhausted(scope.group)
 
-    def judge(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
+    def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
         """Returns None, because fixed waits are not re-evaluated."""
         return None
 
