--- a/tests/core/pooler/test_read_choice.py
+++ b/tests/core/pooler/test_read_choice.py
@@ -1,4 +1,4 @@
-"""Reads and the load that they find: chosen by expected completion, in whole sessions."""
+"""Choice of the database for a read by expected completion, tested through whole sessions."""
 
 import random
 import unittest
@@ -20,63 +20,63 @@
 FREE = LoadReport(0, 0, 1, 6, 0, 10)
 
 
-def choose(harness: PoolerHarness) -> ReadChoice:
+def enable_read_choice(harness: PoolerHarness) -> ReadChoice:
     choice = ReadChoice(harness.scheduler.now, random.Random(3).random)
     harness.group.choice = choice
     return choice
 
 
-class OwnConnectionsTest(unittest.TestCase):
+class LocalConnectionsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
-        choose(self.harness)
+        enable_read_choice(self.harness)
         self.session = self.harness.session()
         self.session.write()
 
     def occupy(self, database: str, count: int) -> None:
-        """Has statements hold or await all connections to a database."""
-        self.occupy_for_the_moment(database, count)
+        """Acquires connections to a database, or queues for them, and never returns them."""
+        self.acquire_connections(database, count)
         self.harness.scheduler.advance(0.1)
 
     def databases_of_reads(self, count: int) -> list[str]:
-        """Returns who served so many reads that need no more than what is proven."""
+        """Sends `count` reads and returns the databases that served them."""
         before = len(self.harness.model.ran)
         for _ in range(count):
             self.assertIsNone(self.session.read().failure)
         return [ran.database for ran in self.harness.model.ran[before:]]
 
-    def test_the_near_replica_serves_while_it_has_room(self) -> None:
+    def test_near_replica_serves_while_it_has_free_slots(self) -> None:
         for database in self.harness.model.databases.values():
             database.applied = LogPosition(1, 100)
         served = self.databases_of_reads(40)
         self.assertGreaterEqual(served.count("r1"), 30)
         self.assertNotIn("r2", served, "in another region")
 
-    def test_another_serves_while_it_has_a_queue(self) -> None:
+    def test_other_database_serves_while_near_replica_has_a_queue(self) -> None:
         for database in self.harness.model.databases.values():
             database.applied = LogPosition(1, 100)
         self.occupy("r1", 40)
         served = self.databases_of_reads(20)
         self.assertEqual(served.count("r1"), 0)
 
-    def test_a_read_is_kept_until_a_lagging_replica_has_its_position(self) -> None:
-        """The primary is full for longer than the replica lags; nothing is refused there."""
+    def test_read_waits_for_lagging_replica(self) -> None:
+        """The primary is full for longer than the replica lags, and the replica refuses no read."""
         self.harness.model.lag = {"r1": 0.08, "r2": None}
         for _ in range(12):
             self.session.write(wait=0.05)
         self.session.read(wait=0.25)
         self.harness.group.observe_position("r2", LogPosition(1, 5))
         self.session.write(wait=0.05)
-        self.occupy_for_the_moment("p", 400)
+        self.acquire_connections("p", 400)
         read = self.session.start(StatementKind.READ, argument="thing")
         self.harness.scheduler.advance(0.2)
         self.assertIsNone(self.session.reply(read).failure)
-        way = self.session.answered()[-1].way
-        self.assertTrue(way.startswith("r1:floor:done@"), way)
-        self.assertGreater(int(way.partition("@")[2]), 20)
+        attempts = self.session.answered()[-1].way
+        self.assertTrue(attempts.startswith("r1:floor:done@"), attempts)
+        self.assertGreater(int(attempts.partition("@")[2]), 20)
 
-    def test_a_read_turns_to_another_database_when_one_keeps_it_waiting(self) -> None:
-        """All connections to the near replica are lent, to nothing that its load would show."""
+    def test_read_moves_to_other_database_after_waiting(self) -> None:
+        """All connections to the near replica are borrowed, but no statement runs on them."""
         for database in self.harness.model.databases.values():
             database.applied = LogPosition(1, 100)
         self.occupy("r1", 4)
@@ -85,16 +85,16 @@
         self.assertEqual(self.session.client.replies[1:], [])
         self.harness.scheduler.advance(0.21)
         self.assertIsNone(self.session.reply(read).failure)
-        way = self.session.answered()[-1].way
-        self.assertIn("r1:floor:denied_no_room@", way)
-        self.assertIn(":done@", way)
+        attempts = self.session.answered()[-1].way
+        self.assertIn("r1:floor:denied_no_room@", attempts)
+        self.assertIn(":done@", attempts)
 
-    def occupy_for_the_moment(self, database: str, count: int) -> None:
+    def acquire_connections(self, database: str, count: int) -> None:
         pool = self.harness.group.pool(database)
         for _ in range(count):
             pool.acquire(Waiter(0, lambda _: None, lambda _: None), {})
 
-    def test_the_line_tells_what_was_expected(self) -> None:
+    def test_log_line_contains_expected_completion(self) -> None:
         self.harness.model.databases["r1"].applied = LogPosition(1, 100)
         self.session.read()
         answered = self.session.answered()[-1]
@@ -103,41 +103,41 @@
         write = self.session.answered()[0]
         self.assertEqual((write.expected_ms, write.word_age_ms), (-1, -1))
 
-    def test_service_times_are_measured_where_connections_are_held(self) -> None:
+    def test_holder_measures_service_times(self) -> None:
         self.harness.model.databases["r1"].applied = LogPosition(1, 100)
         self.harness.model.databases["r1"].work = 0.04
         for _ in range(60):
             self.session.read()
         report = report_of(self.harness.group.pool("r1"))
-        self.assertGreater(report.service_ms, 25, "of 42, from 10")
+        self.assertGreater(report.service_ms, 25, "expected about 42 ms")
         self.assertLess(report.service_ms, 46)
 
-    def test_one_that_leaves_statements_without_an_answer_gets_less(self) -> None:
+    def test_failing_database_gets_fewer_reads(self) -> None:
         for database in self.harness.model.databases.values():
             database.applied = LogPosition(1, 100)
         self.harness.model.databases["r1"].fail_next = [ErrorCode.OVERLOADED] * 30
         served = [self.session.answered()[-1].way for _ in range(30) if self.session.read()]
-        self.assertLess(sum("r1" in way for way in served), 15)
+        self.assertLess(sum("r1" in attempts for attempts in served), 15)
 
 
-class ToldLoadTest(unittest.TestCase):
+class ReportedLoadTest(unittest.TestCase):
     def setUp(self) -> None:
         self.holder = PoolerHarness(limit=2)
-        choose(self.holder)
+        enable_read_choice(self.holder)
         self.pooler = SharingHarness(self.holder)
-        self.choice = choose(self.pooler)
+        self.choice = enable_read_choice(self.pooler)
         for database in self.holder.model.databases.values():
             database.applied = LogPosition(1, 100)
 
-    def test_word_comes_with_answers(self) -> None:
+    def test_replies_carry_load_reports(self) -> None:
         session = self.pooler.session()
         session.write()
-        known = self.choice.book.known("p", self.holder.scheduler.now())
-        assert known is not None
-        self.assertEqual(known.window, 2)
-        self.assertLess(known.age_seconds, 1.0)
+        load = self.choice.book.known("p", self.holder.scheduler.now())
+        assert load is not None
+        self.assertEqual(load.window, 2)
+        self.assertLess(load.age_seconds, 1.0)
 
-    def test_a_loaded_database_is_left_and_found_again(self) -> None:
+    def test_loaded_database_is_avoided_until_its_report_ages(self) -> None:
         session = self.pooler.session(Consistency.BOUNDED_STALENESS)
         self.pooler.session().write()
         now = self.holder.scheduler.now()
@@ -152,13 +152,13 @@
 
 
 class ExpectedTargetsTest(unittest.TestCase):
-    def test_the_same_targets_under_the_same_proofs(self) -> None:
+    def test_expected_targets_have_same_databases_and_proofs(self) -> None:
         view = GroupView("g")
-        leaving = record("gone", 4, draining=True)
-        for each in (record("p", 1, "primary"), record("a", 2), record("b", 3), leaving):
+        draining = record("gone", 4, draining=True)
+        for each in (record("p", 1, "primary"), record("a", 2), record("b", 3), draining):
             view = view.with_record(each, 0.0)
         harness = PoolerHarness()
-        choice = choose(harness)
+        choice = enable_read_choice(harness)
         floor = LogPosition(1, 1)
         targets = expected_targets(
             view,
--- a/tests/core/pooler/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -1,4 +1,4 @@
-"""Statements that need a primary, where the process has no lease on it, or loses it."""
+"""Statements that require the primary, without a lease on it or after the lease was lost."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from tests.core.pooler.harness import PoolerHarness, SessionProbe
 
 
-class UseOfPrimaryTest(unittest.TestCase):
+class PrimaryLeaseUseTest(unittest.TestCase):
     def setUp(self) -> None:
         self.harness = PoolerHarness()
         self.lease = PrimaryLease(Fencing.PROCESSES)
@@ -29,7 +29,7 @@
     def ran(self) -> list[str]:
         return [ran.database for ran in self.harness.model.ran]
 
-    def test_a_write_without_the_right_waits_for_it(self) -> None:
+    def test_write_waits_for_lease(self) -> None:
         session = self.session()
         write = session.start(StatementKind.WRITE, argument="thing data")
         self.harness.scheduler.advance(0.3)
@@ -38,14 +38,14 @@
         self.harness.scheduler.advance(0.3)
         self.assertIsNone(session.reply(write).failure)
 
-    def test_one_that_waits_too_long_was_not_run(self) -> None:
+    def test_write_that_waits_too_long_for_lease_does_not_run(self) -> None:
         reply = self.session().write(wait=1.0)
         assert reply.failure is not None
         self.assertIs(reply.failure.code, ErrorCode.OVERLOADED)
         self.assertIn("come back in", reply.failure.message)
         self.assertEqual(self.ran(), [])
 
-    def test_the_right_is_asked_for_when_a_connection_is_there(self) -> None:
+    def test_lease_is_checked_after_connection_is_acquired(self) -> None:
         self.confirm()
         session = self.session()
         session.write()
@@ -59,7 +59,7 @@
         self.assertIs(reply.failure.code, ErrorCode.OVERLOADED)
         self.assertEqual(len(self.ran()), before)
 
-    def test_an_answer_after_the_ban_is_passed_on_to_nobody(self) -> None:
+    def test_reply_after_primary_is_banned_is_not_forwarded(self) -> None:
         cases = (
             (StatementKind.WRITE, Consistency.READ_OWN_WRITES, ErrorCode.CONNECTION_LOST),
             (StatementKind.READ, Consistency.PRIMARY, ErrorCode.OVERLOADED),
@@ -79,7 +79,7 @@
                 assert reply.failure is not None
                 self.assertIs(reply.failure.code, code)
 
-    def test_an_answer_after_the_right_has_lapsed_proves_nothing(self) -> None:
+    def test_reply_after_lease_expiry_proves_no_position(self) -> None:
         self.confirm()
         self.harness.model.databases["p"].work = LEASE_SECONDS + 0.2
         session = self.harness.session(Consistency.READ_OWN_WRITES)
@@ -87,7 +87,7 @@
         self.harness.scheduler.advance(LEASE_SECONDS + 1.0)
         self.assertIsNone(self.harness.group.history.newest)
 
-    def test_a_transaction_on_a_banned_primary_is_lost(self) -> None:
+    def test_transaction_on_banned_primary_is_lost(self) -> None:
         self.confirm()
         session = self.session()
         session.ask(StatementKind.BEGIN)
@@ -98,7 +98,7 @@
         self.assertIs(reply.failure.code, ErrorCode.TRANSACTION_LOST)
         self.assertIs(reply.state, TransactionState.FAILED)
 
-    def test_a_commit_under_way_is_unknown_and_one_not_sent_did_not_run(self) -> None:
+    def test_commit_is_unknown_if_sent_before_ban_and_lost_otherwise(self) -> None:
         for is_sent in (True, False):
             with self.subTest(is_sent=is_sent):
                 self.setUp()
@@ -120,7 +120,7 @@
                 self.assertIs(reply.failure.code, expected)
                 self.assertIs(reply.state, TransactionState.IDLE)
 
-    def test_a_transaction_that_waits_for_the_right_begins_on_the_next_primary(self) -> None:
+    def test_transaction_waiting_for_lease_starts_on_next_primary(self) -> None:
         self.confirm()
         session = self.session()
         session.ask(StatementKind.BEGIN)
@@ -134,29 +134,29 @@
         self.assertIsNone(session.reply(write).failure)
         self.assertEqual(self.ran(), ["r1"])
 
-    def test_reads_under_a_floor_need_no_right(self) -> None:
+    def test_reads_with_floor_need_no_lease(self) -> None:
         self.confirm()
         session = self.session(Consistency.BOUNDED_STALENESS)
         session.read()
         self.ban()
         self.assertIsNone(session.read().failure)
 
-    def own(self) -> list[StatementKind]:
+    def proxy_statements(self) -> list[StatementKind]:
         return self.harness.model.own
 
-    def test_a_read_need_not_prove_a_lead_that_was_shown(self) -> None:
+    def test_read_at_confirmed_primary_opens_no_transaction(self) -> None:
         self.confirm()
         session = self.session(Consistency.PRIMARY)
         session.read()
-        self.assertEqual(self.own(), [StatementKind.BEGIN, StatementKind.ROLLBACK])
+        self.assertEqual(self.proxy_statements(), [StatementKind.BEGIN, StatementKind.ROLLBACK])
         session.read()
-        self.assertEqual(len(self.own()), 2)
+        self.assertEqual(len(self.proxy_statements()), 2)
         self.assertIsNotNone(self.harness.group.history.newest)
 
-    def test_it_is_shown_anew_under_each_claim_and_to_one_that_leaves(self) -> None:
+    def test_primary_is_confirmed_again_under_each_claim(self) -> None:
         cases = (
-            ("a standing claim", Claim("h", "", 5, "p"), 2),
-            ("it is being replaced", Claim("h", "p", 5, "p"), 4),
+            ("current claim", Claim("h", "", 5, "p"), 2),
+            ("primary is being replaced", Claim("h", "p", 5, "p"), 4),
         )
         for name, claim, expected in cases:
             with self.subTest(name):
@@ -164,13 +164,13 @@
                 self.confirm()
                 session = self.session(Consistency.PRIMARY)
                 session.read()
-                self.own().clear()
+                self.proxy_statements().clear()
                 self.lease.take_claim(claim)
                 session.read()
                 session.read()
-                self.assertEqual(len(self.own()), expected)
+                self.assertEqual(len(self.proxy_statements()), expected)
 
-    def test_what_was_sent_before_a_claim_shows_nothing_under_it(self) -> None:
+    def test_reply_to_statement_sent_before_claim_does_not_confirm_primary(self) -> None:
         self.confirm()
         session = self.session(Consistency.PRIMARY)
         session.start(StatementKind.READ, argument="thing")
@@ -179,7 +179,7 @@
         self.harness.scheduler.advance(0.3)
         self.assertFalse(self.lease.is_proven("p"))
 
-    def test_a_fencing_platform_asks_for_nothing(self) -> None:
+    def test_platform_fencing_needs_no_lease(self) -> None:
         self.harness.group.right = PrimaryLease(Fencing.PLATFORM)
         self.assertIsNone(self.session().write().failure)
 
