--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -133,7 +133,7 @@
             self._listener.on_setup_failed(Trouble.SILENT)
 
     def stop_waiting(self) -> None:
-        """Stops waiting, and reports the database as suspect if it sent no reply at all since."""
+        """Stops waiting; reports the database as suspect if nothing was answered since sending."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -41,7 +41,7 @@
         return self._capacity_at.get(database_id, 0.0) <= now
 
     def next_room_at(self, database_ids: Iterable[str]) -> float | None:
-        """Returns the earliest time at which one expects capacity; None if all are exhausted."""
+        """Returns when the first of these databases expects capacity; None if all are exhausted."""
         asked = [each for each in database_ids if each not in self._exhausted]
         return min((self._capacity_at[each] for each in asked), default=None)
 
@@ -67,7 +67,7 @@
 
 
 class NeverExhausted(ExhaustedDatabases):
-    """Ignores overload refusals; used with fixed waits."""
+    """Ignores overload refusals of databases and holders; used with fixed waits."""
 
     def note_overloaded(self, database_id: str, failure: Failure, now: float) -> None:
         """Does nothing."""
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -85,7 +85,7 @@
             self.drop()
 
     def clear_prepared(self) -> None:
-        """Clears the list of prepared statements after the database did not know one of them."""
+        """Clears the record of prepared statements, because the database lacks one of them."""
         if self.connection is not None:
             self.connection.prepared.clear()
 
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -21,8 +21,8 @@
 """Minimum wait of a read at one database while others can serve it: two round trips between regions
 and several times the usual service time."""
 TARGET_WAIT_FACTOR = 2.0
-"""Factor of the expected completion at the next best database: a read waits that long at the current
-one, or MIN_TARGET_WAIT_SECONDS if that is longer. Leaves a margin for a wrong estimate."""
+"""Factor of the expected completion at the next best database: a read waits that long at the
+current one, or MIN_TARGET_WAIT_SECONDS if that is longer. Leaves a margin for a wrong estimate."""
 MAX_REPLICA_WAIT_SECONDS = 0.25
 """Maximum wait of a read for a lagging replica, from its arrival. The lag is only predicted, and a
 replica that receives no log at all never catches up."""
@@ -88,9 +88,9 @@
         return min(self.give_up_at, self.arrived + MAX_REPLICA_WAIT_SECONDS)
 
     def begin_target_wait(self, now: float, alternative: Completion | None) -> None:
-        """Sets the end of the wait at the next database.
+        """Sets the end of the wait at the database that the statement asks now.
 
-        alternative: expected completion at the database after that, None if there is none.
+        alternative: expected completion at the next best database, None if there is none.
         """
         self.target_wait_until = self.give_up_at
         if alternative is not None:
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -91,9 +91,8 @@
     """Returns the targets of a read, ordered by the load of this process and the distance.
 
     The primary is always added as the last target with `primary_proof`, in case no database has
-    reached the floor.
-    load: statements of this process at a database. lacks: whether a database probably lags behind
-    the floor; such replicas come last. excluded: an unreachable database.
+    reached the floor. load: statements of this process at a database. lacks: whether a database
+    probably lags behind the floor; such replicas come last. excluded: an unreachable database.
     """
     primary_targets = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -80,7 +80,7 @@
         return FixedDeadlines(scope.arrived, scope.route, scope.session.ticket)
 
     def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
-        """Returns a record that ignores overload refusals."""
+        """Returns a record that ignores overload refusals of databases."""
         return NeverExhausted(scope.group)
 
     def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
