--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -25,14 +25,14 @@
 """Retry delay near the end of a planned stop: the next session starts at another process."""
 
 
-def not_run_text(come_back_ms: int) -> str:
+def not_run_text(retry_after_ms: int) -> str:
     """Returns the message for a refused client. Clients parse the number, so the text is fixed."""
-    return f"not run, come back in {come_back_ms} ms"
+    return f"not run, come back in {retry_after_ms} ms"
 
 
-def refusal(code: ErrorCode, come_back_ms: int) -> Failure:
+def refusal(code: ErrorCode, retry_after_ms: int) -> Failure:
     """Returns the failure for the client of a refused statement."""
-    return Failure(code, not_run_text(come_back_ms), come_back_ms)
+    return Failure(code, not_run_text(retry_after_ms), retry_after_ms)
 
 
 def least_seconds(lacks_primary: bool) -> float:
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -67,7 +67,7 @@
         self._record = record
         self._timers = timers
         self._callbacks = callbacks
-        self._exhausted = strategy.exhausted(scope)
+        self._exhausted = strategy.exhausted_databases(scope)
         self._targets: list[Target] = []
         self._targets_found_at = deadlines.arrived
         self._waiter: Waiter | None = None
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -23,7 +23,7 @@
     def deadlines(self, scope: StatementScope) -> StatementDeadlines:
         """Returns the deadlines of a statement that has just arrived."""
 
-    def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
+    def exhausted_databases(self, scope: StatementScope) -> ExhaustedDatabases:
         """Returns the record of databases that refused the statement as overloaded."""
 
     def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
@@ -49,7 +49,7 @@
         """Returns deadlines derived from the statement's timeout and latency target."""
         return StatementDeadlines(scope.arrived, scope.route, scope.session.ticket)
 
-    def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
+    def exhausted_databases(self, scope: StatementScope) -> ExhaustedDatabases:
         """Returns a record that excludes overloaded databases for a time."""
         return ExhaustedDatabases(scope.group)
 
@@ -79,7 +79,7 @@
         """Returns deadlines with a fixed search time."""
         return FixedDeadlines(scope.arrived, scope.route, scope.session.ticket)
 
-    def exhausted(self, scope: StatementScope) -> ExhaustedDatabases:
+    def exhausted_databases(self, scope: StatementScope) -> ExhaustedDatabases:
         """Returns a record that ignores overload refusals of databases."""
         return NeverExhausted(scope.group)
 
