--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -1,7 +1,8 @@
-"""One attempt to run a statement on a connection: setup, sending and reply.
+"""An attempt to run a statement on a connection: setup, sending and reply.
 
-Attempt owns the time limit of each step and the epoch that identifies late replies. It reports
-each result to the AttemptListener; retry_rule.py decides what happens next.
+Attempt sets the time limit of each step, ignores replies that belong to an earlier epoch of the
+HeldConnection, and reports each result to the AttemptListener. retry_rule.py decides what happens
+next.
 """
 
 from collections.abc import Sequence
@@ -58,7 +59,7 @@
 
 
 class Attempt:
-    """Performs the attempts of one statement, one at a time."""
+    """Performs the attempts of a statement, one at a time."""
 
     def __init__(
         self,
@@ -133,7 +134,7 @@
             self._listener.on_setup_failed(Trouble.SILENT)
 
     def stop_waiting(self) -> None:
-        """Stops waiting; reports the database as suspect if nothing was answered since sending."""
+        """Stops waiting; reports the database as suspect if it has sent no reply since."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
--- a/src/dewledge/core/pooler/statements/client_reply.py
+++ b/src/dewledge/core/pooler/statements/client_reply.py
@@ -39,7 +39,7 @@
         return self._failure(outcome.failure)
 
     def _failure(self, failure: Failure) -> Reply:
-        """Marks the transaction as failed: the client can only end it. A failed commit ends it."""
+        """Returns the failure; the transaction is marked as failed, or ended by a failed commit."""
         state = TransactionState.IDLE
         if self._transaction is not None and self._is_commit:
             self._session.transaction = None
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -26,7 +26,7 @@
 
 
 def not_run_text(retry_after_ms: int) -> str:
-    """Returns the message for a refused client. Clients parse the number, so the text is fixed."""
+    """Returns the message for a refused client. Clients may parse it, so it must not change."""
     return f"not run, come back in {retry_after_ms} ms"
 
 
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -51,10 +51,11 @@
 def plan_setup(
     session: SessionState, connection: DatabaseConnection, statement: Statement, is_pinned: bool
 ) -> Sequence[SetupStep]:
-    """Returns the steps that bring `connection` into the session's state, and records them there.
+    """Returns the steps that bring `connection` into the session's state.
 
-    The caller must close a connection on which a step fails. is_pinned: whether the session's open
-    transaction already uses the connection; its state is then not discarded.
+    The connection records the new state at once, so the caller must close it if a step fails.
+    is_pinned: whether the session's open transaction already uses the connection; its state is then
+    not discarded.
     """
     steps: list[SetupStep] = []
     shape = None
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -2,7 +2,7 @@
 
 The search tries the candidate databases in order, waits in one pool queue at a time and, if the
 group has no primary, waits for the next one. StatementDeadlines limits the waits,
-ExhaustedDatabases records which databases must not be asked again, and retry_rule.py decides
+ExhaustedDatabases records which databases must not be tried again, and retry_rule.py decides
 whether the search continues after a failed attempt.
 """
 
@@ -31,7 +31,7 @@
 from dewledge.errors import ErrorCode
 
 MIN_PAUSE_SECONDS = 0.001
-"""Minimum pause before the search asks again; timers are no more precise than this."""
+"""Minimum pause before the search tries a database again; timers are no more precise than this."""
 
 
 class SearchCallbacks(msgspec.Struct, frozen=True):
@@ -132,7 +132,7 @@
             self._try_next()
 
     def _may_try(self, target: Target) -> bool:
-        """Returns whether the target may be asked now, given its earlier refusals."""
+        """Returns whether the target may be tried now, given its earlier refusals."""
         return self._exhausted.may_ask(target.database.id, self._services.scheduler.now())
 
     def _wait_for_proof(self, targets: Sequence[Target]) -> bool:
--- a/src/dewledge/core/pooler/statements/exhausted_databases.py
+++ b/src/dewledge/core/pooler/statements/exhausted_databases.py
@@ -1,8 +1,8 @@
-"""Records which databases refused one statement as overloaded, and when each may be asked again.
+"""Records which databases refused a statement as overloaded, and when each may be tried again.
 
-A database that reported when it expects free capacity is asked again at that time. A database that
+A database that reported when it expects free capacity is tried again at that time. A database that
 has refused the statement for EXHAUSTED_SECONDS, or has served nothing of this process for as long,
-is exhausted: the statement does not ask it again, so that it does not use up its time there.
+is exhausted: the statement does not try it again, so that it does not use up its time there.
 """
 
 from collections.abc import Collection, Iterable
@@ -21,9 +21,9 @@
         self._capacity_at: dict[str, float] = {}
         """When each database that refused the statement expects free capacity."""
         self._tried_at: dict[str, float] = {}
-        """When the statement first asked each database."""
+        """When the statement first tried each database."""
         self._exhausted: set[str] = set()
-        """Databases that the statement does not ask again."""
+        """Databases that the statement does not try again."""
 
     @property
     def capacity_times(self) -> Collection[float]:
@@ -31,22 +31,25 @@
         return self._capacity_at.values()
 
     def is_exhausted(self, database_id: str) -> bool:
-        """Returns whether the statement must not ask the database again."""
+        """Returns whether the statement must not try the database again."""
         return database_id in self._exhausted
 
     def may_ask(self, database_id: str, now: float) -> bool:
-        """Returns whether the database may be asked now."""
+        """Returns whether the statement may try the database now."""
         if database_id in self._exhausted:
             return False
         return self._capacity_at.get(database_id, 0.0) <= now
 
     def next_room_at(self, database_ids: Iterable[str]) -> float | None:
-        """Returns when the first of these databases expects capacity; None if all are exhausted."""
+        """Returns the earliest time at which any of these databases expects free capacity.
+
+        The databases must have refused the statement. Returns None if all are exhausted.
+        """
         asked = [each for each in database_ids if each not in self._exhausted]
         return min((self._capacity_at[each] for each in asked), default=None)
 
     def note_tried(self, database_id: str, now: float) -> None:
-        """Records that the statement asks the database now."""
+        """Records the time of the statement's first attempt at the database."""
         self._tried_at.setdefault(database_id, now)
 
     def note_room_at(self, database_id: str, moment: float) -> None:
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -13,7 +13,7 @@
 
 
 class HeldConnection:
-    """Holds at most one connection. A higher `epoch` makes pending replies obsolete."""
+    """Holds at most one connection. Replies to messages of an earlier `epoch` must be ignored."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
             self._group.roll_back(connection, self._services.scheduler)
 
     def drop(self) -> None:
-        """Closes a connection whose state is unknown; ignores its pending replies."""
+        """Closes a connection whose state is unknown; its pending replies become obsolete."""
         self.epoch += 1
         connection = self._detach()
         if connection is not None:
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -1,7 +1,7 @@
-"""Checks that one statement may use its database as primary, and records confirmed primaries.
+"""Checks whether a statement may use its database as primary, and records confirmed primaries.
 
-The rule of the lease itself is in core/pooler/failover/primary_lease.py. A statement checks it
-before it is sent and again when its reply arrives.
+The lease is checked before a statement is sent, and again when the database reports success. The
+lease rules themselves are in core/pooler/failover/primary_lease.py.
 """
 
 from dewledge.core.pooler.databases.group import Group
@@ -11,7 +11,7 @@
 
 
 class PrimaryLeaseUse:
-    """Applies the primary lease to the attempts of one statement; `begin_attempt` starts each."""
+    """Applies the primary lease to the attempts of a statement; call `begin_attempt` for each."""
 
     def __init__(
         self, group: Group, transaction: OpenTransaction | None, writes: bool, is_commit: bool
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -1,9 +1,9 @@
-"""Estimates when each database of a group would answer a read; load/choice.py orders them by that.
+"""Estimates when each database of a group would answer a read, for the order in load/choice.py.
 
 The estimate uses the counters of this process if it holds connections to the database, otherwise
-the load reports of the holders, weighted by their age. It adds the network distance, recent
-failures, and the time until a replica has the required position. Distance alone would keep reads
-at a near database that is several times slower than the others.
+the load reports of the holders, weighted by their age. The network distance, recent failures,
+and the time until a replica has the required position are added. Distance alone would keep reads at
+a near database that is several times slower than the others.
 """
 
 from collections.abc import Callable, Sequence
@@ -39,7 +39,7 @@
 
 
 class ReadChoice:
-    """Estimates completions for one group. Owns its load table and recent failures."""
+    """Estimates when the databases of a group complete a read, from their loads and failures."""
 
     def __init__(self, clock: Callable[[], float], draw: Callable[[], float]) -> None:
         """`clock`: steady clock, seconds. `draw`: returns a random number from 0 to below 1."""
--- a/src/dewledge/core/pooler/statements/retry_rule.py
+++ b/src/dewledge/core/pooler/statements/retry_rule.py
@@ -30,8 +30,8 @@
 
 A statement is sent again only if it did not run, or only reads. That it did not run is certain
 only if it was never sent, if the database refused it, or if its transaction can no longer commit. A
-reply that arrives after the lease has lapsed is treated as lost: another database may be primary by
-then.
+reply that arrives after the lease has lapsed is treated as lost, since another database may have
+become primary.
 """
 
 from enum import StrEnum
@@ -53,11 +53,11 @@
 from dewledge.errors import ErrorCode
 
 RETRY_PAUSE_SECONDS = 0.03
-"""Pause before the same database is asked again, and the minimum time for a rerun: about one round
-trip between regions."""
+"""Pause before another attempt at the same database, and the minimum time left for a rerun: about a
+round trip between regions."""
 MAX_READ_RERUNS = 2
-"""Retries of a read after failures returned by a database: limits the load of a read that always
-fails."""
+"""Maximum reruns of a read to which databases return failures, counting reruns after a timeout.
+Limits the load caused by a read that always fails."""
 
 
 class Progress(StrEnum):
@@ -154,7 +154,7 @@
 
 
 def needs_retry_budget(incident: Incident, statement: StatementFacts) -> bool:
-    """Returns whether a rerun would duplicate a read that may still be running, so needs budget."""
+    """Returns whether a rerun needs retry budget because the read may still be running."""
     if incident.trouble is not Trouble.HOLDER_SILENT or incident.progress is not Progress.SENT:
         return False
     return statement.work is RetryClass.READ and not statement.is_pinned and not statement.reruns
@@ -199,7 +199,7 @@
 
 
 def _no_reply(incident: Incident, statement: StatementFacts) -> Outcome:
-    """Handles a sent statement without a usable reply."""
+    """Handles a statement that was sent, but got no reply while the lease was valid."""
     closed = ConnectionDisposition.CLOSED
     is_silent = incident.trouble is Trouble.SILENT
     if statement.work is RetryClass.COMMIT:
--- a/src/dewledge/core/pooler/statements/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -6,7 +6,7 @@
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 
 ROLLBACK_LIMIT_SECONDS = 2.0
-"""Time limit of a rollback, longer than any takes; then the connection is closed."""
+"""Time limit of a rollback; if it is exceeded, the connection is closed."""
 
 
 def roll_back_then_release(
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -1,4 +1,4 @@
-"""Collects the attempts of one statement for its log line (`statement_answered`)."""
+"""Collects the attempts of a statement for its log line (`statement_answered`)."""
 
 from dewledge.core.pooler.events import StatementAnswered
 from dewledge.core.pooler.statements.statement_scope import StatementScope
@@ -8,7 +8,7 @@
 
 
 class RunRecord:
-    """The attempts of one statement, in order."""
+    """Records the attempts of a statement in order, and logs them with its reply."""
 
     def __init__(self, scope: StatementScope) -> None:
         self._services = scope.services
--- a/src/dewledge/core/pooler/statements/run_timers.py
+++ b/src/dewledge/core/pooler/statements/run_timers.py
@@ -1,4 +1,4 @@
-"""The timers of one statement. They are cancelled together when the statement ends."""
+"""The timers of a statement, which are cancelled together when the statement ends."""
 
 from collections.abc import Callable
 
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -1,4 +1,4 @@
-"""Computes every time limit of one statement. All times are of the steady clock, in seconds.
+"""Computes every time limit of a statement. Times are readings of the steady clock, in seconds.
 
 The limits leave time for the network, so that a statement that can't be answered in time frees its
 place in the queue, and no step uses up the time that an attempt at another database needs.
@@ -46,7 +46,7 @@
 
     arrived: arrival of the statement. first_arrived: arrival of the first attempt if the session
     holds a ticket of an earlier refusal, otherwise `arrived`. deadline: end of the route's timeout;
-    the client must have the reply by then. latest_start: latest start at a database that still
+    the client must have the reply before it. latest_start: latest start at a database that still
     meets `deadline`. in_time_until: latest start that still meets the route's latency target,
     counted from `first_arrived`. give_up_at: end of the search for a connection, initially
     `latest_start`. target_wait_until: end of the wait at the current database, earlier if another
@@ -88,7 +88,7 @@
         return min(self.give_up_at, self.arrived + MAX_REPLICA_WAIT_SECONDS)
 
     def begin_target_wait(self, now: float, alternative: Completion | None) -> None:
-        """Sets the end of the wait at the database that the statement asks now.
+        """Sets the end of the wait at the database that the statement tries now.
 
         alternative: expected completion at the next best database, None if there is none.
         """
@@ -122,9 +122,9 @@
         return limit
 
     def attempt_deadline(self, sent_at: float, is_queued_elsewhere: bool) -> float:
-        """Returns the end of the wait for the reply to a read that may be rerun.
+        """Returns the end of the wait for the reply to the first attempt of a read.
 
-        For all other statements the limit is the deadline. sent_at: sending time of the read.
+        All other attempts may last until `deadline`. sent_at: sending time of the read.
         """
         ratio = QUEUED_READ_RATIO if is_queued_elsewhere else READ_ATTEMPT_RATIO
         return sent_at + (self.deadline - sent_at) * ratio
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -176,7 +176,7 @@
     def _has_lost_lease(self) -> bool:
         """Returns whether the lease on the primary has lapsed since the statement was sent.
 
-        Another database may be primary by then, so a success of the old one can't be reported.
+        Another database may have become primary, so a success must not be reported.
         """
         connection = self._held.connection
         return connection is not None and self._lease.is_lacking(connection.database_id)
@@ -188,7 +188,7 @@
         self._apply_rule(Incident(Trouble.SILENT, Progress.SENT))
 
     def _lost(self, trouble: Trouble = Trouble.LOST) -> None:
-        """Handles a sent statement that has no reply, or none that may be used."""
+        """Handles a statement that was sent, but got no reply while the lease was valid."""
         self._apply_rule(Incident(trouble, Progress.SENT))
 
     def _on_failure(self, reply: Reply, failure: Failure) -> None:
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -1,4 +1,4 @@
-"""The immutable context that all parts of one statement share. Created by ClientSession."""
+"""The immutable context of a statement, shared by all objects that process it."""
 
 import msgspec
 
--- a/src/dewledge/core/pooler/statements/statements.py
+++ b/src/dewledge/core/pooler/statements/statements.py
@@ -41,8 +41,8 @@
 )
 """Statements that occupy a slot of the database, or are refused as overloaded if none is free."""
 OWN_QUESTIONS = frozenset({StatementKind.STATUS, StatementKind.STEP_DOWN})
-"""Statements by which the proxy queries or changes a database's role. They never wait behind client
-statements, because the choice of the primary depends on them."""
+"""Statements by which the proxy queries or changes a database's role. Client statements never delay
+them, because the choice of the primary depends on the replies."""
 
 
 class Statement(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -2,9 +2,9 @@
 
 For a read every database that is not draining is a candidate, and must have applied the floor, the
 minimum log position of the read. The candidates are ordered either by local load and distance or by
-the expected completion from load reports. The primary is appended once more as the last target with
-a proof of its own, because it holds every commit. Without a known floor the primary is the only
-target.
+the expected completion from load reports. The primary is appended once more as the last
+target, because it holds every commit; there it must prove that it is the primary instead of having
+reached the floor. Without a known floor the primary is the only target.
 """
 
 from collections.abc import Callable, Sequence
@@ -19,10 +19,10 @@
 from dewledge.core.shared.positions import LogPosition
 
 LOAD_PER_ZONE_STEP = 2
-"""Statements added to the load of a database for each step of distance (zone, region) in the order
-of reads."""
+"""Statements added to the load of a database for each step of distance (zone, region), to order the
+targets of a read."""
 PRIMARY_LOAD_PENALTY = 2
-"""Statements added to the load of the primary in the order of reads, because reads at the primary
+"""Statements added to the load of the primary, to order the targets of a read: reads at the primary
 take capacity from writes."""
 
 
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -142,7 +142,7 @@
 
 
 def waits_around_burst(is_fair: bool) -> tuple[float, float]:
-    """Returns the longest waits of a busy caller and of one that arrives after its burst."""
+    """Returns the longest waits of a busy caller and of a caller that arrives after its burst."""
     database = Database(is_fair)
     database.send("hot")
     database.send("rare")
@@ -183,7 +183,7 @@
         self.assertGreater(refused, 20)
 
     def test_shares_count_slot_time_instead_of_statements(self) -> None:
-        """Two callers send equally many statements; those of one take three times as long."""
+        """Two callers send equally many statements, but one caller's take three times as long."""
         database = Database(is_fair=True)
         for caller in ("long", "short"):
             database.send(caller)
--- a/tests/core/pooler/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -192,7 +192,7 @@
         self.assertEqual(simulation.faults, [])
 
     def test_burst_beyond_capacity_is_refused_immediately(self) -> None:
-        """Of 200 statements with a timeout of 0.8 s the slots can start 48 before 0.75 s."""
+        """The slots can start 48 of 200 statements with a timeout of 0.8 s before 0.75 s."""
         simulation = QueueSimulation()
         burst = [SentStatement(1, 0.0, 0.6, 0.8) for _ in range(200)]
         for statement in burst:
