--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -74,12 +74,12 @@
 
         opened_transaction: whether the proxy opened a transaction on it for this attempt.
         """
-        is_given_back = disposition is ConnectionDisposition.GIVEN_BACK
+        is_released_clean = disposition is ConnectionDisposition.RELEASED_CLEAN
         if disposition is ConnectionDisposition.ROLLED_BACK or (
-            is_given_back and opened_transaction
+            is_released_clean and opened_transaction
         ):
             self.roll_back()
-        elif disposition is ConnectionDisposition.RELEASED or is_given_back:
+        elif disposition is ConnectionDisposition.RELEASED or is_released_clean:
             self.release()
         elif disposition is ConnectionDisposition.CLOSED:
             self.drop()
--- a/src/dewledge/core/pooler/statements/retry_outcomes.py
+++ b/src/dewledge/core/pooler/statements/retry_outcomes.py
@@ -10,15 +10,15 @@
 class ConnectionDisposition(StrEnum):
     """What to do with the connection of the statement.
 
-    KEPT: the statement keeps it, or has none. RELEASED: it returns to the pool at once.
-    GIVEN_BACK: as RELEASED, after a rollback if the proxy opened a transaction for this attempt.
+    RETAINED: the statement keeps it, or has none. RELEASED: it returns to the pool at once.
+    RELEASED_CLEAN: as RELEASED, after a rollback if the proxy opened a transaction for the attempt.
     ROLLED_BACK: it returns to the pool after a rollback. CLOSED: it is closed, since its state is
     unknown.
     """
 
-    KEPT = "kept"
+    RETAINED = "kept"
     RELEASED = "released"
-    GIVEN_BACK = "given_back"
+    RELEASED_CLEAN = "given_back"
     ROLLED_BACK = "rolled_back"
     CLOSED = "closed"
 
@@ -26,7 +26,7 @@
 class KeepWaiting(msgspec.Struct, frozen=True):
     """Keep waiting: the statement may be running, and its reply is still accepted."""
 
-    connection: ConnectionDisposition = ConnectionDisposition.KEPT
+    connection: ConnectionDisposition = ConnectionDisposition.RETAINED
 
 
 class TryElsewhere(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
     """Send the statement again on the same connection after `pause_seconds`."""
 
     pause_seconds: float
-    connection: ConnectionDisposition = ConnectionDisposition.KEPT
+    connection: ConnectionDisposition = ConnectionDisposition.RETAINED
 
 
 class InDoubt(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/statements/retry_rule.py
+++ b/src/dewledge/core/pooler/statements/retry_rule.py
@@ -7,18 +7,18 @@
 | waiting | no connection in time | any | refused with a retry time | none |
 | waiting, in setup | no lease on the primary | pinned | transaction lost | rolled back |
 | waiting | no lease on the primary | other | tries elsewhere | released |
-| in setup | no lease on the primary | other | tries elsewhere | given back |
-| in setup | holder suspected or silent | pinned | keeps waiting | kept |
+| in setup | no lease on the primary | other | tries elsewhere | released clean |
+| in setup | holder suspected or silent | pinned | keeps waiting | retained |
 | in setup | holder suspected or silent | other | tries elsewhere, with more time | closed |
 | in setup | refused, lost or silent | pinned | transaction lost | closed |
-| in setup | refused, connection clean | other | tries elsewhere | released |
+| in setup | refused, connection reusable | other | tries elsewhere | released |
 | in setup | refused otherwise, lost, silent | other | tries elsewhere | closed |
 | sent | holder silent, retry budget left | read, not rerun yet | rerun, counted | closed |
-| sent | holder suspected or silent | any other | keeps waiting | kept |
-| sent | refused before running | read, write | tries elsewhere | given back or closed |
-| sent | refused otherwise | read, reruns left | rerun, counted | given back |
-| sent | refused otherwise | read, write | fails with the code | given back |
-| sent | overloaded, time left | in an open transaction | sent again here | kept |
+| sent | holder suspected or silent | any other | keeps waiting | retained |
+| sent | refused before running | read, write | tries elsewhere | released clean or closed |
+| sent | refused otherwise | read, reruns left | rerun, counted | released clean |
+| sent | refused otherwise | read, write | fails with the code | released clean |
+| sent | overloaded, time left | in an open transaction | sent again here | retained |
 | sent | refused, may have run | commit | in doubt | closed |
 | sent | refused | in transaction, commit | transaction lost, with the code | rolled back |
 | sent | lost, reply without lease, silent | commit | in doubt | closed |
@@ -163,13 +163,13 @@
 def _before_sending(incident: Incident, statement: StatementFacts) -> Outcome:
     """Handles failures before sending: unless pinned, the statement can use another connection."""
     if incident.trouble is Trouble.NO_CONNECTION and incident.failure is not None:
-        return Fail(ConnectionDisposition.KEPT, incident.failure)
+        return Fail(ConnectionDisposition.RETAINED, incident.failure)
     if incident.trouble is Trouble.NO_LEASE:
         if statement.is_pinned:
             return TransactionLost(ConnectionDisposition.ROLLED_BACK, _PRIMARY_REPLACED)
         has_opened = incident.progress is Progress.IN_SETUP
         return TryElsewhere(
-            ConnectionDisposition.GIVEN_BACK if has_opened else ConnectionDisposition.RELEASED
+            ConnectionDisposition.RELEASED_CLEAN if has_opened else ConnectionDisposition.RELEASED
         )
     if statement.is_pinned:
         return TransactionLost(ConnectionDisposition.CLOSED, _CONNECTION_LOST)
@@ -217,7 +217,7 @@
     """Handles a failure returned to a statement outside of transactions."""
     is_wrong_database = failure.code is ErrorCode.WRONG_DATABASE
     disposition = (
-        ConnectionDisposition.CLOSED if is_wrong_database else ConnectionDisposition.GIVEN_BACK
+        ConnectionDisposition.CLOSED if is_wrong_database else ConnectionDisposition.RELEASED_CLEAN
     )
     if failure.code in NOT_RUN_CODES:
         return TryElsewhere(disposition)
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -277,7 +277,7 @@
         )
         client_reply = self._reply.success(reply, self._scheduler.now())
         if self._transaction is None:
-            self._dispose_connection(ConnectionDisposition.GIVEN_BACK)
+            self._dispose_connection(ConnectionDisposition.RELEASED_CLEAN)
         elif self._scope.is_commit:
             self._dispose_connection(ConnectionDisposition.RELEASED)
         self._finish(client_reply)
--- a/tests/core/pooler/test_retry_rule.py
+++ b/tests/core/pooler/test_retry_rule.py
@@ -29,9 +29,9 @@
 from dewledge.core.pooler.statements.statements import NOT_RUN_CODES, Failure, TransactionState
 from dewledge.errors import ErrorCode
 
-KEPT = ConnectionDisposition.KEPT
+RETAINED = ConnectionDisposition.RETAINED
 RELEASED = ConnectionDisposition.RELEASED
-GIVEN_BACK = ConnectionDisposition.GIVEN_BACK
+RELEASED_CLEAN = ConnectionDisposition.RELEASED_CLEAN
 ROLLED_BACK = ConnectionDisposition.ROLLED_BACK
 CLOSED = ConnectionDisposition.CLOSED
 
@@ -91,7 +91,7 @@
     def test_statement_without_connection_is_refused_with_retry_time(self) -> None:
         incident = Incident(Trouble.NO_CONNECTION, Progress.WAITING, OVERLOADED)
         for work in RetryClass:
-            self.check(Row(incident, facts(work), Fail(KEPT, OVERLOADED)))
+            self.check(Row(incident, facts(work), Fail(RETAINED, OVERLOADED)))
 
     def test_without_lease_statement_tries_elsewhere_and_pinned_transaction_is_lost(self) -> None:
         incident = Incident(Trouble.NO_LEASE, Progress.WAITING)
@@ -108,7 +108,7 @@
     def test_without_lease_opened_transaction_is_rolled_back(self) -> None:
         incident = Incident(Trouble.NO_LEASE, Progress.IN_SETUP)
         for work in RetryClass:
-            self.check(Row(incident, facts(work), TryElsewhere(GIVEN_BACK)))
+            self.check(Row(incident, facts(work), TryElsewhere(RELEASED_CLEAN)))
         for work in PINNED:
             lost = TransactionLost(ROLLED_BACK, REPLACED)
             self.check(Row(incident, facts(work, is_pinned=True), lost))
@@ -233,7 +233,7 @@
 
     def test_statement_that_did_not_run_tries_elsewhere(self) -> None:
         for code, work in itertools.product(NOT_RUN_CODES, SINGLE):
-            disposition = CLOSED if code is ErrorCode.WRONG_DATABASE else GIVEN_BACK
+            disposition = CLOSED if code is ErrorCode.WRONG_DATABASE else RELEASED_CLEAN
             incident = sent(Trouble.REFUSED, Failure(code))
             for reruns in (0, MAX_READ_RERUNS):
                 self.check(Row(incident, facts(work, reruns=reruns), TryElsewhere(disposition)))
@@ -243,16 +243,16 @@
         reported = Failure(FAILED.code, FAILED.message)
         incident = sent(Trouble.REFUSED, FAILED)
         self.check(
-            Row(incident, facts(reruns=0), RerunRead(GIVEN_BACK, is_counted=True)),
-            Row(incident, facts(reruns=1), RerunRead(GIVEN_BACK, is_counted=True)),
-            Row(incident, facts(reruns=2), Fail(GIVEN_BACK, reported)),
-            Row(incident, late, Fail(GIVEN_BACK, NO_ANSWER)),
+            Row(incident, facts(reruns=0), RerunRead(RELEASED_CLEAN, is_counted=True)),
+            Row(incident, facts(reruns=1), RerunRead(RELEASED_CLEAN, is_counted=True)),
+            Row(incident, facts(reruns=2), Fail(RELEASED_CLEAN, reported)),
+            Row(incident, late, Fail(RELEASED_CLEAN, NO_ANSWER)),
         )
 
     def test_other_failure_of_write_is_reported(self) -> None:
         reported = Failure(FAILED.code, FAILED.message)
         incident = sent(Trouble.REFUSED, FAILED)
-        self.check(Row(incident, facts(RetryClass.WRITE), Fail(GIVEN_BACK, reported)))
+        self.check(Row(incident, facts(RetryClass.WRITE), Fail(RELEASED_CLEAN, reported)))
 
 
 class RefusedInTransactionTest(RowCase):
