--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -134,7 +134,7 @@
             self._listener.on_setup_failed(Trouble.SILENT)
 
     def stop_waiting(self) -> None:
-        """Stops waiting; reports the database as suspect if it has sent no reply since."""
+        """Stops waiting; a database that has not replied since this step began becomes suspect."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -111,7 +111,7 @@
     floor: LogPosition | None,
     done: Callable[[Reply | None | bool], None],
 ) -> None:
-    """Sends the steps, then the begin of a transaction if any, without waiting for replies between.
+    """Sends the steps, then `begin` unless it is None, without waiting for replies in between.
 
     floor: minimum log position for a read-only transaction. done: see SetupReplies.
     """
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -186,7 +186,8 @@
     def _seconds_until_ready(self, target: Target) -> float:
         """Returns the delay until the replica is expected to have applied the required position.
 
-        A read that is sent earlier would be refused there. Returns 0 if that time is too late.
+        A read that is sent earlier would be refused there. Returns 0, for no delay, if the
+        wait would last too long.
         """
         if target.expected is None:
             return 0.0
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -97,7 +97,7 @@
             self.suspect()
 
     def suspect(self) -> None:
-        """Reports the database as suspect because it did not reply."""
+        """Reports the database as suspect, because it is unreachable or did not reply."""
         if self.connection is not None:
             self._services.suspect(self._group.view.name, self.connection.database_id)
 
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -1,4 +1,4 @@
-"""Estimates when each database of a group would answer a read, for the order in load/choice.py.
+"""Estimates when each database of a group would answer a read. load/choice.py orders the databases.
 
 The estimate uses the counters of this process if it holds connections to the database, otherwise
 the load reports of the holders, weighted by their age. The network distance, recent failures,
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -218,7 +218,7 @@
         self.assertEqual(orders[0], orders[1])
 
     def test_late_statement_does_not_overtake_statements_in_time(self) -> None:
-        """A low share does not let a late statement pass statements that can still be in time."""
+        """A late statement of a rare caller must not pass statements that can still be in time."""
         database = Database(is_fair=True)
         for caller in ("hot", "rare"):
             database.send(caller)
