--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -33,16 +33,16 @@
 class SentStatement:
     """A statement of a caller with its arrival, its start (seconds) and its outcomes."""
 
-    def __init__(self, caller: str, at: float, work: float) -> None:
+    def __init__(self, caller: str, arrived: float, work: float) -> None:
         self.caller = caller
-        self.at = at
+        self.arrived = arrived
         self.work = work
         self.started = 0.0
         self.outcomes: list[str] = []
 
     @property
     def wait(self) -> float:
-        return self.started - self.at
+        return self.started - self.arrived
 
 
 class FixedWindow(SlotWindow):
--- a/tests/core/pooler/test_statement_deadlines.py
+++ b/tests/core/pooler/test_statement_deadlines.py
@@ -83,7 +83,7 @@
         short = StatementDeadlines(ARRIVED, route(Consistency.PRIMARY, statement_timeout=0.2), None)
         self.assertEqual(short.replica_wait_until, short.give_up_at)
 
-    def test_lost_holder_extends_search_by_quarter_of_target(
+    def test_unresponsive_holder_extends_search_by_quarter_of_target(
         self,
     ) -> None:
         limits = FixedDeadlines(ARRIVED, ROUTE, None)
@@ -92,7 +92,7 @@
         limits.extend_for_next_holder(ARRIVED + 1.9)
         self.assertEqual(limits.give_up_at, limits.deadline)
 
-    def test_lost_holder_never_shortens_search(self) -> None:
+    def test_unresponsive_holder_never_shortens_search(self) -> None:
         limits = deadlines()
         before = limits.give_up_at
         limits.extend_for_next_holder(ARRIVED + 0.5)
--- a/tests/core/pooler/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -71,11 +71,11 @@
                 session = self.session(consistency)
                 session.write()
                 self.harness.model.databases["p"].work = 0.1
-                asked = session.start(kind, argument="thing data")
+                statement_id = session.start(kind, argument="thing data")
                 self.harness.scheduler.advance(0.05)
                 self.ban()
                 self.harness.scheduler.advance(1.0)
-                reply = session.reply(asked)
+                reply = session.reply(statement_id)
                 assert reply.failure is not None
                 self.assertIs(reply.failure.code, code)
 
@@ -98,7 +98,7 @@
         self.assertIs(reply.failure.code, ErrorCode.TRANSACTION_LOST)
         self.assertIs(reply.state, TransactionState.FAILED)
 
-    def test_commit_is_unknown_if_sent_before_ban_and_lost_otherwise(self) -> None:
+    def test_commit_outcome_is_unknown_if_sent_before_ban_and_lost_otherwise(self) -> None:
         for is_sent in (True, False):
             with self.subTest(is_sent=is_sent):
                 self.setUp()
