--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -1,7 +1,8 @@
-"""One attempt of a statement on the connection that it holds: setup, sending, answer.
+"""An attempt to run a statement on a connection: setup, sending and reply.
 
-It owns the timers and epochs of what was sent, and tells the `AttemptListener` how each step ended.
-What follows is not decided here but by retry_rule.py.
+Attempt sets the time limit of each step, ignores replies that belong to an earlier epoch of the
+HeldConnection, and reports each result to the AttemptListener. retry_rule.py decides what happens
+next.
 """
 
 from collections.abc import Sequence
@@ -25,28 +26,32 @@
 
 
 class AttemptListener(Protocol):
-    """Called with how the steps of an attempt end; for each step one call at most."""
+    """Receives the result of each step of an attempt, at most once per step."""
 
-    def set_up(self, connection: DatabaseConnection) -> None:
-        """The connection is prepared."""
+    def on_setup_done(self, connection: DatabaseConnection) -> None:
+        """Called when the connection is prepared."""
 
-    def set_up_refused(
+    def on_setup_refused(
         self, connection: DatabaseConnection, reply: Reply, failure: Failure
     ) -> None:
-        """A step of the setup was answered with a failure."""
+        """Called when the database returned a failure to a setup statement."""
 
-    def set_up_failed(self, trouble: Trouble) -> None:
-        """The connection ended during the setup, or the setup was not answered in its time."""
+    def on_setup_failed(self, trouble: Trouble) -> None:
+        """Called when the connection closed during setup, or the setup timed out."""
 
-    def answered(self, reply: Reply | None) -> None:
-        """The statement was answered; None if the connection ended without an answer."""
+    def on_reply(self, reply: Reply | None) -> None:
+        """Called with the reply to the statement; None if the connection closed without one."""
 
-    def silent(self) -> None:
-        """The statement was not answered in the time of this attempt."""
+    def on_timeout(self) -> None:
+        """Called when the attempt reached its time limit without a reply."""
 
 
 class Setup(msgspec.Struct, frozen=True):
-    """What prepares a connection: steps, then the begin of a transaction under a floor, if any."""
+    """The statements that prepare a connection.
+
+    steps: session values and prepared statements. begin: the transaction to open after them, None
+    for none. floor: the minimum log position for that transaction.
+    """
 
     steps: Sequence[SetupStep]
     begin: StatementKind | None
@@ -54,7 +59,7 @@
 
 
 class Attempt:
-    """Of one statement, one attempt after the other."""
+    """Performs the attempts of a statement, one at a time."""
 
     def __init__(
         self,
@@ -69,84 +74,84 @@
         self._timers = timers
         self._listener = listener
         self._watch = AnswerWatch(self._scheduler, scope.group, held)
-        self._is_over = False
+        self._has_ended = False
         self.is_setting_up = False
-        """Whether what prepares the connection is not answered yet."""
+        """Whether the setup has been sent and its replies are pending."""
         self.sent_at = 0.0
-        """When the statement itself was sent last (steady clock, seconds)."""
+        """When the statement was last sent (steady clock, seconds)."""
 
     def end(self) -> None:
-        """The statement is answered or given up: what still comes is ignored."""
-        self._is_over = True
+        """Ends the attempt; later replies are ignored."""
+        self._has_ended = True
 
     def stop_setup(self) -> None:
-        """The answer to the setup is awaited no more."""
+        """Stops waiting for the replies to the setup."""
         self.is_setting_up = False
 
     def begin_setup(self, connection: DatabaseConnection, setup: Setup, limit: float) -> None:
-        """Sends what prepares the connection; its answer is awaited until `limit`."""
+        """Sends the setup statements and waits for their replies until `limit`."""
         epoch = self._held.next_epoch()
         self._watch.begin()
         self.is_setting_up = True
-        self._timers.limit(limit, self._setup_silent)
+        self._timers.set_limit(limit, self._on_setup_timeout)
 
-        def take(verdict: Reply | None | bool) -> None:
-            self._take_setup(epoch, verdict)
+        def on_result(result: Reply | None | bool) -> None:
+            self._on_setup_result(epoch, result)
 
-        send_setup(connection, setup.steps, setup.begin, setup.floor, take)
+        send_setup(connection, setup.steps, setup.begin, setup.floor, on_result)
 
-    def note_sending(self) -> float:
-        """The statement is sent now: returns that moment."""
+    def record_sent_at(self) -> float:
+        """Records the current time as the sending time and returns it."""
         self.sent_at = self._scheduler.now()
         return self.sent_at
 
     def send(self, connection: DatabaseConnection, floor: LogPosition | None, limit: float) -> None:
-        """Sends the statement itself; its answer is awaited until `limit`."""
+        """Sends the client's statement and waits for its reply until `limit`."""
         epoch = self._held.next_epoch()
-        self._timers.limit(limit, self._silent)
+        self._timers.set_limit(limit, self._on_timeout)
         self._watch.begin()
-        self._watch_answer(epoch, SUSPECT_AFTER_SECONDS)
+        self._check_silence_after(epoch, SUSPECT_AFTER_SECONDS)
         statement = statement_for_database(self._scope.session, self._scope.statement)
-        connection.send(statement, lambda reply: self._answered(epoch, reply), floor)
+        connection.send(statement, lambda reply: self._on_reply(epoch, reply), floor)
 
-    def _take_setup(self, epoch: int, verdict: Reply | None | bool) -> None:
+    def _on_setup_result(self, epoch: int, result: Reply | None | bool) -> None:
         connection = self._held.connection
-        if self._is_over or epoch != self._held.epoch or connection is None:
+        if self._has_ended or epoch != self._held.epoch or connection is None:
             return
         self.is_setting_up = False
-        if verdict is True:
-            self._listener.set_up(connection)
+        if result is True:
+            self._listener.on_setup_done(connection)
             return
         self._timers.clear_limit()
-        if isinstance(verdict, Reply) and verdict.failure is not None:
-            self._watch.take(verdict, None)
-            self._listener.set_up_refused(connection, verdict, verdict.failure)
+        if isinstance(result, Reply) and result.failure is not None:
+            self._watch.take(result, None)
+            self._listener.on_setup_refused(connection, result, result.failure)
         else:
-            self._listener.set_up_failed(Trouble.LOST)
+            self._listener.on_setup_failed(Trouble.LOST)
 
-    def _setup_silent(self) -> None:
-        if not self._is_over and self._held.connection is not None:
-            self._listener.set_up_failed(Trouble.SILENT)
+    def _on_setup_timeout(self) -> None:
+        if not self._has_ended and self._held.connection is not None:
+            self._listener.on_setup_failed(Trouble.SILENT)
 
-    def limit_passed(self) -> None:
-        """The answer is awaited no more: a database that was silent meanwhile is suspected."""
+    def stop_waiting(self) -> None:
+        """Stops waiting; a database that has not replied since this step began becomes suspect."""
         self.is_setting_up = False
         self._watch.limit_passed()
 
-    def _watch_answer(self, epoch: int, seconds: float) -> None:
-        def look() -> None:
-            if not self._is_over and epoch == self._held.epoch:
-                self._watch.look(lambda remaining: self._watch_answer(epoch, remaining))
+    def _check_silence_after(self, epoch: int, seconds: float) -> None:
+        def check() -> None:
+            if not self._has_ended and epoch == self._held.epoch:
+                self._watch.look(lambda remaining: self._check_silence_after(epoch, remaining))
 
-        self._timers.watch_answer(seconds, look)
+        self._timers.check_silence_after(seconds, check)
 
-    def _answered(self, epoch: int, reply: Reply | None) -> None:
-        if self._is_over or epoch != self._held.epoch:
+    def _on_reply(self, epoch: int, reply: Reply | None) -> None:
+        if self._has_ended or epoch != self._held.epoch:
             return
         self._timers.clear_limit()
         self._watch.take(reply, self._scope.statement)
-        self._listener.answered(reply)
+        self._listener.on_reply(reply)
 
-    def _silent(self) -> None:
-        if not self._is_over and self._held.connection is not None:
-            self._listener.silent()
+    def _on_timeout(self) -> None:
+        if not self._has_ended and self._held.connection is not None:
+            self._listener.on_timeout()
--- a/src/dewledge/core/pooler/statements/client_reply.py
+++ b/src/dewledge/core/pooler/statements/client_reply.py
@@ -1,7 +1,4 @@
-"""What the client of a statement is answered, and what that makes of its transaction.
-
-It owns nothing; it changes the session's transaction as the answer says.
-"""
+"""Builds the reply to the client and updates the session's transaction accordingly."""
 
 from dewledge.core.pooler.sessions.session_state import OpenTransaction
 from dewledge.core.pooler.statements.retry_outcomes import Fail, InDoubt, TransactionLost
@@ -10,17 +7,17 @@
 
 
 class ClientReply:
-    """The answers to one statement; one of them is given."""
+    """Builds the reply to one statement."""
 
     def __init__(self, scope: StatementScope, transaction: OpenTransaction | None) -> None:
-        """`transaction`: the statement's, None outside of transactions."""
+        """`transaction`: the open transaction of the session, None outside of transactions."""
         self._session = scope.session
         self._transaction = transaction
         self._is_commit = scope.is_commit
         self._writes = scope.writes
 
-    def done(self, reply: Reply, now: float) -> Reply:
-        """Returns the answer of a statement that was done; a transaction is used or committed."""
+    def success(self, reply: Reply, now: float) -> Reply:
+        """Returns the reply to a successful statement; a commit also ends the transaction."""
         state = TransactionState.IDLE
         transaction = self._transaction
         if transaction is not None:
@@ -32,17 +29,17 @@
                 state = TransactionState.OPEN
         return Reply(state, rows=reply.rows, signature=reply.signature)
 
-    def after(self, outcome: InDoubt | TransactionLost | Fail) -> Reply:
-        """Returns the answer of a statement that was not done."""
+    def for_outcome(self, outcome: InDoubt | TransactionLost | Fail) -> Reply:
+        """Returns the reply to a failed statement and updates its transaction."""
         if isinstance(outcome, InDoubt):
             self._session.transaction = None
             return Reply(TransactionState.IDLE, failure=outcome.failure)
         if isinstance(outcome, TransactionLost) and self._transaction is not None:
             self._transaction.connection = None
-        return self._failed(outcome.failure)
+        return self._failure(outcome.failure)
 
-    def _failed(self, failure: Failure) -> Reply:
-        """A transaction can only be ended now."""
+    def _failure(self, failure: Failure) -> Reply:
+        """Returns the failure; the transaction is marked as failed, or ended by a failed commit."""
         state = TransactionState.IDLE
         if self._transaction is not None and self._is_commit:
             self._session.transaction = None
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -1,7 +1,4 @@
-"""The database connection that a statement holds, and every way to let go of it.
-
-It owns the connection between the pool that gave it and the pool that takes it back.
-"""
+"""The database connection that a statement has borrowed from a pool, and the ways to return it."""
 
 from collections.abc import Callable
 
@@ -10,22 +7,22 @@
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection, ignore_holder
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.statements.retry_outcomes import ConnectionFate
+from dewledge.core.pooler.statements.retry_outcomes import ConnectionDisposition
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.errors import ErrorCode
 
 
 class HeldConnection:
-    """At most one connection. `epoch` rises whenever answers still to come stop to count."""
+    """Holds at most one connection. Replies to messages of an earlier `epoch` must be ignored."""
 
     def __init__(
         self,
         services: PoolServices,
         group: Group,
-        holder_judged: Callable[[HolderState], None] = ignore_holder,
+        on_holder_state: Callable[[HolderState], None] = ignore_holder,
     ) -> None:
-        """`holder_judged`: called when the process that carries the connection is judged anew."""
-        self._holder_judged = holder_judged
+        """`on_holder_state`: called when the health state of the connection's holder changes."""
+        self._on_holder_state = on_holder_state
         self._services = services
         self._group = group
         self.connection: DatabaseConnection | None = None
@@ -33,77 +30,79 @@
 
     @property
     def database_id(self) -> str:
-        """The database of the connection, empty without one."""
+        """The id of the connected database, empty without a connection."""
         return "" if self.connection is None else self.connection.database_id
 
-    def take(self, connection: DatabaseConnection) -> None:
-        """Holds a connection."""
+    def hold(self, connection: DatabaseConnection) -> None:
+        """Takes over a connection from the pool."""
         self.connection = connection
-        connection.holder_judged = self._holder_judged
+        connection.holder_judged = self._on_holder_state
 
-    def _let_go(self) -> DatabaseConnection | None:
+    def _detach(self) -> DatabaseConnection | None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.holder_judged = ignore_holder
         return connection
 
     def next_epoch(self) -> int:
-        """Returns the epoch of the answers to what is sent now."""
+        """Starts a new epoch for the replies to the next messages, and returns it."""
         self.epoch += 1
         return self.epoch
 
     def release(self) -> None:
-        """Gives the connection back for others to use."""
-        connection = self._let_go()
+        """Returns the connection to the pool."""
+        connection = self._detach()
         if connection is not None:
             self._group.pool(connection.database_id).release(connection)
 
     def roll_back(self) -> None:
-        """Ends the transaction on the connection, then gives it back."""
-        connection = self._let_go()
+        """Rolls back the transaction on the connection, then returns it to the pool."""
+        connection = self._detach()
         if connection is not None:
             self._group.roll_back(connection, self._services.scheduler)
 
     def drop(self) -> None:
-        """Closes a connection whose state is unknown; an answer pending there is never read."""
+        """Closes a connection whose state is unknown; its pending replies become obsolete."""
         self.epoch += 1
-        connection = self._let_go()
+        connection = self._detach()
         if connection is not None:
             connection.close()
             self._group.pool(connection.database_id).release(connection)
 
-    def settle(self, fate: ConnectionFate, has_begun: bool) -> None:
-        """Does with the connection what the retry rule says.
+    def dispose(self, disposition: ConnectionDisposition, opened_transaction: bool) -> None:
+        """Returns or closes the connection as the retry rule decided.
 
-        has_begun: whether the proxy opened a transaction of its own on it.
+        opened_transaction: whether the proxy opened a transaction on it for this attempt.
         """
-        is_given_back = fate is ConnectionFate.GIVEN_BACK
-        if fate is ConnectionFate.ROLLED_BACK or (is_given_back and has_begun):
+        is_released_clean = disposition is ConnectionDisposition.RELEASED_CLEAN
+        if disposition is ConnectionDisposition.ROLLED_BACK or (
+            is_released_clean and opened_transaction
+        ):
             self.roll_back()
-        elif fate is ConnectionFate.RELEASED or is_given_back:
+        elif disposition is ConnectionDisposition.RELEASED or is_released_clean:
             self.release()
-        elif fate is ConnectionFate.CLOSED:
+        elif disposition is ConnectionDisposition.CLOSED:
             self.drop()
 
-    def forget_prepared(self) -> None:
-        """The database does not know a prepared statement that should stand there."""
+    def clear_prepared(self) -> None:
+        """Clears the record of prepared statements, because the database lacks one of them."""
         if self.connection is not None:
             self.connection.prepared.clear()
 
-    def take_failure(self, failure: Failure, statement_id: str) -> None:
-        """Tells the group what a failure shows of the database."""
+    def report_failure(self, failure: Failure, statement_id: str) -> None:
+        """Updates the state of the database in the group according to a failure."""
         if failure.code is ErrorCode.NOT_PRIMARY:
             self.refute_primary(statement_id)
         if failure.code is ErrorCode.DATABASE_UNREACHABLE:
             self.suspect()
 
     def suspect(self) -> None:
-        """Tells that the database has not answered."""
+        """Reports the database as suspect, because it is unreachable or did not reply."""
         if self.connection is not None:
             self._services.suspect(self._group.view.name, self.connection.database_id)
 
     def refute_primary(self, statement_id: str) -> None:
-        """Tells that the database refused work because it is not the primary."""
+        """Records that the database refused the statement because it is not the primary."""
         connection = self.connection
         if connection is None:
             return
--- a/src/dewledge/core/pooler/statements/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -1,7 +1,4 @@
-"""Ends a transaction on a connection that is to serve others again.
-
-It relies on the database's answer: without one the connection is closed, which rolls back too.
-"""
+"""Rolls back the transaction on a connection before it returns to the pool."""
 
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -9,24 +6,24 @@
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 
 ROLLBACK_LIMIT_SECONDS = 2.0
-"""Seconds, longer than any rollback takes: a connection that has not answered by then is closed."""
+"""Time limit of a rollback; if it is exceeded, the connection is closed."""
 
 
 def roll_back_then_release(
     connection: DatabaseConnection, pool: ConnectionPool, scheduler: Scheduler
 ) -> None:
-    """Rolls back on a connection of `pool` and gives it back; closed if that does not succeed."""
+    """Rolls back, then releases the connection to `pool`; closes it first if the rollback fails."""
 
-    def give_up() -> None:
+    def on_timeout() -> None:
         connection.close()
         pool.release(connection)
 
-    timer = scheduler.call_later(ROLLBACK_LIMIT_SECONDS, give_up)
+    timer = scheduler.call_later(ROLLBACK_LIMIT_SECONDS, on_timeout)
 
-    def rolled_back(reply: Reply | None) -> None:
+    def on_reply(reply: Reply | None) -> None:
         timer.cancel()
         if reply is None or reply.state is not TransactionState.IDLE:
             connection.close()
         pool.release(connection)
 
-    connection.send_own(StatementKind.ROLLBACK, rolled_back)
+    connection.send_own(StatementKind.ROLLBACK, on_reply)
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -1,25 +1,7 @@
-"""Until when may this statement wait? All moments of one statement, computed here and only here.
-
-Inputs: when the statement came, its route (timeout, latency target; seconds), the ticket of its
-session, and what happens on its way. All moments are of the process's steady clock, in seconds.
-
-- `arrived`: when the statement came.
-- `first_arrived`: when its operation first came, refusals included, by the session's ticket.
-- `deadline`: `arrived` + the route's timeout; by then the client has been answered.
-- `latest_start`: `deadline` - WAY_SECONDS; a start at a database until then is answered in time.
-- `in_time_until`: `first_arrived` + the latency target - WAY_SECONDS; a start until then is
-  answered within the target.
-- `give_up_at`: until then it seeks a connection. `latest_start` at first, later for one whose
-  holder fell silent and in a rerun. Without useful waits FIXED_WAIT_SECONDS after `arrived`, and
-  `latest_start` while there is no primary.
-- `turn_ends_at`: until then it waits for a slot of its present target, while another may serve it.
-- `hold_until`: until then a read is kept for a replica that lacks its position.
-- `set_up_limit`: until then the answer to what prepares the connection is awaited.
-- `attempt_limit`: until then the answer to a read that was not rerun yet is awaited; the answer to
-  any other statement until `deadline`.
-
-Reason: a wait that ends too late to be answered takes a place from one that can be served, and a
-step that takes all the time leaves none for another database.
+"""Computes every time limit of a statement. Times are readings of the steady clock, in seconds.
+
+The limits leave time for the network, so that a statement that can't be answered in time frees its
+place in the queue, and no step uses up the time that an attempt at another database needs.
 """
 
 import math
@@ -30,128 +12,134 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import Route
 
-WAY_SECONDS = 0.1
-"""Seconds of a statement's time for its way to a database of another region, the answer's way back
-to the client, and a busy process at each end: two round trips of 40 ms."""
+NETWORK_ALLOWANCE_SECONDS = 0.1
+"""Time reserved for the network: two round trips of 40 ms between regions, and delays in busy
+processes."""
 FIXED_WAIT_SECONDS = 0.25
-"""Seconds that a statement seeks a connection where waits aren't judged by use: a quarter of the
-latency that the slowest routes aim at."""
-LEAST_TURN_SECONDS = 0.1
-"""Seconds that a read waits before one database at least, though another may serve it: some times
-the work of a statement, and two round trips between regions."""
-TURN_COMPLETIONS = 2.0
-"""Factor; a read waits before one database no longer than so many times what the next best was
-expected to take in all; by then it would have been served there even if that was expected wrongly
-by as much; see LEAST_TURN_SECONDS."""
-LONGEST_HOLD_SECONDS = 0.25
-"""Seconds from its arrival in which a read is kept for a lagging replica: a lag is foreseen from
-the last answers, and one of a replica that receives nothing grows with each moment it is waited
-for."""
+"""Search time of FixedDeadlines: a quarter of the latency target of the slowest routes."""
+MIN_TARGET_WAIT_SECONDS = 0.1
+"""Minimum wait of a read at one database while others can serve it: two round trips between regions
+and several times the usual service time."""
+TARGET_WAIT_FACTOR = 2.0
+"""Factor of the expected completion at the next best database: a read waits that long at the
+current one, or MIN_TARGET_WAIT_SECONDS if that is longer. Leaves a margin for a wrong estimate."""
+MAX_REPLICA_WAIT_SECONDS = 0.25
+"""Maximum wait of a read for a lagging replica, from its arrival. The lag is only predicted, and a
+replica that receives no log at all never catches up."""
 SETUP_LIMIT_SECONDS = 0.4
-"""Seconds in which what prepares a connection is answered, else the database counts as silent
-(docs/design/silence.md): some round trips between regions, and half of a timeout of 0.8 s, so that
-time is left for another database."""
-QUEUED_SETUP_SHARE = 0.5
-"""Ratio; share of the time that is left to seek a connection: what begins a transaction through
-another process may stand in that one's queue for so long; the rest is for one try elsewhere if that
-process is silent."""
-READ_ATTEMPT_SHARE = 0.5
-"""Ratio; share of the time that is left: a read without an answer by then is tried once more
-elsewhere. Both attempts get as much."""
-QUEUED_READ_SHARE = 0.7
-"""Ratio; the same share through another process, where the read may stand in a queue: what is left
-is some times the work of a read; see QUEUED_SETUP_SHARE."""
-MOVED_WAIT_SHARE = 0.25
-"""Ratio; share of the latency target: for so long a statement whose holder fell silent seeks
-another connection, at least; the time that the first one took was not the next one's."""
+"""Time for the replies to the connection setup; after that the database is treated as silent
+(docs/design/silence.md). Half of a statement timeout of 0.8 s, so that another one can be tried."""
+QUEUED_SETUP_RATIO = 0.5
+"""Ratio of the remaining search time that a setup may spend in the queue of another process. The
+rest is for one attempt elsewhere if that process is silent."""
+READ_ATTEMPT_RATIO = 0.5
+"""Ratio of the remaining time for the first attempt of a read; the rerun gets an equal part."""
+QUEUED_READ_RATIO = 0.7
+"""Ratio of the remaining time for the first attempt of a read that may wait in the queue of another
+process; the rest still suffices for a rerun."""
+HOLDER_CHANGE_RATIO = 0.25
+"""Ratio of the latency target: minimum search time after a holder became unresponsive."""
 
 
 class StatementDeadlines:
-    """The moments of a statement whose waits are judged by use.
-
-    Only `give_up_at` and `turn_ends_at` move, each by the methods below.
+    """Time limits derived from the statement's timeout and latency target.
+
+    arrived: arrival of the statement. first_arrived: arrival of the first attempt if the session
+    holds a ticket of an earlier refusal, otherwise `arrived`. deadline: end of the route's timeout;
+    the client must have the reply before it. latest_start: latest start at a database that still
+    meets `deadline`. in_time_until: latest start that still meets the route's latency target,
+    counted from `first_arrived`. give_up_at: end of the search for a connection, initially
+    `latest_start`. target_wait_until: end of the wait at the current database, earlier if another
+    one can serve the read. Only the last two change, through the methods below.
     """
 
     __slots__ = (
-        "_moved_wait",
+        "_holder_change_seconds",
         "arrived",
         "deadline",
         "first_arrived",
         "give_up_at",
         "in_time_until",
         "latest_start",
-        "turn_ends_at",
+        "target_wait_until",
     )
 
     def __init__(self, arrived: float, route: Route, ticket: Ticket | None) -> None:
-        """`ticket`: of the session, from an earlier refusal."""
+        """`ticket`: issued to the session by an earlier refusal, None for none."""
         self.arrived = arrived
         self.first_arrived = arrival_of(ticket, route.priority, arrived)
         self.deadline = arrived + route.statement_timeout
-        self.latest_start = arrived + max(route.statement_timeout - WAY_SECONDS, 0.0)
-        self.in_time_until = self.first_arrived + route.target_latency - WAY_SECONDS
-        self.give_up_at = self._first_give_up_at()
-        self.turn_ends_at = self.give_up_at
-        self._moved_wait = route.target_latency * MOVED_WAIT_SHARE
+        self.latest_start = arrived + max(route.statement_timeout - NETWORK_ALLOWANCE_SECONDS, 0.0)
+        self.in_time_until = self.first_arrived + route.target_latency - NETWORK_ALLOWANCE_SECONDS
+        self.give_up_at = self._initial_give_up_at()
+        self.target_wait_until = self.give_up_at
+        self._holder_change_seconds = route.target_latency * HOLDER_CHANGE_RATIO
 
-    def _first_give_up_at(self) -> float:
+    def _initial_give_up_at(self) -> float:
         return self.latest_start
 
-    def in_queue(self, now: float) -> WaitDeadlines:
-        """Returns what the queue of a database is told, where the statement begins to wait now."""
-        return WaitDeadlines(self.first_arrived, now, self.in_time_until, self.turn_ends_at)
+    def queue_deadlines(self, now: float) -> WaitDeadlines:
+        """Returns the deadlines for the queue of a database that the statement enters now."""
+        return WaitDeadlines(self.first_arrived, now, self.in_time_until, self.target_wait_until)
 
     @property
-    def hold_until(self) -> float:
-        """Until when a read is kept for a replica that will have its position."""
-        return min(self.give_up_at, self.arrived + LONGEST_HOLD_SECONDS)
+    def replica_wait_until(self) -> float:
+        """End of the wait for a replica that has not yet applied the required position."""
+        return min(self.give_up_at, self.arrived + MAX_REPLICA_WAIT_SECONDS)
+
+    def begin_target_wait(self, now: float, alternative: Completion | None) -> None:
+        """Sets the end of the wait at the database that the statement tries now.
 
-    def begin_turn(self, now: float, alternative: Completion | None) -> None:
-        """It begins to wait before a target; `alternative` is what the next best takes, if any."""
-        self.turn_ends_at = self.give_up_at
+        alternative: expected completion at the next best database, None if there is none.
+        """
+        self.target_wait_until = self.give_up_at
         if alternative is not None:
-            turn = max(alternative.seconds * TURN_COMPLETIONS, LEAST_TURN_SECONDS)
-            self.turn_ends_at = min(self.give_up_at, now + turn)
+            wait_seconds = max(alternative.seconds * TARGET_WAIT_FACTOR, MIN_TARGET_WAIT_SECONDS)
+            self.target_wait_until = min(self.give_up_at, now + wait_seconds)
 
-    def wait_for_primary(self) -> None:
-        """There is no primary: it may wait for the next one."""
+    def extend_for_primary(self) -> None:
+        """Extends the search while the group has no primary."""
         self.give_up_at = max(self.give_up_at, self.latest_start)
 
-    def seek_next_holder(self, now: float) -> None:
-        """Its holder fell silent: it gets time to find another one."""
-        self.give_up_at = max(self.give_up_at, min(now + self._moved_wait, self.deadline))
+    def extend_for_next_holder(self, now: float) -> None:
+        """Extends the search after the holder of the connection became unresponsive."""
+        self.give_up_at = max(
+            self.give_up_at, min(now + self._holder_change_seconds, self.deadline)
+        )
 
-    def rerun(self) -> None:
-        """It is a read that is sent once more: all the time that is left is for that."""
+    def extend_for_rerun(self) -> None:
+        """Extends the search to the deadline for a read that is sent again."""
         self.give_up_at = self.deadline
 
-    def set_up_limit(self, now: float, is_queued_elsewhere: bool) -> float:
-        """Returns until when the answer to what prepares the connection is awaited.
+    def setup_deadline(self, now: float, is_queued_elsewhere: bool) -> float:
+        """Returns the end of the wait for the replies to the connection setup.
 
-        is_queued_elsewhere: whether another process may have it wait in its queue.
+        is_queued_elsewhere: whether the setup may wait in the queue of another process.
         """
         limit = now + SETUP_LIMIT_SECONDS
         if is_queued_elsewhere:
-            limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_SHARE)
+            limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_RATIO)
         return limit
 
-    def attempt_limit(self, sent_at: float, is_queued_elsewhere: bool) -> float:
-        """Returns until when the answer to a read that can be tried once more is awaited.
+    def attempt_deadline(self, sent_at: float, is_queued_elsewhere: bool) -> float:
+        """Returns the end of the wait for the reply to the first attempt of a read.
 
-        The answer to anything else is awaited until the deadline. sent_at: when it was sent.
+        All other attempts may last until `deadline`. sent_at: sending time of the read.
         """
-        share = QUEUED_READ_SHARE if is_queued_elsewhere else READ_ATTEMPT_SHARE
-        return sent_at + (self.deadline - sent_at) * share
+        ratio = QUEUED_READ_RATIO if is_queued_elsewhere else READ_ATTEMPT_RATIO
+        return sent_at + (self.deadline - sent_at) * ratio
 
     def slot_wait_until(self, limit: float) -> float:
-        """Returns until when a process that carries the connection may have the statement wait."""
-        return min(limit, self.turn_ends_at)
+        """Returns the end of the wait for a database slot at the holder of the connection."""
+        return min(limit, self.target_wait_until)
 
-    def tell_holder(self, connection: DatabaseConnection, is_pinned: bool, limit: float) -> None:
-        """Has the connection carry the moments that the process which holds it is told.
+    def set_connection_deadlines(
+        self, connection: DatabaseConnection, is_pinned: bool, limit: float
+    ) -> None:
+        """Sets on the connection the deadlines that its holder receives with each statement.
 
-        is_pinned: of a transaction that has its connection. It has cost work already: how long it
-        waits is the holder's to say.
+        is_pinned: whether an open transaction already uses the connection. Such a statement has no
+        limit here, since earlier work would be lost; the holder decides how long it waits.
         """
         connection.wait_until = math.inf if is_pinned else self.slot_wait_until(limit)
         connection.in_time_until = self.in_time_until
@@ -159,13 +147,16 @@
 
 
 class FixedDeadlines(StatementDeadlines):
-    """The moments of a statement that seeks a connection for a fixed time."""
+    """Time limits with a fixed search time; queues do not evaluate the wait.
+
+    The search lasts FIXED_WAIT_SECONDS, or until `latest_start` while the group has no primary.
+    """
 
     __slots__ = ()
 
-    def _first_give_up_at(self) -> float:
+    def _initial_give_up_at(self) -> float:
         return self.arrived + FIXED_WAIT_SECONDS
 
-    def in_queue(self, now: float) -> WaitDeadlines:
-        """Returns deadlines without an end: the queue does not judge the wait."""
+    def queue_deadlines(self, now: float) -> WaitDeadlines:
+        """Returns deadlines without a latest start, so that the queue does not limit the wait."""
         return WaitDeadlines(now, now)
--- a/src/dewledge/core/pooler/statements/statement_scope.py
+++ b/src/dewledge/core/pooler/statements/statement_scope.py
@@ -1,7 +1,4 @@
-"""What all parts of one statement share: a value, fixed from its arrival on.
-
-It owns nothing; ClientSession makes it.
-"""
+"""The immutable context of a statement, shared by all objects that process it."""
 
 import msgspec
 
@@ -9,15 +6,14 @@
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
-from dewledge.core.pooler.statements.retry_rule import Work
+from dewledge.core.pooler.statements.retry_rule import RetryClass
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
 
 class StatementScope(msgspec.Struct, frozen=True):
-    """One statement, its session and what serves it.
+    """A statement with its session, route, group and services.
 
-    writes: whether the statement writes. arrived: when the client's statement came (steady clock,
-    seconds).
+    writes: whether the statement writes. arrived: arrival at this process (steady clock, seconds).
     """
 
     services: PoolServices
@@ -34,8 +30,8 @@
         return self.statement.kind is StatementKind.COMMIT
 
     @property
-    def work(self) -> Work:
-        """What the statement is, by its session's transaction now."""
+    def retry_class(self) -> RetryClass:
+        """Kind of statement for the retry rule; depends on the session's current transaction."""
         if self.session.transaction is not None:
-            return Work.COMMIT if self.is_commit else Work.IN_TRANSACTION
-        return Work.WRITE if self.writes else Work.READ
+            return RetryClass.COMMIT if self.is_commit else RetryClass.IN_TRANSACTION
+        return RetryClass.WRITE if self.writes else RetryClass.READ
