--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -50,41 +50,41 @@
     """One operation that waits to be admitted. Times of the steady clock, in seconds."""
 
     __slots__ = (
-        "answer_by",
-        "accepted_wait",
+        "answer_deadline",
+        "max_wait",
         "caller",
-        "decided",
+        "on_decided",
         "is_over",
         "is_held",
         "number",
-        "until",
+        "hold_until",
         "urgency",
     )
 
-    def __init__(self, wish: Wish, now: float, number: int, decided: Decided) -> None:
+    def __init__(self, wish: Wish, now: float, number: int, on_decided: Decided) -> None:
         """`number`: of its key at the grantor; 0: no token is kept for it."""
         self.caller = wish.caller
         self.urgency = wish.urgency
         self.number = number
-        self.accepted_wait = 0.0
+        self.max_wait = 0.0
         """For so many seconds it may be held and still be in time."""
-        self.until = now
+        self.hold_until = now
         """It may be held for its token until then."""
-        self.answer_by = now
+        self.answer_deadline = now
         """A grantor has to have said something by then."""
         self.is_held = False
         """Whether it waits for the moment of its token now."""
-        self.decided = decided
+        self.on_decided = on_decided
         self.is_over = False
 
-    def allow_wait(self, until: float, accepted_wait: float) -> None:
+    def set_max_wait(self, hold_until: float, max_wait: float) -> None:
         """It may wait for its token."""
-        self.until = until
-        self.accepted_wait = accepted_wait
+        self.hold_until = hold_until
+        self.max_wait = max_wait
 
-    def expect_answer_by(self, moment: float) -> None:
+    def set_answer_deadline(self, deadline: float) -> None:
         """A grantor has to have said something by then."""
-        self.answer_by = moment
+        self.answer_deadline = deadline
 
     def hold(self) -> None:
         """It waits for the moment of its token from now on."""
@@ -102,7 +102,7 @@
         """Tells the outcome, once."""
         if not self.is_over:
             self.is_over = True
-            self.decided(refusal)
+            self.on_decided(refusal)
 
 
 class Admission(Protocol):
--- a/src/dewledge/core/pooler/rate_limits/caller_token_queues.py
+++ b/src/dewledge/core/pooler/rate_limits/caller_token_queues.py
@@ -13,9 +13,9 @@
 from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
+from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
 
-LEAST_URGENT = 7
+LOWEST_URGENCY = 7
 """Levels of urgency run from 0 (the most urgent) to this one; less urgent operations share its
 queue. Bounds the queues of a caller."""
 
@@ -45,34 +45,34 @@
         urgency: int,
         key: QueueKey | None,
         now: float,
-        filled_to: float,
-        share: float,
-        accepted_wait: float,
-    ) -> Given | Promised:
+        bucket_time: float,
+        fraction: float,
+        max_wait: float,
+    ) -> Granted | Deferred:
         """Gives a token, or the moment of one.
 
         urgency: 0 is the highest. Else as for a queue (token_queue.py).
         """
-        level = min(max(urgency, 0), LEAST_URGENT)
-        own = self._queue(level)
-        taken = self._taken_before(level, now) / share
-        own.bucket.set_aside(self._waiting_before(level), taken)
-        found = own.queue.ask(key, now, filled_to, share, accepted_wait)
-        if isinstance(found, Given) and not found.age:
-            own.demand.note(now)
+        level = min(max(urgency, 0), LOWEST_URGENCY)
+        own = self._queue_of(level)
+        taken = self._more_urgent_rate(level, now) / fraction
+        own.bucket.set_reserve(self._more_urgent_waiting(level), taken)
+        found = own.queue.ask(key, now, bucket_time, fraction, max_wait)
+        if isinstance(found, Granted) and not found.age:
+            own.demand.record(now)
         return found
 
-    def _queue(self, urgency: int) -> _UrgencyQueue:
+    def _queue_of(self, urgency: int) -> _UrgencyQueue:
         queue = self._queues.get(urgency)
         if queue is None:
             queue = self._queues[urgency] = _UrgencyQueue(self.bucket)
         return queue
 
-    def _waiting_before(self, urgency: int) -> int:
+    def _more_urgent_waiting(self, urgency: int) -> int:
         """Returns how many more urgent operations have a position."""
         return sum(len(each.queue) for other, each in self._queues.items() if other < urgency)
 
-    def _taken_before(self, urgency: int, now: float) -> float:
+    def _more_urgent_rate(self, urgency: int, now: float) -> float:
         """Returns how many tokens a second the more urgent have had lately."""
         queues = self._queues.items()
         return sum(each.demand.per_second(now) for other, each in queues if other < urgency)
--- a/src/dewledge/core/pooler/rate_limits/candidate_answers.py
+++ b/src/dewledge/core/pooler/rate_limits/candidate_answers.py
@@ -12,17 +12,17 @@
     """The last answer of each candidate to this process."""
 
     def __init__(self) -> None:
-        self._heard_at: dict[str, float] = {}
+        self._last_timestamp: dict[str, float] = {}
         self._answered_at: dict[str, float] = {}
 
-    def note(self, answer: QuotaAnswer, now: float) -> None:
+    def record(self, answer: QuotaAnswer, now: float) -> None:
         """Takes an answer that came now."""
-        self._heard_at[answer.sender] = answer.told_at
+        self._last_timestamp[answer.sender] = answer.told_at
         self._answered_at[answer.sender] = now
 
-    def heard_at(self, candidate: str) -> float | None:
+    def last_timestamp(self, candidate: str) -> float | None:
         """Returns what a candidate is to be told back of its own clock; None without an answer."""
-        return self._heard_at.get(candidate)
+        return self._last_timestamp.get(candidate)
 
     def answered_at(self, candidate: str) -> float:
         """Returns when a candidate answered last (own steady clock, seconds); -inf: never."""
--- a/src/dewledge/core/pooler/rate_limits/counted_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/counted_votes.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Collection
 
-VOTE_SECONDS = 1.0
+VOTE_LIFETIME_SECONDS = 1.0
 """Seconds for which a vote counts: two may be lost on the way without being missed; and so long a
 vote counts for a process that is gone."""
 
@@ -18,22 +18,24 @@
     """Of one slot."""
 
     def __init__(self) -> None:
-        self._until: dict[str, float] = {}
+        self._valid_until: dict[str, float] = {}
         """Until when the vote of each process counts."""
         self._withdrawn_at: dict[str, float] = {}
         """Votes of a process that echo an older answer were sent before it started anew."""
 
     def withdraw(self, asker: str, now: float) -> None:
         """Drops what a process sent before: it has just started and does not know it."""
-        self._until.pop(asker, None)
+        self._valid_until.pop(asker, None)
         self._withdrawn_at[asker] = now
 
-    def count(self, asker: str, heard_at: float) -> None:
+    def add(self, asker: str, echoed_at: float) -> None:
         """Counts a vote, unless it was sent before the asker withdrew what it had sent."""
-        if heard_at < self._withdrawn_at.get(asker, -math.inf):
+        if echoed_at < self._withdrawn_at.get(asker, -math.inf):
             return
-        self._until[asker] = max(self._until.get(asker, -math.inf), heard_at + VOTE_SECONDS)
+        self._valid_until[asker] = max(
+            self._valid_until.get(asker, -math.inf), echoed_at + VOTE_LIFETIME_SECONDS
+        )
 
-    def valid(self, voters: Collection[str], now: float) -> int:
+    def count_valid(self, voters: Collection[str], now: float) -> int:
         """Returns how many of the voters' votes count now."""
-        return sum(until > now for name, until in self._until.items() if name in voters)
+        return sum(until > now for name, until in self._valid_until.items() if name in voters)
--- a/src/dewledge/core/pooler/rate_limits/former_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/former_votes.py
@@ -14,42 +14,42 @@
 from dewledge.core.pooler.rate_limits.voter import Voter
 
 
-class FormerVotes:
+class PreviousVotes:
     """Times of the process's steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self.count_until = -math.inf
+        self.valid_until = -math.inf
         """At the latest; afterwards none counts."""
-        self._for_whom: dict[Slot, str] = {}
+        self._candidates: dict[Slot, str] = {}
         self._can_be_dropped = True
 
-    def leave(self, voters: Mapping[Slot, Voter], now: float) -> None:
+    def add(self, voters: Mapping[Slot, Voter], now: float) -> None:
         """Takes over the votes of voters that end now."""
-        if now >= self.count_until:
-            self._for_whom.clear()
+        if now >= self.valid_until:
+            self._candidates.clear()
             self._can_be_dropped = True
         for slot, voter in voters.items():
-            if voter.counted_until <= now:
+            if voter.vote_valid_until <= now:
                 continue
-            self.count_until = max(self.count_until, voter.counted_until)
+            self.valid_until = max(self.valid_until, voter.vote_valid_until)
             if voter.voted_for:
-                self._for_whom[slot] = voter.voted_for
+                self._candidates[slot] = voter.voted_for
             else:
                 # A vote of an earlier start of this process: it does not know whom that was for.
                 self._can_be_dropped = False
 
-    def to_be_dropped(self, now: float) -> Mapping[Slot, str]:
+    def droppable_votes(self, now: float) -> Mapping[Slot, str]:
         """Returns the process to ask to drop its vote, by slot; none where that frees no vote."""
-        if now >= self.count_until or not self._can_be_dropped:
+        if now >= self.valid_until or not self._can_be_dropped:
             return {}
-        return dict(self._for_whom)
+        return dict(self._candidates)
 
-    def take_dropped(self, slot: Slot, sender: str) -> bool:
+    def record_dropped(self, slot: Slot, sender: str) -> bool:
         """A process dropped a vote; returns whether that was the last one that may count."""
-        if self._for_whom.get(slot) != sender:
+        if self._candidates.get(slot) != sender:
             return False
-        del self._for_whom[slot]
-        if self._for_whom or not self._can_be_dropped:
+        del self._candidates[slot]
+        if self._candidates or not self._can_be_dropped:
             return False
-        self.count_until = -math.inf
+        self.valid_until = -math.inf
         return True
--- a/src/dewledge/core/pooler/rate_limits/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS, CountedVotes
-from dewledge.core.pooler.rate_limits.held_share import HeldShare
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS, CountedVotes
+from dewledge.core.pooler.rate_limits.held_share import VoteFraction
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import (
     QuotaAnswer,
@@ -23,7 +23,7 @@
     TokenWant,
 )
 from dewledge.core.pooler.rate_limits.slot_grants import SlotGrants
-from dewledge.core.pooler.rate_limits.slots import Slot, voters_after, voters_of
+from dewledge.core.pooler.rate_limits.slots import Slot, update_voters, voters_of
 from dewledge.core.shared.units import MILLISECONDS
 
 
@@ -45,11 +45,11 @@
 
     def __init__(self, policy: QuotaPolicy) -> None:
         self.votes = CountedVotes()
-        self.share = HeldShare()
-        self.grants = SlotGrants(policy, self.share)
+        self.vote_fraction = VoteFraction()
+        self.grants = SlotGrants(policy, self.vote_fraction)
         self._is_grantor = False
 
-    def change(self, is_grantor: bool) -> bool:
+    def set_granting(self, is_grantor: bool) -> bool:
         """This process grants from now on, or does not; returns whether that is a change."""
         has_changed = self._is_grantor != is_grantor
         self._is_grantor = is_grantor
@@ -61,14 +61,14 @@
 
     def __init__(
         self,
-        own_name: str,
+        process_name: str,
         policy: QuotaPolicy,
         record: Callable[[GrantorChanged], None] = lambda event: None,
     ) -> None:
-        self._own_name = own_name
+        self._process_name = process_name
         self._policy = policy
         self._record = record
-        self._members: frozenset[str] = frozenset({own_name})
+        self._members: frozenset[str] = frozenset({process_name})
         self._limits: Mapping[str, RateLimit] = {}
         self._slots: dict[Slot, _SlotState] = {}
         self._voters: dict[Slot, frozenset[str]] = {}
@@ -79,7 +79,7 @@
         if self._members == before:
             return
         self._voters = {
-            slot: voters_after(slot, voters, before, self._members)
+            slot: update_voters(slot, voters, before, self._members)
             for slot, voters in self._voters.items()
         }
 
@@ -87,8 +87,8 @@
         """Sets the limits; they hold from now on."""
         self._limits = limits
         for state in self._slots.values():
-            state.share.begin_anew()
-            state.grants.forget_others(limits)
+            state.vote_fraction.restart_filling()
+            state.grants.drop_unlimited(limits)
 
     def take_question(self, question: QuotaQuestion, now: float) -> QuotaAnswer:
         """Counts a vote and returns the answer."""
@@ -98,27 +98,27 @@
             state = self._slots[slot] = _SlotState(self._policy)
         if question.withdraws:
             state.votes.withdraw(question.asker, now)
-        self._note_share(slot, state, now)
+        self._update_vote_fraction(slot, state, now)
         if question.votes and question.heard_at is not None and question.heard_at <= now:
-            state.votes.count(question.asker, question.heard_at)
-        votes = state.votes.valid(self._voters_of(slot), now)
-        state.share.set(self._share_of(slot, votes))
-        if state.change(votes > 0):
+            state.votes.add(question.asker, question.heard_at)
+        votes = state.votes.count_valid(self._voters_of(slot), now)
+        state.vote_fraction.set(self._vote_fraction(slot, votes))
+        if state.set_granting(votes > 0):
             members = len(self._voters_of(slot))
             self._record(GrantorChanged(slot.count, slot.index, votes > 0, votes, members))
         grants: tuple[TokenGrant, ...] = ()
         if votes:
             grants = tuple(self._grant(state, question.asker, want, now) for want in question.wants)
-        return QuotaAnswer(self._own_name, question.number, slot, now, votes > 0, grants)
+        return QuotaAnswer(self._process_name, question.number, slot, now, votes > 0, grants)
 
-    def _share_of(self, slot: Slot, votes: int) -> float:
+    def _vote_fraction(self, slot: Slot, votes: int) -> float:
         return votes / max(len(self._voters_of(slot)), 1)
 
-    def _note_share(self, slot: Slot, state: _SlotState, now: float) -> None:
+    def _update_vote_fraction(self, slot: Slot, state: _SlotState, now: float) -> None:
         """Lets the buckets fill for the time until now; after a loss of votes they hold less."""
-        share = self._share_of(slot, state.votes.valid(self._voters_of(slot), now))
-        if state.share.note(share, now):
-            state.grants.shrink(self._limits, share)
+        share = self._vote_fraction(slot, state.votes.count_valid(self._voters_of(slot), now))
+        if state.vote_fraction.record(share, now):
+            state.grants.shrink_buckets(self._limits, share)
 
     def _voters_of(self, slot: Slot) -> Collection[str]:
         voters = self._voters.get(slot)
@@ -131,5 +131,5 @@
         limit = self._limits.get(want.caller)
         if limit is None:
             # This process has another configuration than who asks; the limit may be new.
-            return TokenGrant(want.caller, 0, int(VOTE_SECONDS * MILLISECONDS))
+            return TokenGrant(want.caller, 0, int(VOTE_LIFETIME_SECONDS * MILLISECONDS))
         return state.grants.grant(asker, want, limit, now)
--- a/src/dewledge/core/pooler/rate_limits/kept_tokens.py
+++ b/src/dewledge/core/pooler/rate_limits/kept_tokens.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.token_queue import REDEEM_SECONDS
+from dewledge.core.pooler.rate_limits.token_queue import REDEEM_TIMEOUT_SECONDS
 
-MAX_KEPT = 64
+MAX_RESERVATIONS = 64
 """Tokens kept for one session: as many as it may have statements without an answer."""
 
 
@@ -32,19 +32,21 @@
     """
 
     def __init__(self) -> None:
-        self._kept: deque[KeptToken] = deque(maxlen=MAX_KEPT)
+        self._reservations: deque[KeptToken] = deque(maxlen=MAX_RESERVATIONS)
 
     def keep(self, kept: KeptToken) -> None:
         """Keeps one more; the oldest goes if there are too many."""
-        self._kept.append(kept)
+        self._reservations.append(kept)
 
     def redeem(self, caller: str, now: float) -> KeptToken | None:
         """Returns the one of the caller whose moment is first, and keeps it no more."""
-        alive = [kept for kept in self._kept if now <= kept.return_at + REDEEM_SECONDS]
-        self._kept = deque(alive, maxlen=MAX_KEPT)
+        alive = [
+            kept for kept in self._reservations if now <= kept.return_at + REDEEM_TIMEOUT_SECONDS
+        ]
+        self._reservations = deque(alive, maxlen=MAX_RESERVATIONS)
         own = [kept for kept in alive if kept.caller == caller]
         if not own:
             return None
         first = min(own, key=lambda kept: kept.return_at)
-        self._kept.remove(first)
+        self._reservations.remove(first)
         return first
--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -14,21 +14,21 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.slots import CANDIDATES
+from dewledge.core.pooler.rate_limits.slots import CANDIDATES_PER_SLOT
 
-TOKEN_SECONDS = 0.25
+TOKEN_LIFETIME_SECONDS = 0.25
 """Seconds after it was asked for at which a token ends, so what is granted in a window may be used
 that much later. Some round trips between regions; each further second costs the bucket a second's
 rate."""
-BUCKET_SHARE = 0.8
+BUCKET_RATIO = 0.8
 """Ratio; share of what the bound leaves beside the steady rate, that may be granted at once.
 Nothing is set aside for changes of grantors: a new bucket begins empty. The rest of 1 is
 RESERVE_SHARE."""
-RESERVE_SHARE = 0.2
+RESERVE_RATIO = 0.2
 """Ratio; share of the same that all processes together may admit in a window without a grantor.
 Also those that vote may use theirs, when answers are lost, so it is left out of the buckets in any
 case."""
-LEAST_BUCKET = 1.0
+MIN_BUCKET_TOKENS = 1.0
 """Tokens: a bucket that holds less would give nothing."""
 
 
@@ -55,25 +55,27 @@
         steady = limit.rate * self.window + limit.burst
         return steady * (1 + self.overshoot) + self.slack
 
-    def spare(self, limit: RateLimit) -> float:
+    def headroom(self, limit: RateLimit) -> float:
         """Returns what the bound leaves beside the steady rate, late tokens included."""
-        steady = limit.rate * (self.window + TOKEN_SECONDS)
+        steady = limit.rate * (self.window + TOKEN_LIFETIME_SECONDS)
         return max(self.bound(limit) - steady, 0.0)
 
-    def bucket_size(self, limit: RateLimit, share: float = 1.0) -> float:
+    def bucket_size(self, limit: RateLimit, fraction: float = 1.0) -> float:
         """Returns how many tokens a grantor may give at once; one at least.
 
         share: of the rate that it gives out. Each candidate may hold the one, so that the others'
         are left out of what is divided.
         """
-        divided = self.spare(limit) * BUCKET_SHARE - (CANDIDATES - 1) * LEAST_BUCKET
-        return max(divided * share, LEAST_BUCKET)
+        divided = (
+            self.headroom(limit) * BUCKET_RATIO - (CANDIDATES_PER_SLOT - 1) * MIN_BUCKET_TOKENS
+        )
+        return max(divided * fraction, MIN_BUCKET_TOKENS)
 
     def reserve(self, limit: RateLimit, processes: int, rank: int) -> int:
         """Returns how many operations one process may admit in a window by itself.
 
         rank: its rank among the `processes`, from 0; the first ones take what is left over.
         """
-        whole = int(self.spare(limit) * RESERVE_SHARE)
+        whole = int(self.headroom(limit) * RESERVE_RATIO)
         each, left = divmod(whole, max(processes, 1))
         return each + (rank < left)
--- a/src/dewledge/core/pooler/rate_limits/local_allowance.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowance.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 
-CREDIT = 1.0
+MAX_CREDIT = 1.0
 """Operations of the share that may be saved up: one, which the reserve is less for; by the
 arithmetic of the bound."""
 
@@ -37,21 +37,21 @@
         voters = processes if voters is None else voters
         self._rate = limit.rate / voters if voters else 0.0
         reserve = policy.reserve(limit, processes, rank)
-        self._has_share = reserve >= 1 and self._rate * policy.window >= CREDIT
-        self._reserve = reserve - 1 if self._has_share else reserve
+        self._has_rate = reserve >= 1 and self._rate * policy.window >= MAX_CREDIT
+        self._reserve = reserve - 1 if self._has_rate else reserve
         self._credit = 0.0
         self._credited_until = now
         self._admitted: deque[float] = deque()
 
-    def take(self, now: float, counted_until: float) -> bool:
+    def admit(self, now: float, vote_valid_until: float) -> bool:
         """Tells whether one operation may begin, and counts it.
 
         counted_until: until then the vote of this process may count for a grantor, which then gives
         out its share.
         """
-        self._gain_credit(now, counted_until)
-        if self._credit >= CREDIT:
-            self._credit -= CREDIT
+        self._gain_credit(now, vote_valid_until)
+        if self._credit >= MAX_CREDIT:
+            self._credit -= MAX_CREDIT
             return True
         while self._admitted and self._admitted[0] <= now - self._window:
             self._admitted.popleft()
@@ -60,8 +60,8 @@
         self._admitted.append(now)
         return True
 
-    def _gain_credit(self, now: float, counted_until: float) -> None:
-        since = max(self._credited_until, counted_until)
-        if self._has_share and now > since:
-            self._credit = min(self._credit + (now - since) * self._rate, CREDIT)
+    def _gain_credit(self, now: float, vote_valid_until: float) -> None:
+        since = max(self._credited_until, vote_valid_until)
+        if self._has_rate and now > since:
+            self._credit = min(self._credit + (now - since) * self._rate, MAX_CREDIT)
         self._credited_until = max(now, self._credited_until)
--- a/src/dewledge/core/pooler/rate_limits/local_allowances.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -20,10 +20,10 @@
 class LocalAllowances:
     """By caller; each begins when it is needed first."""
 
-    def __init__(self, own_name: str, policy: QuotaPolicy) -> None:
-        self._own_name = own_name
+    def __init__(self, process_name: str, policy: QuotaPolicy) -> None:
+        self._process_name = process_name
         self._policy = policy
-        self._members: Collection[str] = frozenset({own_name})
+        self._members: Collection[str] = frozenset({process_name})
         self._limits: Mapping[str, RateLimit] = {}
         self._allowances: dict[str, LocalAllowance] = {}
 
@@ -40,7 +40,7 @@
             self._allowances = {}
         self._members = members
 
-    def take(self, caller: str, now: float, counted_until: float) -> bool:
+    def admit(self, caller: str, now: float, vote_valid_until: float) -> bool:
         """Tells whether one operation may begin, and counts it.
 
         counted_until: until then the vote of this process may count for a grantor.
@@ -50,20 +50,18 @@
             return True
         allowance = self._allowances.get(caller)
         if allowance is None:
-            allowance = self._begin(caller, limit, now)
+            allowance = self._create(caller, limit, now)
             self._allowances[caller] = allowance
-        return allowance.take(now, counted_until)
+        return allowance.admit(now, vote_valid_until)
 
-    def _begin(self, caller: str, limit: RateLimit, now: float) -> LocalAllowance:
+    def _create(self, caller: str, limit: RateLimit, now: float) -> LocalAllowance:
         processes = len(self._members)
-        rank = rank_of(self._own_name, caller, self._members)
-        return LocalAllowance(
-            limit, self._policy, processes, rank, now, self._voters_beside(caller)
-        )
+        rank = rank_of(self._process_name, caller, self._members)
+        return LocalAllowance(limit, self._policy, processes, rank, now, self._voter_count(caller))
 
-    def _voters_beside(self, caller: str) -> int:
+    def _voter_count(self, caller: str) -> int:
         """Returns among how many votes a slot's rates are divided; 0 where none is this one's."""
         slot = slot_of(caller, slot_count(len(self._members)))
-        if not is_voter(self._own_name, slot):
+        if not is_voter(self._process_name, slot):
             return 0
         return len(voters_of(slot, self._members))
--- a/src/dewledge/core/pooler/rate_limits/messages.py
+++ b/src/dewledge/core/pooler/rate_limits/messages.py
@@ -7,7 +7,7 @@
 
 from dewledge.core.pooler.rate_limits.slots import Slot
 
-BEARS_MOST_MS = 60_000
+MAX_WAIT_MS = 60_000
 """Milliseconds: an operation that may wait for longer than this may wait for as long as tokens are
 kept (KEPT_SECONDS of token_queue.py is far less); bounds the number in the message."""
 
@@ -25,7 +25,7 @@
     caller: str
     count: int = 1
     place: int = 0
-    bears_ms: int = BEARS_MOST_MS
+    bears_ms: int = MAX_WAIT_MS
     urgency: int = 0
 
 
--- a/src/dewledge/core/pooler/rate_limits/recent_demand.py
+++ b/src/dewledge/core/pooler/rate_limits/recent_demand.py
@@ -12,16 +12,16 @@
 
     def __init__(self) -> None:
         self._count = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """One more was taken."""
-        self._count = self._faded(now) + 1.0
-        self._at = now
+        self._count = self._decayed_count(now) + 1.0
+        self._updated_at = now
 
     def per_second(self, now: float) -> float:
         """Returns the steady rate that would have left the present count."""
-        return self._faded(now) * math.log(2) / HALF_LIFE_SECONDS
+        return self._decayed_count(now) * math.log(2) / HALF_LIFE_SECONDS
 
-    def _faded(self, now: float) -> float:
-        return self._count * math.exp2(-max(now - self._at, 0.0) / HALF_LIFE_SECONDS)
+    def _decayed_count(self, now: float) -> float:
+        return self._count * math.exp2(-max(now - self._updated_at, 0.0) / HALF_LIFE_SECONDS)
--- a/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
@@ -13,7 +13,7 @@
 """Seconds of the usual demand of what is more urgent that are set aside: some round trips between
 processes, in which one that was promised the next token comes for it. More is left over when a wave
 of demand ends."""
-LEAST_RATE_SHARE = 0.1
+MIN_RATE_RATIO = 0.1
 """Ratio; share of the rate to reckon with where the more urgent take nearly all of it: a moment has
 to be told, and what is told later than in ten times the usual is refused anyhow."""
 
@@ -24,9 +24,9 @@
     def __init__(self, bucket: TokenBucket) -> None:
         self._bucket = bucket
         self._reserve = 0.0
-        self._aside_rate = 0.0
+        self._reserved_rate = 0.0
 
-    def set_aside(self, waiting: int, rate: float) -> None:
+    def set_reserve(self, waiting_count: int, rate: float) -> None:
         """Sets how many tokens the less urgent operations do not get.
 
         waiting: how many more urgent operations have a position. rate: tokens that these usually
@@ -35,24 +35,24 @@
         token is always left to others.
         """
         usual = rate * RESERVE_SECONDS
-        wanted = waiting + usual + math.sqrt(usual)
+        wanted = waiting_count + usual + math.sqrt(usual)
         self._reserve = min(wanted, max(self._bucket.size - 1.0, 0.0))
-        self._aside_rate = rate
+        self._reserved_rate = rate
 
     @property
     def rate(self) -> float:
         """How many tokens come in a second for the less urgent operations."""
         whole = self._bucket.rate
-        return max(whole - self._aside_rate, whole * LEAST_RATE_SHARE)
+        return max(whole - self._reserved_rate, whole * MIN_RATE_RATIO)
 
     @property
     def size(self) -> float:
         """How many tokens the less urgent operations find at most."""
         return self._bucket.size - self._reserve
 
-    def take(self, wanted: int, now: float) -> int:
+    def acquire(self, wanted: int, now: float) -> int:
         """Returns how many tokens are given, `wanted` at most."""
-        return self._bucket.take(wanted, now)
+        return self._bucket.acquire(wanted, now)
 
     def holds(self, count: float, now: float) -> bool:
         """Tells whether there are so many tokens beside the reserve."""
--- a/src/dewledge/core/pooler/rate_limits/return_times.py
+++ b/src/dewledge/core/pooler/rate_limits/return_times.py
@@ -18,86 +18,88 @@
 
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 
-RETURN_SHARE = 0.5
+RETRY_RATIO = 0.5
 """Ratio; share of the rate for those that come back. With all of it whoever asks for the first time
 would be refused, and each operation would be served late."""
-RETURN_SECONDS = 5.0
+RETRY_HORIZON_SECONDS = 5.0
 """Seconds ahead for which moments are remembered; bounds their number at `rate` x RETURN_SHARE x
 this. Clients have some seconds for an operation."""
-LEAST_RETURN_SECONDS = 0.02
+MIN_RETRY_SECONDS = 0.02
 """Seconds that any wait for a token is told to last at least: a round trip between processes."""
-UNKNOWN_RETURN_MS = 500
+DEFAULT_RETRY_MS = 500
 """Milliseconds told where no grantor is known: about the time in which one is found."""
 
 
-def return_seconds(token_in: float) -> float:
+def retry_seconds(token_delay: float) -> float:
     """Returns the seconds that an operation is told whose token comes in `token_in` seconds."""
-    return max(token_in, LEAST_RETURN_SECONDS)
+    return max(token_delay, MIN_RETRY_SECONDS)
 
 
-class ReturnTimes:
+class RetryTimes:
     """Of one caller. Soft state: without it who comes back is last in the queue."""
 
     def __init__(self) -> None:
-        self._due_at: dict[QueueKey, float] = {}
+        self._retry_at: dict[QueueKey, float] = {}
         """Operations that may come back, in the order of their moments."""
         self._token_at: dict[QueueKey, float] = {}
         """Operations that came back and found no token yet, in the order in which they came."""
-        self._last = 0.0
-        self._spread_until = 0.0
+        self._last_retry_at = 0.0
+        self._last_unreserved_at = 0.0
 
     def __len__(self) -> int:
-        return len(self._due_at) + len(self._token_at)
+        return len(self._retry_at) + len(self._token_at)
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many came back and have no token yet: the next ones are theirs."""
         return len(self._token_at)
 
-    def due_at(self, key: QueueKey | None) -> float | None:
+    def retry_at(self, key: QueueKey | None) -> float | None:
         """Returns the moment that an operation was told or promised, None without one."""
         if key is None:
             return None
-        return self._token_at.get(key, self._due_at.get(key))
+        return self._token_at.get(key, self._retry_at.get(key))
 
-    def tell(self, key: QueueKey, now: float, earliest: float, rate: float) -> tuple[float, bool]:
+    def reserve_retry_time(
+        self, key: QueueKey, now: float, earliest: float, rate: float
+    ) -> tuple[float, bool]:
         """Returns a moment after all that were told, and whether it is the operation's own.
 
         Where so many were told that it would be too far ahead, it is last when it comes.
         rate: tokens a second that come in now.
         """
-        moment = max(earliest, self._last + 1.0 / (rate * RETURN_SHARE))
-        if moment > now + RETURN_SECONDS:
-            return now + RETURN_SECONDS, False
-        self._last = moment
-        self._due_at[key] = moment
+        moment = max(earliest, self._last_retry_at + 1.0 / (rate * RETRY_RATIO))
+        if moment > now + RETRY_HORIZON_SECONDS:
+            return now + RETRY_HORIZON_SECONDS, False
+        self._last_retry_at = moment
+        self._retry_at[key] = moment
         return moment, True
 
-    def spread(self, earliest: float, rate: float) -> float:
+    def next_unreserved_time(self, earliest: float, rate: float) -> float:
         """Returns a moment beyond the queue, later for each operation than for the one before.
 
         No token is kept for it. rate: tokens a second that come in now.
         """
-        self._spread_until = max(earliest, self._spread_until + 1.0 / rate)
-        return self._spread_until
+        self._last_unreserved_at = max(earliest, self._last_unreserved_at + 1.0 / rate)
+        return self._last_unreserved_at
 
-    def come(self, key: QueueKey, now: float) -> int:
+    def record_retry(self, key: QueueKey, now: float) -> int:
         """An operation is back; returns how many that were back before it have no token yet."""
-        self._due_at.pop(key, None)
+        self._retry_at.pop(key, None)
         self._token_at.setdefault(key, now)
         return next(ahead for ahead, other in enumerate(self._token_at) if other == key)
 
-    def wait(self, key: QueueKey, moment: float) -> None:
+    def set_token_time(self, key: QueueKey, moment: float) -> None:
         """An operation that is back has its token at a later moment."""
         self._token_at[key] = moment
 
-    def leave(self, key: QueueKey) -> None:
+    def remove(self, key: QueueKey) -> None:
         """An operation that is back has its token."""
         del self._token_at[key]
 
-    def drop_before(self, earliest: float) -> None:
+    def drop_expired(self, earliest: float) -> None:
         """Forgets operations that did not come back; their tokens are for the next."""
-        drop_before(self._due_at, earliest)
+        drop_before(self._retry_at, earliest)
         drop_before(self._token_at, earliest)
 
 
--- a/src/dewledge/core/pooler/rate_limits/standing_queue_watch.py
+++ b/src/dewledge/core/pooler/rate_limits/standing_queue_watch.py
@@ -11,68 +11,72 @@
 
 from collections import deque
 
-STANDING_SECONDS = 0.15
+ACCEPTABLE_WAIT_SECONDS = 0.15
 """Seconds of wait that are no fault: some round trips between processes, so that no token is left
 over while somebody waits. As the longest wait of a standing queue it left nothing that could be
 served after a wave of demand, so there the operation's own accepted
 wait counts."""
-BLOCK_SECONDS = 0.5
+INTERVAL_SECONDS = 0.5
 """Seconds of a span whose longest wait is compared with that of the span before."""
-BLOCKS = 3
+MIN_INTERVALS = 3
 """Intervals; spans one after the other in which a queue was longer than usual before it may be
 found to stand. What an outage held up comes within the first two of them."""
-DRAINING_PACE = 0.1
+MIN_DRAIN_RATE = 0.1
 """Seconds of wait by which a draining queue falls each second: usual demand leaves more of the rate
 than this, and the error of some tens of operations is smaller."""
-STANDING_AFTER_TOKENS = 20
+MIN_PERSISTENT_TOKENS = 20
 """Tokens in whose time a queue stands at least: the demand of a caller of few operations a second
 differs by chance for that long."""
-STANDING_AFTER_SECONDS = 2.0
+MIN_PERSISTENT_SECONDS = 2.0
 """Seconds for which a queue stands after an operation was too many: demand comes in waves of some
 seconds, and each one would else begin with operations that are late."""
 
 
-class StandingQueueWatch:
+class PersistentQueueDetector:
     """Of one queue. Times of the grantor's steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self._longest: deque[float] = deque(maxlen=BLOCKS)
+        self._max_waits: deque[float] = deque(maxlen=MIN_INTERVALS)
         """The longest wait in each of the last spans, the present one last."""
-        self._block_began_at = 0.0
-        self._stands_until = 0.0
+        self._interval_began_at = 0.0
+        self._persistent_until = 0.0
 
-    def stands(self, now: float) -> bool:
+    def is_persistent(self, now: float) -> bool:
         """Tells whether operations are to be held only while they wait shortly."""
-        return now < self._stands_until
+        return now < self._persistent_until
 
-    def note(self, wait: float, usual: float, now: float, gap: float = 0.0) -> None:
+    def record_wait(
+        self, wait: float, acceptable: float, now: float, token_interval: float = 0.0
+    ) -> None:
         """Takes in for how long an operation that comes now would wait for its token.
 
         usual: a wait up to which the queue is not too long. gap: the seconds in which a token
         comes; by so much waits differ by chance.
         """
-        if wait <= usual:
-            self._longest.clear()
-        elif not self._longest:
-            self._begin_block(wait, now)
-        elif now - self._block_began_at < BLOCK_SECONDS:
-            self._longest[-1] = max(self._longest[-1], wait)
+        if wait <= acceptable:
+            self._max_waits.clear()
+        elif not self._max_waits:
+            self._begin_interval(wait, now)
+        elif now - self._interval_began_at < INTERVAL_SECONDS:
+            self._max_waits[-1] = max(self._max_waits[-1], wait)
         else:
-            self._end_block(now, gap)
-            self._begin_block(wait, now)
+            self._end_interval(now, token_interval)
+            self._begin_interval(wait, now)
 
-    def note_too_many(self, now: float, gap: float = 0.0) -> None:
+    def mark_persistent(self, now: float, token_interval: float = 0.0) -> None:
         """An operation found the queue too long, though it is kept short."""
-        self._stands_until = now + max(STANDING_AFTER_SECONDS, STANDING_AFTER_TOKENS * gap)
+        self._persistent_until = now + max(
+            MIN_PERSISTENT_SECONDS, MIN_PERSISTENT_TOKENS * token_interval
+        )
 
-    def _begin_block(self, wait: float, now: float) -> None:
-        self._longest.append(wait)
-        self._block_began_at = now
+    def _begin_interval(self, wait: float, now: float) -> None:
+        self._max_waits.append(wait)
+        self._interval_began_at = now
 
-    def _end_block(self, now: float, gap: float) -> None:
-        if len(self._longest) < BLOCKS:
+    def _end_interval(self, now: float, token_interval: float) -> None:
+        if len(self._max_waits) < MIN_INTERVALS:
             return
-        falls = self._longest[-2] - self._longest[-1]
-        if falls < DRAINING_PACE * BLOCK_SECONDS + gap:
-            self.note_too_many(now, gap)
-            self._longest.clear()
+        falls = self._max_waits[-2] - self._max_waits[-1]
+        if falls < MIN_DRAIN_RATE * INTERVAL_SECONDS + token_interval:
+            self.mark_persistent(now, token_interval)
+            self._max_waits.clear()
--- a/src/dewledge/core/pooler/rate_limits/token_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/token_bucket.py
@@ -2,11 +2,11 @@
 
 from typing import Protocol
 
-ROUNDING = 1e-9
+ROUNDING_TOKENS = 1e-9
 """Tokens by which sums of many small gains may miss a whole one; floating point."""
 
 
-class Tokens(Protocol):
+class TokenSource(Protocol):
     """What gives tokens, as a queue of those who want them sees it."""
 
     @property
@@ -17,7 +17,7 @@
     def size(self) -> float:
         """How many tokens it holds at most."""
 
-    def take(self, wanted: int, now: float) -> int:
+    def acquire(self, wanted: int, now: float) -> int:
         """Returns how many tokens are given, `wanted` at most."""
 
     def holds(self, count: float, now: float) -> bool:
@@ -34,7 +34,7 @@
         self._rate = rate
         self._size = size
         self._tokens = min(tokens, size)
-        self._at = now
+        self._filled_at = now
 
     @property
     def rate(self) -> float:
@@ -53,17 +53,17 @@
         self._size = size
         self._tokens = min(self._tokens, size)
 
-    def take(self, wanted: int, now: float) -> int:
+    def acquire(self, wanted: int, now: float) -> int:
         """Returns how many tokens are given, `wanted` at most."""
         self._fill(now)
-        given = min(wanted, int(self._tokens + ROUNDING))
+        given = min(wanted, int(self._tokens + ROUNDING_TOKENS))
         self._tokens -= given
         return given
 
     def holds(self, count: float, now: float) -> bool:
         """Tells whether there are so many tokens."""
         self._fill(now)
-        return self._tokens >= count - ROUNDING
+        return self._tokens >= count - ROUNDING_TOKENS
 
     def seconds_until(self, count: float, now: float) -> float:
         """Returns in how many seconds so many have come, those given meanwhile included."""
@@ -71,5 +71,5 @@
         return max(count - self._tokens, 0.0) / self._rate
 
     def _fill(self, now: float) -> None:
-        self._tokens = min(self._tokens + (now - self._at) * self._rate, self._size)
-        self._at = max(now, self._at)
+        self._tokens = min(self._tokens + (now - self._filled_at) * self._rate, self._size)
+        self._filled_at = max(now, self._filled_at)
--- a/src/dewledge/core/pooler/rate_limits/token_wait.py
+++ b/src/dewledge/core/pooler/rate_limits/token_wait.py
@@ -10,13 +10,13 @@
 """
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
-from dewledge.core.pooler.rate_limits.return_times import return_seconds
+from dewledge.core.pooler.rate_limits.return_times import retry_seconds
 from dewledge.core.shared.service_rate import UsualTime
 
-SERVING_SMOOTHING = 0.05
+SERVING_SMOOTHING_RATIO = 0.05
 """Ratio; share of a new time in the running mean of serving times: the last some tens of operations
 count."""
-FIRST_SERVING_SECONDS = 0.2
+DEFAULT_SERVING_SECONDS = 0.2
 """Seconds of serving taken to be usual until one was measured: some round trips between regions and
 a connection."""
 FIXED_HOLD_SECONDS = 0.15
@@ -27,32 +27,34 @@
     """For how long operations may be held, from how long they take once they are admitted."""
 
     def __init__(self) -> None:
-        self._usual = UsualTime(SERVING_SMOOTHING)
+        self._serving_time = UsualTime(SERVING_SMOOTHING_RATIO)
 
     @property
     def serving_seconds(self) -> float:
         """What most operations need from their token to their answer."""
-        return self._usual.seconds or FIRST_SERVING_SECONDS
+        return self._serving_time.seconds or DEFAULT_SERVING_SECONDS
 
-    def note_served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         """Takes in the time from an operation's token to its first statement's answer."""
-        self._usual.note(seconds)
+        self._serving_time.note(seconds)
 
     def hold_seconds(self, statement_timeout: float) -> float:
         """Returns how long an operation may be held, so that it can be served after that."""
         return max(statement_timeout - self.serving_seconds, 0.0)
 
-    def accepted_seconds(self, target_latency: float, statement_timeout: float) -> float:
+    def max_wait_seconds(self, target_latency: float, statement_timeout: float) -> float:
         """Returns how long it may be held and still be answered in time and within its target."""
         return self.hold_seconds(min(target_latency, statement_timeout))
 
 
-def hold_or_refuse(now: float, until: float, token_in: float, refuses: bool = False) -> Verdict:
+def hold_or_refuse(
+    now: float, hold_until: float, token_delay: float, refuses: bool = False
+) -> Verdict:
     """Decides on an operation whose token comes in `token_in` seconds; it may be held to `until`.
 
     refuses: the grantor would not have it held. Times of the process's steady clock, in seconds.
     """
-    seconds = return_seconds(token_in)
-    if not refuses and now + seconds <= until:
+    seconds = retry_seconds(token_delay)
+    if not refuses and now + seconds <= hold_until:
         return WaitUntil(now + seconds)
     return Refuse(RefusalCause.OVER_LIMIT, seconds)
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -14,23 +14,23 @@
 from collections.abc import Sequence
 
 from dewledge.core.pooler.rate_limits.candidate_answers import CandidateAnswers
-from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS
 from dewledge.core.pooler.rate_limits.grantor_search import GrantorSearch
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
 from dewledge.core.pooler.rate_limits.vote_binding import VoteBinding
 
-SILENT_SECONDS = 0.7
+SILENCE_TIMEOUT_SECONDS = 0.7
 """Seconds without an answer after which a candidate is left for the next: two lost questions are
 survived."""
-SILENT_WITHOUT_VOTE_SECONDS = 0.09
+NON_VOTER_SILENCE_TIMEOUT_SECONDS = 0.09
 """Seconds of the same where no vote binds this process: two round trips between regions. Earlier
 candidates are asked beside the next one, so that one lost question costs a round trip."""
-UNVOTED_AGAIN_SECONDS = 0.1
+NON_GRANTOR_RETRY_SECONDS = 0.1
 """Seconds after which a candidate that said that it has no votes is asked again."""
-PROBE_SPACING_SECONDS = 1.0
+PROBE_INTERVAL_SECONDS = 1.0
 """Seconds between two questions to the candidates before the present one, which are gone back
 to."""
-DUE_SHARE = 0.8
+POLL_DUE_RATIO = 0.8
 """Ratio; share of the time between two questions after which the next one is due: what is nearly
 due is sent with what is due now."""
 
@@ -57,15 +57,15 @@
         withdrawing = candidates if has_vote and can_withdraw else ()
         self._binding = VoteBinding(self._answers, started_at, withdrawing)
         self._search = GrantorSearch(began_at, has_vote)
-        self._sent_at = -math.inf
+        self._asked_at = -math.inf
         """When a candidate was asked last."""
         self._unanswered_since = math.inf
         """When the present candidate was asked first after its last answer."""
-        self._ask_beside = False
+        self._allows_concurrent_questions = False
         """Whether all that come may ask the candidate, as nothing shows that it is no grantor."""
-        self._asked_since = began_at
+        self._selected_at = began_at
         """Since when the present candidate is asked."""
-        self._granting_at = -math.inf
+        self._confirmed_at = -math.inf
         """When a question was sent whose answer said that the candidate grants."""
         self._probe_after = began_at
 
@@ -75,9 +75,9 @@
         return self._candidates[self._index] if self._candidates else ""
 
     @property
-    def heard_at(self) -> float | None:
+    def last_timestamp(self) -> float | None:
         """What the candidate is to be told back of its own clock."""
-        return self._answers.heard_at(self.candidate)
+        return self._answers.last_timestamp(self.candidate)
 
     @property
     def candidates(self) -> Sequence[str]:
@@ -85,9 +85,9 @@
         return self._candidates
 
     @property
-    def counted_until(self) -> float:
+    def vote_valid_until(self) -> float:
         """Until then a vote of this process may count."""
-        return self._binding.counted_until
+        return self._binding.vote_valid_until
 
     @property
     def voted_for(self) -> str:
@@ -101,56 +101,56 @@
         if present in self._candidates:
             self._index = self._candidates.index(present)
         else:
-            self._move(0, now)
+            self._select(0, now)
 
     def may_vote(self, now: float) -> bool:
         """Tells whether a vote for the present candidate can count beside no earlier one."""
         return self._has_vote and self._binding.may_vote(self.candidate, now)
 
-    def note_question(self, now: float) -> None:
+    def record_question(self, now: float) -> None:
         """The present candidate is asked now."""
-        self._sent_at = now
+        self._asked_at = now
         self._unanswered_since = min(self._unanswered_since, now)
 
-    def note_vote(self) -> None:
+    def record_vote(self) -> None:
         """A vote for the present candidate is sent now."""
-        self._binding.note_vote(self.candidate)
+        self._binding.record_vote(self.candidate)
 
-    def free(self) -> None:
+    def clear_earlier_votes(self) -> None:
         """No vote from before this voter counts any more."""
-        self._binding.free()
+        self._binding.clear_earlier_votes()
 
-    def withdrawing_from(self, now: float) -> Sequence[str]:
+    def pending_withdrawals(self, now: float) -> Sequence[str]:
         """Returns the candidates that are to drop the earlier votes of this process."""
-        return self._binding.withdrawing_from(now)
+        return self._binding.pending_withdrawals(now)
 
-    def take_withdrawal(self, sender: str) -> bool:
+    def record_withdrawal(self, sender: str) -> bool:
         """A candidate has dropped the earlier votes; returns whether all have, just now."""
-        return self._binding.take_withdrawal(sender)
+        return self._binding.record_withdrawal(sender)
 
-    def want(self, now: float) -> None:
+    def record_waiting_operation(self, now: float) -> None:
         """An operation waits for a grantor."""
-        self._search.want(now)
+        self._search.record_waiting_operation(now)
 
-    def first_search_until(self, now: float, seconds: float) -> float:
+    def search_deadline(self, now: float, seconds: float) -> float:
         """Returns until when an operation may wait that finds no grantor known.
 
         seconds: for the search, once: not for each operation while there is none.
         """
-        if self.knows_grantor(now):
+        if self.has_grantor(now):
             return -math.inf
-        return self._search.first_until(now, seconds)
+        return self._search.wait_deadline(now, seconds)
 
-    def is_watched(self, now: float) -> bool:
+    def needs_polling(self, now: float) -> bool:
         """Tells whether the candidate is to be asked although no operation asks for a token."""
-        return self._search.is_watched(now)
+        return self._search.needs_polling(now)
 
-    def is_due(self, now: float, knows_spacing: float, search_spacing: float) -> bool:
+    def is_poll_due(self, now: float, grantor_interval: float, search_interval: float) -> bool:
         """Tells whether it is time to ask; operations' questions serve as well."""
-        spacing = knows_spacing if self.knows_grantor(now) else search_spacing
-        return now >= self._sent_at + spacing * DUE_SHARE
+        spacing = grantor_interval if self.has_grantor(now) else search_interval
+        return now >= self._asked_at + spacing * POLL_DUE_RATIO
 
-    def begin_to_ask(self, now: float) -> bool:
+    def may_ask_unconfirmed(self, now: float) -> bool:
         """Tells whether an operation may ask the candidate though it is not known to grant.
 
         Only where this process has no vote. One that does not answer is left for the next one.
@@ -160,59 +160,59 @@
         if self._has_vote:
             return False
         if self._is_silent(now):
-            self._move_on(now)
+            self._select_next(now)
             return True
         if self._unanswered_since < math.inf:
-            return self._ask_beside
-        self._ask_beside = not self.is_watched(now)
-        return now >= self._answers.answered_at(self.candidate) + UNVOTED_AGAIN_SECONDS
+            return self._allows_concurrent_questions
+        self._allows_concurrent_questions = not self.needs_polling(now)
+        return now >= self._answers.answered_at(self.candidate) + NON_GRANTOR_RETRY_SECONDS
 
-    def knows_grantor(self, now: float) -> bool:
+    def has_grantor(self, now: float) -> bool:
         """Tells whether the candidate granted a moment ago."""
-        return now < self._granting_at + VOTE_SECONDS
+        return now < self._confirmed_at + VOTE_LIFETIME_SECONDS
 
-    def take_answer(self, answer: QuotaAnswer, sent_at: float, now: float) -> None:
+    def handle_answer(self, answer: QuotaAnswer, sent_at: float, now: float) -> None:
         """Takes an answer to a question sent at `sent_at`."""
-        self._answers.note(answer, now)
+        self._answers.record(answer, now)
         if answer.sender != self.candidate:
-            self._take_earlier(answer, now)
+            self._return_to_earlier(answer, now)
             return
         self._unanswered_since = math.inf
         if answer.grants_here:
-            self._granting_at = max(self._granting_at, sent_at)
-            self._search.end()
+            self._confirmed_at = max(self._confirmed_at, sent_at)
+            self._search.record_found()
         elif not self._has_vote:
-            self._move_on(now)
+            self._select_next(now)
 
-    def _take_earlier(self, answer: QuotaAnswer, now: float) -> None:
+    def _return_to_earlier(self, answer: QuotaAnswer, now: float) -> None:
         """Goes back to a candidate that comes before the present one, if that is of use."""
         is_useful = self._has_vote or answer.grants_here
         if is_useful and answer.sender in self._candidates[: self._index]:
-            self._move(self._candidates.index(answer.sender), now)
+            self._select(self._candidates.index(answer.sender), now)
 
-    def look(self, now: float) -> Sequence[str]:
+    def check_candidates(self, now: float) -> Sequence[str]:
         """Leaves a candidate that is silent; returns the earlier ones to be asked for an answer."""
         if self._is_silent(now):
-            self._move_on(now)
+            self._select_next(now)
         if now < self._probe_after:
             return ()
-        self._probe_after = now + PROBE_SPACING_SECONDS
+        self._probe_after = now + PROBE_INTERVAL_SECONDS
         return self._candidates[: self._index]
 
     def _is_silent(self, now: float) -> bool:
         """Tells whether the candidate is to be left; one that was not asked is not silent."""
         if not self._has_vote:
-            return now > self._unanswered_since + SILENT_WITHOUT_VOTE_SECONDS
-        heard = max(self._asked_since, self._answers.answered_at(self.candidate))
-        return now > heard + SILENT_SECONDS
+            return now > self._unanswered_since + NON_VOTER_SILENCE_TIMEOUT_SECONDS
+        heard = max(self._selected_at, self._answers.answered_at(self.candidate))
+        return now > heard + SILENCE_TIMEOUT_SECONDS
 
-    def _move_on(self, now: float) -> None:
-        self._ask_beside = False
+    def _select_next(self, now: float) -> None:
+        self._allows_concurrent_questions = False
         if len(self._candidates) > 1:
-            self._move((self._index + 1) % len(self._candidates), now)
+            self._select((self._index + 1) % len(self._candidates), now)
 
-    def _move(self, index: int, now: float) -> None:
+    def _select(self, index: int, now: float) -> None:
         self._index = index
-        self._asked_since = now
+        self._selected_at = now
         self._unanswered_since = math.inf
-        self._granting_at = -math.inf
+        self._confirmed_at = -math.inf
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -13,12 +13,12 @@
 
 DEFAULT_WEIGHT = 1.0
 """Weight of a caller without a weight of its own, relative to the others."""
-MOST_STALE = 8
+MAX_STALE_FACTOR = 8
 """Entries; notes for each remembered caller of when it can be forgotten, beyond which they are made
 anew: so that callers who come and leave unserved are bounded by their number."""
 
 
-class _Share(msgspec.Struct):
+class _CallerShare(msgspec.Struct):
     """tag: the virtual time at which the caller's next one starts. waiting: how many wait."""
 
     tag: float
@@ -35,8 +35,8 @@
 
     def __init__(self) -> None:
         self.virtual_time = 0.0
-        self._shares: dict[str, _Share] = {}
-        self._resting: list[tuple[float, str]] = []
+        self._shares: dict[str, _CallerShare] = {}
+        self._idle: list[tuple[float, str]] = []
         self._waiting = 0
 
     def __len__(self) -> int:
@@ -54,7 +54,7 @@
 
     def join(self, caller: str, weight: float = DEFAULT_WEIGHT) -> None:
         """One more of a caller waits; `weight`: its share, above 0."""
-        share = self._shares.setdefault(caller, _Share(self.virtual_time, weight))
+        share = self._shares.setdefault(caller, _CallerShare(self.virtual_time, weight))
         share.weight = weight
         share.waiting += 1
         self._waiting += 1
@@ -65,16 +65,16 @@
         share.waiting -= 1
         self._waiting -= 1
         if not self._waiting:
-            self._forget_all()
+            self._reset()
         elif not share.waiting:
-            self._rest(caller, share)
+            self._mark_idle(caller, share)
 
     def serve(self, caller: str, cost: float) -> None:
         """One of a caller that waited is served, at a cost."""
         share = self._shares[caller]
         self.virtual_time = max(self.virtual_time, share.tag)
         share.tag = self.virtual_time + cost / share.weight
-        self._forget_passed()
+        self._drop_passed()
         self.leave(caller)
 
     def settle(self, caller: str, extra: float) -> None:
@@ -88,31 +88,31 @@
         if share is None:
             if extra <= 0:
                 return
-            share = self._shares[caller] = _Share(self.virtual_time, DEFAULT_WEIGHT)
+            share = self._shares[caller] = _CallerShare(self.virtual_time, DEFAULT_WEIGHT)
         least = min(share.tag, self.virtual_time)
         share.tag = max(share.tag + extra / share.weight, least)
         if not share.waiting:
-            self._rest(caller, share)
+            self._mark_idle(caller, share)
 
-    def _rest(self, caller: str, share: _Share) -> None:
+    def _mark_idle(self, caller: str, share: _CallerShare) -> None:
         if share.tag <= self.virtual_time:
             del self._shares[caller]
             return
-        heapq.heappush(self._resting, (share.tag, caller))
-        if len(self._resting) > MOST_STALE * len(self._shares) + MOST_STALE:
-            self._resting = [
+        heapq.heappush(self._idle, (share.tag, caller))
+        if len(self._idle) > MAX_STALE_FACTOR * len(self._shares) + MAX_STALE_FACTOR:
+            self._idle = [
                 (each.tag, name) for name, each in self._shares.items() if not each.waiting
             ]
-            heapq.heapify(self._resting)
+            heapq.heapify(self._idle)
 
-    def _forget_passed(self) -> None:
-        while self._resting and self._resting[0][0] <= self.virtual_time:
-            _, caller = heapq.heappop(self._resting)
+    def _drop_passed(self) -> None:
+        while self._idle and self._idle[0][0] <= self.virtual_time:
+            _, caller = heapq.heappop(self._idle)
             share = self._shares.get(caller)
             if share is not None and not share.waiting and share.tag <= self.virtual_time:
                 del self._shares[caller]
 
-    def _forget_all(self) -> None:
+    def _reset(self) -> None:
         self.virtual_time = 0.0
         self._shares.clear()
-        self._resting.clear()
+        self._idle.clear()
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -3,10 +3,10 @@
 Owns running means of measured times, in seconds. Relies on its callers to measure; no clock here.
 """
 
-LARGEST_STEP = 10.0
+MAX_STEP_FACTOR = 10.0
 """Multiple of the mean that one measured time counts for at most: a process that was frozen
 measures its own standstill."""
-USUAL_DEVIATIONS = 2.0
+DEVIATIONS = 2.0
 """Deviations above the mean that most measured times do not exceed."""
 
 
@@ -28,7 +28,7 @@
         One of a process that was frozen meanwhile says nothing, so a single one counts as at most
         `LARGEST_STEP` times the mean; a database that did become slow soon shows all the same.
         """
-        bounded = min(duration, LARGEST_STEP * self._mean)
+        bounded = min(duration, MAX_STEP_FACTOR * self._mean)
         self._mean += self._smoothing * (bounded - self._mean)
 
     def expected_wait(self, ahead: float, slots: int) -> float:
@@ -47,7 +47,7 @@
     @property
     def seconds(self) -> float:
         """The estimate; 0 until a time was measured."""
-        return 0.0 if self._mean is None else self._mean + USUAL_DEVIATIONS * self._deviation
+        return 0.0 if self._mean is None else self._mean + DEVIATIONS * self._deviation
 
     def note(self, duration: float) -> None:
         """Takes in one measured time, seconds."""
--- a/tests/core/pooler/rate_limits/crowd.py
+++ b/tests/core/pooler/rate_limits/crowd.py
@@ -9,14 +9,14 @@
 import msgspec
 
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
-from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
+from dewledge.core.pooler.rate_limits.standing_queue_watch import ACCEPTABLE_WAIT_SECONDS
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
+from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
 
 AT_ONCE_SECONDS = 0.1
 """Clients that do not heed what they are told ask again after this, twice."""
 TRIES = 3
-BEARS = 2 * STANDING_SECONDS
+BEARS = 2 * ACCEPTABLE_WAIT_SECONDS
 """For so long operations may be held and still be in time, unless a test says otherwise."""
 
 
@@ -83,7 +83,7 @@
             operation.is_new_try = False
             operation.tried_at = now
             operation.is_back_as_told = as_told
-        if isinstance(found, Given):
+        if isinstance(found, Granted):
             operation.given_at = now
         elif found.is_kept:
             self._add(now + found.seconds + 1e-6, operation, False)
@@ -91,7 +91,7 @@
             operation.refused_again += as_told
             self._refused(now, operation, found)
 
-    def _refused(self, now: float, operation: Operation, found: Promised) -> None:
+    def _refused(self, now: float, operation: Operation, found: Deferred) -> None:
         operation.tries += 1
         operation.is_new_try = True
         if operation.tries > TRIES:
--- a/tests/core/pooler/rate_limits/test_admission.py
+++ b/tests/core/pooler/rate_limits/test_admission.py
@@ -188,7 +188,7 @@
         network.admitted.clear()
         network.run(5.0, HOT)
         for caller, limit in LIMITS.items():
-            most = int(network.policy.spare(limit) * 0.3 + limit.rate * 5.0)
+            most = int(network.policy.headroom(limit) * 0.3 + limit.rate * 5.0)
             self.assertLessEqual(len(network.admitted[caller]), most + 1)
 
 
--- a/tests/core/pooler/rate_limits/test_caller_token_queues.py
+++ b/tests/core/pooler/rate_limits/test_caller_token_queues.py
@@ -10,12 +10,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.caller_token_queues import LEAST_URGENT, CallerTokenQueues
+from dewledge.core.pooler.rate_limits.caller_token_queues import LOWEST_URGENCY, CallerTokenQueues
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.recent_demand import RecentDemand
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
-from dewledge.core.pooler.rate_limits.token_queue import Given, Promised, TokenQueue
+from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
 from tests.core.pooler.rate_limits.crowd import Crowd, Operation, steady
 
 RATE = 20.0
@@ -37,7 +37,7 @@
 
     def ask(
         self, key: QueueKey, now: float, filled_to: float, share: float, bears: float
-    ) -> Given | Promised:
+    ) -> Granted | Deferred:
         return self._queues.ask(self._urgency(key.number), key, now, filled_to, share, bears)
 
 
@@ -176,8 +176,8 @@
             now += pause
             key = QueueKey("process", number)
             found = queues.ask(urgency, key, now, now * share, share, 0.5)
-            given_count += isinstance(found, Given)
-            if isinstance(found, Promised):
+            given_count += isinstance(found, Granted)
+            if isinstance(found, Deferred):
                 self.assertGreater(found.seconds, 0.0)
             self.assertLessEqual(given_count, size + now * share * rate + 1e-6)
 
@@ -186,13 +186,13 @@
         queues = CallerTokenQueues(TokenBucket(2.0, 1.0, 1.0, 0.0))
         for number, urgency in enumerate((URGENT, OTHERS, URGENT, OTHERS)):
             found = queues.ask(urgency, QueueKey("p", number), number, number, 1.0, 0.5)
-            self.assertIsInstance(found, Given)
+            self.assertIsInstance(found, Granted)
 
     def test_queues_are_bounded(self) -> None:
         queues = CallerTokenQueues(TokenBucket(RATE, SIZE, SIZE, 0.0))
         for urgency in range(-50, 1000):
             queues.ask(urgency, QueueKey("p", urgency), 0.0, 0.0, 1.0, 0.5)
-        self.assertLessEqual(len(queues._queues), LEAST_URGENT + 1)
+        self.assertLessEqual(len(queues._queues), LOWEST_URGENCY + 1)
 
 
 class ReserveTest(unittest.TestCase):
@@ -206,14 +206,14 @@
         ):
             with self.subTest(name):
                 bucket = ReservedBucket(TokenBucket(RATE, SIZE, tokens, 0.0))
-                bucket.set_aside(waiting, aside)
+                bucket.set_reserve(waiting, aside)
                 self.assertAlmostEqual(bucket.size, size)
                 found = sum(bucket.holds(count, 0.0) for count in range(1, 16))
                 self.assertEqual(found, holds)
 
     def test_moments_are_reckoned_without_what_the_more_urgent_take(self) -> None:
         bucket = ReservedBucket(TokenBucket(RATE, SIZE, 6.0, 0.0))
-        bucket.set_aside(4, 4.0)
+        bucket.set_reserve(4, 4.0)
         needed = 4 + 4 + 0.4 + math.sqrt(0.4) - 6.0
         self.assertAlmostEqual(bucket.rate, 16.0)
         self.assertAlmostEqual(bucket.seconds_until(4, 0.0), needed / 16.0)
@@ -224,7 +224,7 @@
         demand = RecentDemand()
         self.assertEqual(demand.per_second(0.0), 0.0)
         for number in range(200):
-            demand.note(number / 10)
+            demand.record(number / 10)
         self.assertAlmostEqual(demand.per_second(20.0), 10.0, delta=0.5)
         self.assertLess(demand.per_second(30.0), 0.4)
 
--- a/tests/core/pooler/rate_limits/test_candidates.py
+++ b/tests/core/pooler/rate_limits/test_candidates.py
@@ -12,10 +12,10 @@
 from dewledge.core.pooler.rate_limits.messages import QuotaQuestion
 from dewledge.core.pooler.rate_limits.slots import (
     Slot,
-    candidates_after,
     candidates_of,
     slot_count,
-    voters_after,
+    update_candidates,
+    update_voters,
     voters_of,
 )
 from tests.core.pooler.rate_limits.counted_bytes import CountingNetwork
@@ -91,8 +91,8 @@
             for _ in range(200):
                 before = members
                 members = before ^ frozenset(chance.sample(names, chance.randrange(4)))
-                candidates = candidates_after(slot, candidates, before, members)
-                voters = voters_after(slot, voters, before, members)
+                candidates = update_candidates(slot, candidates, before, members)
+                voters = update_voters(slot, voters, before, members)
                 self.assertEqual(list(candidates), list(candidates_of(slot, members)))
                 self.assertEqual(voters, voters_of(slot, members))
 
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -6,15 +6,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS
 from dewledge.core.pooler.rate_limits.grantor import Grantor, GrantorChanged
-from dewledge.core.pooler.rate_limits.grantor_search import WANTED_SECONDS
+from dewledge.core.pooler.rate_limits.grantor_search import SEARCH_SECONDS
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowance import LocalAllowance
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion, TokenWant
 from dewledge.core.pooler.rate_limits.slots import (
-    PROCESSES_PER_SLOT,
-    VOTES_EACH,
+    MAX_PROCESSES_PER_SLOT,
+    SLOTS_PER_VOTER,
     Slot,
     candidates_of,
     rank_of,
@@ -24,10 +24,10 @@
     voting_slots,
 )
 from dewledge.core.pooler.rate_limits.voter import (
-    PROBE_SPACING_SECONDS,
-    SILENT_SECONDS,
-    SILENT_WITHOUT_VOTE_SECONDS,
-    UNVOTED_AGAIN_SECONDS,
+    NON_GRANTOR_RETRY_SECONDS,
+    NON_VOTER_SILENCE_TIMEOUT_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    SILENCE_TIMEOUT_SECONDS,
     Voter,
 )
 
@@ -60,7 +60,7 @@
             ("no answer was heard before", None, 10.0, False),
             ("just heard", 10.0, 10.0, True),
             ("heard not quite a vote's time ago", 10.0, 10.9, True),
-            ("heard a vote's time ago", 10.0, 10.0 + VOTE_SECONDS, False),
+            ("heard a vote's time ago", 10.0, 10.0 + VOTE_LIFETIME_SECONDS, False),
             ("heard in the time to come, by another machine of this name", 99.0, 10.0, False),
         )
         for name, heard_at, now, counts in cases:
@@ -196,41 +196,41 @@
 
     def answer(self, sender: str, now: float, grants: bool = True) -> None:
         answer = QuotaAnswer(sender, 1, SLOT, 1000.0 + now, grants)
-        self.voter.take_answer(answer, now - 0.04, now)
+        self.voter.handle_answer(answer, now - 0.04, now)
 
     def test_who_has_just_started_does_not_vote_for_a_votes_time(self) -> None:
         self.assertFalse(self.voter.may_vote(0.9))
         self.assertTrue(self.voter.may_vote(1.0))
 
     def test_or_until_all_candidates_have_dropped_its_earlier_votes(self) -> None:
-        self.assertEqual(self.voter.withdrawing_from(0.5), ["a", "b", "c"])
-        told = [self.voter.take_withdrawal(name) for name in ("a", "a", "b", "c")]
+        self.assertEqual(self.voter.pending_withdrawals(0.5), ["a", "b", "c"])
+        told = [self.voter.record_withdrawal(name) for name in ("a", "a", "b", "c")]
         self.assertEqual(told, [False, False, False, True])
         self.assertTrue(self.voter.may_vote(0.6))
 
     def test_votes_in_another_division_are_waited_for(self) -> None:
         """Nobody who may grant now can drop them."""
         voter = Voter(("a", "b", "c"), 0.0, 0.5, can_withdraw=False)
-        self.assertEqual(list(voter.withdrawing_from(0.5)), [])
+        self.assertEqual(list(voter.pending_withdrawals(0.5)), [])
         for name in ("a", "b", "c"):
-            voter.take_withdrawal(name)
+            voter.record_withdrawal(name)
         self.assertFalse(voter.may_vote(0.6))
         self.assertTrue(voter.may_vote(1.0))
 
     def test_it_votes_for_another_when_its_last_vote_cannot_count_any_more(self) -> None:
-        self.voter.note_vote()
+        self.voter.record_vote()
         self.answer("a", 5.0)
-        self.voter.look(5.0 + SILENT_SECONDS + 0.01)
+        self.voter.check_candidates(5.0 + SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
-        self.assertFalse(self.voter.may_vote(5.0 + VOTE_SECONDS - 0.01))
-        self.assertTrue(self.voter.may_vote(5.0 + VOTE_SECONDS))
+        self.assertFalse(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS - 0.01))
+        self.assertTrue(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS))
 
     def test_it_goes_back_to_an_earlier_candidate_that_answers(self) -> None:
-        self.voter.look(0.5 + SILENT_SECONDS + 0.01)
+        self.voter.check_candidates(0.5 + SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("b", 1.3)
         self.answer("b", 1.9)
-        self.assertEqual(self.voter.look(1.3 + PROBE_SPACING_SECONDS), ("a",))
+        self.assertEqual(self.voter.check_candidates(1.3 + PROBE_INTERVAL_SECONDS), ("a",))
         self.answer("c", 2.4)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("a", 2.5)
@@ -238,10 +238,10 @@
 
     def test_a_candidate_without_votes_is_no_grantor(self) -> None:
         self.answer("a", 2.0, grants=False)
-        self.assertFalse(self.voter.knows_grantor(2.1))
+        self.assertFalse(self.voter.has_grantor(2.1))
         self.answer("a", 2.2)
-        self.assertTrue(self.voter.knows_grantor(2.3))
-        self.assertFalse(self.voter.knows_grantor(2.2 + VOTE_SECONDS))
+        self.assertTrue(self.voter.has_grantor(2.3))
+        self.assertFalse(self.voter.has_grantor(2.2 + VOTE_LIFETIME_SECONDS))
 
 
 class AskingWithoutVoteTest(unittest.TestCase):
@@ -251,81 +251,81 @@
         self.voter = Voter(("a", "b", "c"), 0.0, 0.5, has_vote=False)
 
     def answer(self, sender: str, now: float) -> None:
-        self.voter.take_answer(QuotaAnswer(sender, 1, SLOT, 1000.0 + now, True), now - 0.04, now)
+        self.voter.handle_answer(QuotaAnswer(sender, 1, SLOT, 1000.0 + now, True), now - 0.04, now)
 
     def test_it_never_votes_nor_withdraws_and_is_quiet(self) -> None:
         self.assertFalse(self.voter.may_vote(50.0))
-        self.assertEqual(list(self.voter.withdrawing_from(0.5)), [])
-        self.assertFalse(self.voter.is_watched(50.0))
+        self.assertEqual(list(self.voter.pending_withdrawals(0.5)), [])
+        self.assertFalse(self.voter.needs_polling(50.0))
 
     def test_an_operation_asks_at_once_and_those_beside_it_too(self) -> None:
-        self.assertTrue(self.voter.begin_to_ask(9.0))
+        self.assertTrue(self.voter.may_ask_unconfirmed(9.0))
         self.assertEqual(self.voter.candidate, "a")
-        self.voter.note_question(9.0)
-        self.assertTrue(self.voter.begin_to_ask(9.01))
+        self.voter.record_question(9.0)
+        self.assertTrue(self.voter.may_ask_unconfirmed(9.01))
         self.answer("a", 9.05)
-        self.assertTrue(self.voter.knows_grantor(9.06))
+        self.assertTrue(self.voter.has_grantor(9.06))
 
     def test_it_goes_on_from_one_without_votes_until_one_has_some(self) -> None:
         for sender, now in (("a", 9.01), ("b", 9.02), ("c", 9.03)):
             self.assertEqual(self.voter.candidate, sender)
-            self.assertTrue(self.voter.begin_to_ask(now))
-            self.voter.note_question(now)
+            self.assertTrue(self.voter.may_ask_unconfirmed(now))
+            self.voter.record_question(now)
             answer = QuotaAnswer(sender, 1, SLOT, 1000.0 + now, False)
-            self.voter.take_answer(answer, now, now)
+            self.voter.handle_answer(answer, now, now)
         self.assertEqual(self.voter.candidate, "a")
-        self.assertFalse(self.voter.begin_to_ask(9.04))
-        self.assertTrue(self.voter.begin_to_ask(9.01 + UNVOTED_AGAIN_SECONDS))
+        self.assertFalse(self.voter.may_ask_unconfirmed(9.04))
+        self.assertTrue(self.voter.may_ask_unconfirmed(9.01 + NON_GRANTOR_RETRY_SECONDS))
 
     def test_an_earlier_candidate_is_gone_back_to_when_it_has_votes(self) -> None:
-        self.voter.note_question(9.0)
-        self.voter.look(9.0 + SILENT_WITHOUT_VOTE_SECONDS + 0.01)
+        self.voter.record_question(9.0)
+        self.voter.check_candidates(9.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
-        self.voter.take_answer(QuotaAnswer("a", 1, SLOT, 1009.2, False), 9.15, 9.2)
+        self.voter.handle_answer(QuotaAnswer("a", 1, SLOT, 1009.2, False), 9.15, 9.2)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("a", 9.3)
         self.assertEqual(self.voter.candidate, "a")
 
     def test_after_a_long_rest_the_candidate_that_answered_is_asked_again(self) -> None:
-        self.voter.note_question(9.0)
+        self.voter.record_question(9.0)
         self.answer("a", 9.05)
-        self.assertTrue(self.voter.begin_to_ask(90.0))
-        self.voter.look(90.0)
+        self.assertTrue(self.voter.may_ask_unconfirmed(90.0))
+        self.voter.check_candidates(90.0)
         self.assertEqual(self.voter.candidate, "a")
 
     def test_one_that_did_not_answer_is_left_first_and_probed(self) -> None:
-        self.voter.note_question(9.0)
-        self.assertTrue(self.voter.begin_to_ask(20.0))
+        self.voter.record_question(9.0)
+        self.assertTrue(self.voter.may_ask_unconfirmed(20.0))
         self.assertEqual(self.voter.candidate, "b")
-        self.assertEqual(self.voter.look(20.0), ("a",))
+        self.assertEqual(self.voter.check_candidates(20.0), ("a",))
 
     def test_one_that_was_not_asked_for_long_is_not_silent(self) -> None:
-        self.voter.note_question(9.0)
+        self.voter.record_question(9.0)
         self.answer("a", 9.05)
-        self.voter.look(50.0)
+        self.voter.check_candidates(50.0)
         self.assertEqual(self.voter.candidate, "a")
-        self.voter.note_question(50.0)
-        self.voter.look(50.0 + SILENT_WITHOUT_VOTE_SECONDS + 0.01)
+        self.voter.record_question(50.0)
+        self.voter.check_candidates(50.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
 
     def test_a_search_has_its_time_once(self) -> None:
-        self.assertEqual(self.voter.first_search_until(9.0, 0.8), 9.8)
-        self.voter.want(9.0)
-        self.voter.want(9.5)
-        self.assertEqual(self.voter.first_search_until(9.6, 0.8), 9.8)
+        self.assertEqual(self.voter.search_deadline(9.0, 0.8), 9.8)
+        self.voter.record_waiting_operation(9.0)
+        self.voter.record_waiting_operation(9.5)
+        self.assertEqual(self.voter.search_deadline(9.6, 0.8), 9.8)
         self.answer("a", 9.7)
-        self.assertLess(self.voter.first_search_until(9.7, 0.8), 9.7)
-        self.assertEqual(self.voter.first_search_until(20.0, 0.8), 20.8)
+        self.assertLess(self.voter.search_deadline(9.7, 0.8), 9.7)
+        self.assertEqual(self.voter.search_deadline(20.0, 0.8), 20.8)
 
     def test_it_is_looked_for_while_operations_wait_for_it(self) -> None:
-        self.voter.want(9.0)
-        self.assertTrue(self.voter.is_watched(9.5))
-        self.assertFalse(self.voter.is_watched(9.0 + WANTED_SECONDS))
+        self.voter.record_waiting_operation(9.0)
+        self.assertTrue(self.voter.needs_polling(9.5))
+        self.assertFalse(self.voter.needs_polling(9.0 + SEARCH_SECONDS))
 
 
 class OwnShareTest(unittest.TestCase):
     def admitted(self, share: LocalAllowance, seconds: float, counted_until: float) -> int:
-        return sum(share.take(step / 100, counted_until) for step in range(int(seconds * 100)))
+        return sum(share.admit(step / 100, counted_until) for step in range(int(seconds * 100)))
 
     def test_while_its_vote_may_count_a_process_has_its_reserve_alone(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
@@ -366,7 +366,7 @@
 
     @given(st.integers(1, 900))
     def test_no_slot_has_more_processes_than_it_may(self, processes: int) -> None:
-        self.assertLessEqual(processes / slot_count(processes), PROCESSES_PER_SLOT)
+        self.assertLessEqual(processes / slot_count(processes), MAX_PROCESSES_PER_SLOT)
 
     def test_up_to_two_slots_all_processes_vote_in_all(self) -> None:
         for count in (1, 2):
@@ -380,8 +380,10 @@
             names = [f"frontend-{number}" for number in range(processes)]
             count = slot_count(processes)
             voters = [voters_of(Slot(count, index), names) for index in range(count)]
-            self.assertEqual({len(set(voting_slots(name, count))) for name in names}, {VOTES_EACH})
-            self.assertEqual(sum(map(len, voters)), VOTES_EACH * processes)
+            self.assertEqual(
+                {len(set(voting_slots(name, count))) for name in names}, {SLOTS_PER_VOTER}
+            )
+            self.assertEqual(sum(map(len, voters)), SLOTS_PER_VOTER * processes)
             self.assertGreaterEqual(min(map(len, voters)), 16)
             self.assertLessEqual(max(map(len, voters)), 96)
 
--- a/tests/core/pooler/rate_limits/test_limits.py
+++ b/tests/core/pooler/rate_limits/test_limits.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.rate_limits.limits import (
-    BUCKET_SHARE,
-    LEAST_BUCKET,
-    TOKEN_SECONDS,
+    BUCKET_RATIO,
+    MIN_BUCKET_TOKENS,
+    TOKEN_LIFETIME_SECONDS,
     QuotaPolicy,
     RateLimit,
 )
-from dewledge.core.pooler.rate_limits.slots import CANDIDATES
+from dewledge.core.pooler.rate_limits.slots import CANDIDATES_PER_SLOT
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 
 limits = st.builds(RateLimit, st.floats(0.2, 2000), st.floats(0, 4000))
@@ -28,9 +28,11 @@
         reserves = sum(policy.reserve(limit, processes, rank) for rank in range(processes))
         whole_share = max(sum(shares), 1.0)
         buckets = sum(policy.bucket_size(limit, share / whole_share) for share in shares)
-        buckets = max(buckets, policy.bucket_size(limit) + (CANDIDATES - 1) * LEAST_BUCKET)
-        whole = limit.rate * (policy.window + TOKEN_SECONDS) + buckets + reserves
-        least = policy.spare(limit) * BUCKET_SHARE < CANDIDATES * LEAST_BUCKET
+        buckets = max(
+            buckets, policy.bucket_size(limit) + (CANDIDATES_PER_SLOT - 1) * MIN_BUCKET_TOKENS
+        )
+        whole = limit.rate * (policy.window + TOKEN_LIFETIME_SECONDS) + buckets + reserves
+        least = policy.headroom(limit) * BUCKET_RATIO < CANDIDATES_PER_SLOT * MIN_BUCKET_TOKENS
         if not least:
             self.assertLessEqual(whole, policy.bound(limit) * (1 + 1e-9))
 
@@ -69,7 +71,7 @@
         given_at: list[tuple[float, int]] = []
         for pause, wanted in asked:
             now += pause
-            given_at.append((now, bucket.take(wanted, now)))
+            given_at.append((now, bucket.acquire(wanted, now)))
         for first in range(len(given_at)):
             began = given_at[first][0]
             total = 0
@@ -80,8 +82,8 @@
     def test_a_lower_limit_holds_from_now_on(self) -> None:
         bucket = TokenBucket(100.0, 50.0, 50.0, 0.0)
         bucket.change(1.0, 3.0, 0.0)
-        self.assertEqual(bucket.take(50, 0.0), 3)
-        self.assertEqual(bucket.take(50, 2.0), 2)
+        self.assertEqual(bucket.acquire(50, 0.0), 3)
+        self.assertEqual(bucket.acquire(50, 2.0), 2)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_questions.py
+++ b/tests/core/pooler/rate_limits/test_questions.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.pooler.rate_limits.questions import FORGET_SECONDS, Questions
+from dewledge.core.pooler.rate_limits.questions import QUESTION_RETENTION_SECONDS, Questions
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.core.pooler.rate_limits.voter import Voter
 from tests.core.pooler.harness import ModelScheduler
@@ -37,20 +37,20 @@
         self.questions.withdraw(SLOT, "b")
         answer = answer_to(self.sent[0][1])
         self.assertTrue(self.questions.is_open(answer.number))
-        asked = self.questions.take(answer)
+        asked = self.questions.match_answer(answer)
         assert asked is not None
         self.assertTrue(asked.withdraws)
-        self.assertIsNone(self.questions.take(answer))
+        self.assertIsNone(self.questions.match_answer(answer))
         self.assertFalse(self.questions.is_open(answer.number))
 
     def test_a_question_without_an_answer_is_forgotten(self) -> None:
         self.questions.probe(SLOT, "b")
         answer = answer_to(self.sent[0][1])
         now = self.scheduler.now()
-        self.questions.forget_lost(now + FORGET_SECONDS)
+        self.questions.forget_unanswered(now + QUESTION_RETENTION_SECONDS)
         self.assertTrue(self.questions.is_open(answer.number))
-        self.questions.forget_lost(now + FORGET_SECONDS + 0.01)
-        self.assertIsNone(self.questions.take(answer))
+        self.questions.forget_unanswered(now + QUESTION_RETENTION_SECONDS + 0.01)
+        self.assertIsNone(self.questions.match_answer(answer))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_standing_queue.py
+++ b/tests/core/pooler/rate_limits/test_standing_queue.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
-from dewledge.core.pooler.rate_limits.return_times import RETURN_SECONDS, RETURN_SHARE
-from dewledge.core.pooler.rate_limits.standing_queue_watch import STANDING_SECONDS
-from dewledge.core.pooler.rate_limits.token_queue import KEPT_SECONDS, Promised
+from dewledge.core.pooler.rate_limits.return_times import RETRY_HORIZON_SECONDS, RETRY_RATIO
+from dewledge.core.pooler.rate_limits.standing_queue_watch import ACCEPTABLE_WAIT_SECONDS
+from dewledge.core.pooler.rate_limits.token_queue import RESERVATION_HORIZON_SECONDS, Deferred
 from tests.core.pooler.rate_limits.crowd import Crowd, by_chance, steady
 
 RATE = 20.0
@@ -33,7 +33,7 @@
                     ]
                     self.assertGreater(len(held), 0.45 * RATE * 15.0)
                     # Those that come back have up to every second token.
-                    self.assertLessEqual(max(held), 2 * STANDING_SECONDS + 1 / RATE + 0.01)
+                    self.assertLessEqual(max(held), 2 * ACCEPTABLE_WAIT_SECONDS + 1 / RATE + 0.01)
 
     def test_what_bears_to_wait_is_held_as_long_as_it_is_in_time(self) -> None:
         for bears in (0.3, 0.8, 1.6):
@@ -55,7 +55,7 @@
             waves = [steady(3 * RATE, begin, begin + 4.0) for begin in (0.0, 8.0, 16.0)]
             crowd.play([at for wave in waves for at in wave])
             served[bears] = sum(each.given_at is not None for each in crowd.operations)
-        least_gain = 2 * RATE * (1.6 - 0.3) * (1.0 - RETURN_SHARE)
+        least_gain = 2 * RATE * (1.6 - 0.3) * (1.0 - RETRY_RATIO)
         self.assertGreater(served[1.6], served[0.3] + 0.8 * least_gain)
 
     def test_also_of_a_caller_of_few_operations_that_come_by_chance(self) -> None:
@@ -121,10 +121,10 @@
     def test_moments_told_are_bounded_in_number_and_time(self) -> None:
         crowd = Crowd(RATE, 15.0, heeds=False)
         crowd.play(steady(10 * RATE, 0.0, 20.0))
-        self.assertLessEqual(len(crowd.queue.returns), RETURN_SECONDS * RATE)
+        self.assertLessEqual(len(crowd.queue.retries), RETRY_HORIZON_SECONDS * RATE)
         found = crowd.queue.ask(QueueKey("process", 0), 20.0, 20.0, 1.0)
-        assert isinstance(found, Promised)
-        self.assertLessEqual(found.seconds, RETURN_SECONDS)
+        assert isinstance(found, Deferred)
+        self.assertLessEqual(found.seconds, RETRY_HORIZON_SECONDS)
 
     def test_who_comes_before_its_moment_is_told_the_same_again(self) -> None:
         crowd = Crowd(RATE, 15.0, heeds=False)
@@ -133,17 +133,17 @@
         told: list[tuple[int, float]] = []
         for number in range(1000, 1020):
             found = queue.ask(QueueKey("process", number), 2.5, 2.5, 1.0)
-            if isinstance(found, Promised) and found.is_own:
+            if isinstance(found, Deferred) and found.is_own:
                 told.append((number, found.seconds))
         self.assertGreater(len(told), 0)
         for number, seconds in told:
             again = queue.ask(QueueKey("process", number), 2.5, 2.5, 1.0)
-            self.assertEqual(again, Promised(seconds, False, True, True))
+            self.assertEqual(again, Deferred(seconds, False, True, True))
 
     def test_a_token_of_one_that_came_back_and_left_is_for_the_next(self) -> None:
         crowd = Crowd(RATE, 1.0, heeds=False)
         crowd.play(steady(3 * RATE, 0.0, 4.0))
-        crowd.queue.returns.come(QueueKey("process", 5000), 8.0)
+        crowd.queue.retries.record_retry(QueueKey("process", 5000), 8.0)
         crowd.play(steady(3 * RATE, 8.0, 11.0))
         self.assertGreaterEqual(crowd.given_between(8.0, 11.0), 0.95 * RATE * 3.0 - 2)
 
@@ -175,7 +175,9 @@
         crowd.play(sorted([*together, *steady(usual * rate, 0.0, 6.0)]))
         refused = [each for each in crowd.operations if each.tries > 1]
         self.assertEqual(refused, [])
-        self.assertLessEqual(max(each.held for each in crowd.operations), KEPT_SECONDS)
+        self.assertLessEqual(
+            max(each.held for each in crowd.operations), RESERVATION_HORIZON_SECONDS
+        )
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_standing_queue_watch.py
+++ b/tests/core/pooler/rate_limits/test_standing_queue_watch.py
@@ -4,20 +4,20 @@
 from collections.abc import Callable
 
 from dewledge.core.pooler.rate_limits.standing_queue_watch import (
-    STANDING_AFTER_SECONDS,
-    STANDING_SECONDS,
-    StandingQueueWatch,
+    ACCEPTABLE_WAIT_SECONDS,
+    MIN_PERSISTENT_SECONDS,
+    PersistentQueueDetector,
 )
 
 STEP = 0.02
 
 
-def watch_of(wait: Callable[[float], float], seconds: float) -> StandingQueueWatch:
+def watch_of(wait: Callable[[float], float], seconds: float) -> PersistentQueueDetector:
     """Returns a watch that has seen the waits of operations at equal distances."""
-    watch = StandingQueueWatch()
+    watch = PersistentQueueDetector()
     for number in range(int(seconds / STEP)):
         now = number * STEP
-        watch.note(wait(now), STANDING_SECONDS, now)
+        watch.record_wait(wait(now), ACCEPTABLE_WAIT_SECONDS, now)
     return watch
 
 
@@ -38,19 +38,19 @@
         )
         for name, wait, expected in cases:
             with self.subTest(name):
-                self.assertIs(watch_of(wait, 3.0).stands(3.0), expected)
+                self.assertIs(watch_of(wait, 3.0).is_persistent(3.0), expected)
 
     def test_it_takes_longer_than_what_an_outage_piles_up_needs_to_come(self) -> None:
-        self.assertFalse(watch_of(lambda now: 1.0, 1.4).stands(1.4))
-        self.assertTrue(watch_of(lambda now: 1.0, 1.6).stands(1.6))
+        self.assertFalse(watch_of(lambda now: 1.0, 1.4).is_persistent(1.4))
+        self.assertTrue(watch_of(lambda now: 1.0, 1.6).is_persistent(1.6))
 
     def test_it_stands_until_nobody_found_it_too_long_for_a_while(self) -> None:
         watch = watch_of(lambda now: 1.0, 1.6)
-        watch.note(0.0, STANDING_SECONDS, 1.7)
-        self.assertTrue(watch.stands(1.7))
-        watch.note_too_many(3.0)
-        self.assertTrue(watch.stands(3.0 + STANDING_AFTER_SECONDS - 0.01))
-        self.assertFalse(watch.stands(3.0 + STANDING_AFTER_SECONDS + 0.01))
+        watch.record_wait(0.0, ACCEPTABLE_WAIT_SECONDS, 1.7)
+        self.assertTrue(watch.is_persistent(1.7))
+        watch.mark_persistent(3.0)
+        self.assertTrue(watch.is_persistent(3.0 + MIN_PERSISTENT_SECONDS - 0.01))
+        self.assertFalse(watch.is_persistent(3.0 + MIN_PERSISTENT_SECONDS + 0.01))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_token_queue.py
+++ b/tests/core/pooler/rate_limits/test_token_queue.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.rate_limits.limits import TOKEN_SECONDS
+from dewledge.core.pooler.rate_limits.limits import TOKEN_LIFETIME_SECONDS
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import (
-    KEPT_SECONDS,
-    REDEEM_SECONDS,
-    Given,
-    Promised,
+    REDEEM_TIMEOUT_SECONDS,
+    RESERVATION_HORIZON_SECONDS,
+    Deferred,
+    Granted,
     TokenQueue,
 )
 
@@ -28,12 +28,12 @@
 
 
 class LineTest(unittest.TestCase):
-    def ask(self, queue: TokenQueue, number: int, now: float) -> Given | Promised:
+    def ask(self, queue: TokenQueue, number: int, now: float) -> Granted | Deferred:
         return queue.ask(key(number) if number else None, now, now, 1.0)
 
-    def promised(self, queue: TokenQueue, number: int, now: float) -> Promised:
+    def promised(self, queue: TokenQueue, number: int, now: float) -> Deferred:
         found = self.ask(queue, number, now)
-        assert isinstance(found, Promised)
+        assert isinstance(found, Deferred)
         return found
 
     def test_moments_come_one_after_the_other(self) -> None:
@@ -51,14 +51,14 @@
         self.assertFalse(any(each.is_kept for each in told))
         for earlier, later in zip(told, told[1:], strict=False):
             self.assertAlmostEqual(later.seconds - earlier.seconds, 1 / RATE)
-        self.assertGreater(told[0].seconds, KEPT_SECONDS)
-        self.assertEqual(len(queue), KEPT_SECONDS * RATE)
+        self.assertGreater(told[0].seconds, RESERVATION_HORIZON_SECONDS)
+        self.assertEqual(len(queue), RESERVATION_HORIZON_SECONDS * RATE)
 
     def test_who_asks_first_while_a_token_is_kept_for_another_does_not_get_it(self) -> None:
         queue = queue_of()
         self.promised(queue, 1, 0.0)
-        self.assertIsInstance(self.ask(queue, 2, 0.1), Promised)
-        self.assertIsInstance(self.ask(queue, 1, 0.1), Given)
+        self.assertIsInstance(self.ask(queue, 2, 0.1), Deferred)
+        self.assertIsInstance(self.ask(queue, 1, 0.1), Granted)
 
     def test_a_lost_answer_makes_no_second_position(self) -> None:
         queue = queue_of()
@@ -69,25 +69,25 @@
     def test_what_is_not_claimed_goes_to_the_next(self) -> None:
         queue = queue_of()
         self.promised(queue, 1, 0.0)
-        late = 0.1 + REDEEM_SECONDS + 0.01
-        self.assertIsInstance(self.ask(queue, 2, late), Given)
+        late = 0.1 + REDEEM_TIMEOUT_SECONDS + 0.01
+        self.assertIsInstance(self.ask(queue, 2, late), Granted)
         self.assertEqual(len(queue), 0)
 
     def test_those_before_who_do_not_come_delay_nobody(self) -> None:
         queue = queue_of(size=1.0)
         for number in (1, 2, 3, 4):
             self.promised(queue, number, 0.0)
-        self.assertIsInstance(self.ask(queue, 4, 0.4), Given)
+        self.assertIsInstance(self.ask(queue, 4, 0.4), Granted)
 
     def test_with_a_smaller_share_the_moment_moves(self) -> None:
         queue = queue_of()
         self.promised(queue, 1, 0.0)
         found = queue.ask(key(1), 0.1, 0.05, 0.5)
-        assert isinstance(found, Promised)
+        assert isinstance(found, Deferred)
         self.assertAlmostEqual(found.seconds, 0.1)
 
 
-Asked = list[tuple[float, int]]
+PendingQuestion = list[tuple[float, int]]
 
 
 class RandomLineTest(unittest.TestCase):
@@ -99,7 +99,7 @@
         st.lists(st.tuples(st.floats(0, 0.2), st.integers(0, 3)), min_size=1, max_size=80),
     )
     def test_who_comes_back_as_told_is_served_in_the_order_of_arrival(
-        self, rate: float, size: float, asked: Asked
+        self, rate: float, size: float, asked: PendingQuestion
     ) -> None:
         """Whoever else asks meanwhile, with (0 to 2) or without (3) a key."""
         queue = queue_of(size, 0.0, rate)
@@ -109,12 +109,12 @@
         for number, (pause, kind) in enumerate(asked, start=1):
             now = self.come_back(queue, due, served, now, now + pause)
             found = queue.ask(None if kind == 3 else key(number), now, now, 1.0)
-            if isinstance(found, Promised) and found.is_kept:
+            if isinstance(found, Deferred) and found.is_kept:
                 due.append((now + found.seconds + 1e-6, number))
-            elif isinstance(found, Given) and kind != 3:
+            elif isinstance(found, Granted) and kind != 3:
                 self.assertEqual(due, [], "passed one who stands before it")
         count = len(due)
-        self.come_back(queue, due, served, now, now + 2 * KEPT_SECONDS)
+        self.come_back(queue, due, served, now, now + 2 * RESERVATION_HORIZON_SECONDS)
         self.assertEqual(due, [])
         self.assertGreaterEqual(len(served), count)
         self.assertEqual(served, sorted(served))
@@ -130,7 +130,7 @@
         while due and due[0][0] <= end:
             at, number = due.pop(0)
             now = max(at, now)
-            self.assertIsInstance(queue.ask(key(number), now, now, 1.0), Given)
+            self.assertIsInstance(queue.ask(key(number), now, now, 1.0), Granted)
             served.append(number)
         return max(end, now)
 
@@ -139,7 +139,9 @@
         st.floats(1, 100),
         st.lists(st.tuples(st.floats(0, 0.7), st.integers(0, 20)), min_size=1, max_size=80),
     )
-    def test_no_token_is_lost_or_given_twice(self, rate: float, size: float, asked: Asked) -> None:
+    def test_no_token_is_lost_or_given_twice(
+        self, rate: float, size: float, asked: PendingQuestion
+    ) -> None:
         """Keys come back at any moment, also after they were given or left."""
         queue = queue_of(size, 0.0, rate)
         now = 0.0
@@ -148,21 +150,21 @@
         for pause, number in asked:
             now += pause
             found = queue.ask(key(number) if number else None, now, now, 1.0)
-            is_again = number > 0 and last_given.get(number, -9.0) >= now - TOKEN_SECONDS
+            is_again = number > 0 and last_given.get(number, -9.0) >= now - TOKEN_LIFETIME_SECONDS
             if is_again:
-                self.assertEqual(found, Given(now - last_given[number]))
-            elif isinstance(found, Given):
+                self.assertEqual(found, Granted(now - last_given[number]))
+            elif isinstance(found, Granted):
                 given_at.append(now)
                 last_given[number] = now
             for first, began in enumerate(given_at):
                 most = (now - began) * rate + size + 1e-6
                 self.assertLessEqual(len(given_at) - first, most)
-            self.assertLessEqual(len(queue), rate * KEPT_SECONDS + size + 1)
-        now += KEPT_SECONDS + REDEEM_SECONDS + size / rate
+            self.assertLessEqual(len(queue), rate * RESERVATION_HORIZON_SECONDS + size + 1)
+        now += RESERVATION_HORIZON_SECONDS + REDEEM_TIMEOUT_SECONDS + size / rate
         queue.ask(key(1000), now, now, 1.0)
         self.assertEqual(len(queue), 0)
         left = 0
-        while isinstance(queue.ask(None, now, now, 1.0), Given):
+        while isinstance(queue.ask(None, now, now, 1.0), Granted):
             left += 1
         self.assertEqual(left, int(size + 1e-9) - 1)
 
--- a/tests/core/pooler/rate_limits/test_token_wait.py
+++ b/tests/core/pooler/rate_limits/test_token_wait.py
@@ -3,10 +3,10 @@
 import unittest
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.pooler.rate_limits.kept_tokens import MAX_KEPT, KeptToken, KeptTokens
-from dewledge.core.pooler.rate_limits.return_times import LEAST_RETURN_SECONDS
+from dewledge.core.pooler.rate_limits.kept_tokens import MAX_RESERVATIONS, KeptToken, KeptTokens
+from dewledge.core.pooler.rate_limits.return_times import MIN_RETRY_SECONDS
 from dewledge.core.pooler.rate_limits.token_wait import (
-    FIRST_SERVING_SECONDS,
+    DEFAULT_SERVING_SECONDS,
     HoldTimes,
     hold_or_refuse,
 )
@@ -16,11 +16,11 @@
     def test_each_case(self) -> None:
         over = RefusalCause.OVER_LIMIT
         cases = (
-            ("a token at once", 10.0, 11.0, 0.0, WaitUntil(10.0 + LEAST_RETURN_SECONDS)),
+            ("a token at once", 10.0, 11.0, 0.0, WaitUntil(10.0 + MIN_RETRY_SECONDS)),
             ("in time, late for the latency target", 10.0, 12.5, 2.0, WaitUntil(12.0)),
             ("at the last moment", 10.0, 12.0, 2.0, WaitUntil(12.0)),
             ("too late: at once, truly", 10.0, 11.9, 2.0, Refuse(over, 2.0)),
-            ("no time left", 10.0, 9.0, 0.0, Refuse(over, LEAST_RETURN_SECONDS)),
+            ("no time left", 10.0, 9.0, 0.0, Refuse(over, MIN_RETRY_SECONDS)),
         )
         for name, now, until, token_in, expected in cases:
             with self.subTest(name):
@@ -34,17 +34,17 @@
 class HoldTimesTest(unittest.TestCase):
     def test_the_time_of_serving_is_left(self) -> None:
         times = HoldTimes()
-        self.assertAlmostEqual(times.hold_seconds(1.0), 1.0 - FIRST_SERVING_SECONDS)
+        self.assertAlmostEqual(times.hold_seconds(1.0), 1.0 - DEFAULT_SERVING_SECONDS)
         for _ in range(200):
-            times.note_served(0.6)
+            times.record_served(0.6)
         self.assertAlmostEqual(times.hold_seconds(1.0), 0.4, delta=0.01)
         self.assertEqual(times.hold_seconds(0.5), 0.0)
 
     def test_before_a_standing_queue_the_target_counts(self) -> None:
         times = HoldTimes()
-        self.assertAlmostEqual(times.accepted_seconds(0.8, 3.0), 0.8 - FIRST_SERVING_SECONDS)
-        self.assertAlmostEqual(times.accepted_seconds(3.0, 1.0), 1.0 - FIRST_SERVING_SECONDS)
-        self.assertEqual(times.accepted_seconds(0.1, 3.0), 0.0)
+        self.assertAlmostEqual(times.max_wait_seconds(0.8, 3.0), 0.8 - DEFAULT_SERVING_SECONDS)
+        self.assertAlmostEqual(times.max_wait_seconds(3.0, 1.0), 1.0 - DEFAULT_SERVING_SECONDS)
+        self.assertEqual(times.max_wait_seconds(0.1, 3.0), 0.0)
 
 
 class KeptTokensTest(unittest.TestCase):
@@ -76,10 +76,10 @@
         self.assertEqual(self.number_at(11.0), 0)
 
     def test_they_are_bounded(self) -> None:
-        for number in range(4, 4 + 2 * MAX_KEPT):
+        for number in range(4, 4 + 2 * MAX_RESERVATIONS):
             self.kept.keep(KeptToken("north", number, 20.0))
-        found = [self.number_at(20.0) for _ in range(3 * MAX_KEPT)]
-        self.assertEqual(sum(number > 0 for number in found), MAX_KEPT)
+        found = [self.number_at(20.0) for _ in range(3 * MAX_RESERVATIONS)]
+        self.assertEqual(sum(number > 0 for number in found), MAX_RESERVATIONS)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_vote_binding.py
+++ b/tests/core/pooler/rate_limits/test_vote_binding.py
@@ -3,7 +3,7 @@
 import unittest
 
 from dewledge.core.pooler.rate_limits.candidate_answers import CandidateAnswers
-from dewledge.core.pooler.rate_limits.counted_votes import VOTE_SECONDS
+from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.core.pooler.rate_limits.vote_binding import VoteBinding
@@ -14,38 +14,38 @@
         self.answers = CandidateAnswers()
 
     def answer(self, sender: str, now: float) -> None:
-        self.answers.note(QuotaAnswer(sender, 1, Slot(1, 0), 500.0, False), now)
+        self.answers.record(QuotaAnswer(sender, 1, Slot(1, 0), 500.0, False), now)
 
     def test_the_last_answer_of_the_candidate_decides_until_when(self) -> None:
         binding = VoteBinding(self.answers, -10.0, ())
         self.answer("a", 3.0)
-        binding.note_vote("a")
+        binding.record_vote("a")
         self.answer("a", 4.0)
         self.answer("b", 9.0)
-        self.assertEqual(binding.counted_until, 4.0 + VOTE_SECONDS)
+        self.assertEqual(binding.vote_valid_until, 4.0 + VOTE_LIFETIME_SECONDS)
         self.assertTrue(binding.may_vote("a", 4.1))
-        self.assertFalse(binding.may_vote("b", 4.0 + VOTE_SECONDS - 0.01))
-        self.assertTrue(binding.may_vote("b", 4.0 + VOTE_SECONDS))
+        self.assertFalse(binding.may_vote("b", 4.0 + VOTE_LIFETIME_SECONDS - 0.01))
+        self.assertTrue(binding.may_vote("b", 4.0 + VOTE_LIFETIME_SECONDS))
 
     def test_after_a_start_earlier_votes_bind_until_all_candidates_have_dropped_them(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a", "b"))
-        self.assertFalse(binding.may_vote("a", VOTE_SECONDS - 0.01))
-        self.assertEqual(list(binding.withdrawing_from(0.1)), ["a", "b"])
-        self.assertFalse(binding.take_withdrawal("a"))
-        self.assertFalse(binding.take_withdrawal("a"))
-        self.assertTrue(binding.take_withdrawal("b"))
+        self.assertFalse(binding.may_vote("a", VOTE_LIFETIME_SECONDS - 0.01))
+        self.assertEqual(list(binding.pending_withdrawals(0.1)), ["a", "b"])
+        self.assertFalse(binding.record_withdrawal("a"))
+        self.assertFalse(binding.record_withdrawal("a"))
+        self.assertTrue(binding.record_withdrawal("b"))
         self.assertTrue(binding.may_vote("a", 0.2))
 
     def test_a_vote_given_meanwhile_binds_though_the_earlier_ones_were_dropped(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a",))
-        self.answer("b", VOTE_SECONDS)
-        binding.note_vote("b")
-        self.assertFalse(binding.take_withdrawal("a"))
-        self.assertFalse(binding.may_vote("a", VOTE_SECONDS + 0.1))
+        self.answer("b", VOTE_LIFETIME_SECONDS)
+        binding.record_vote("b")
+        self.assertFalse(binding.record_withdrawal("a"))
+        self.assertFalse(binding.may_vote("a", VOTE_LIFETIME_SECONDS + 0.1))
 
     def test_without_a_need_nobody_is_asked_to_drop_votes(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a",))
-        self.assertEqual(list(binding.withdrawing_from(VOTE_SECONDS)), [])
+        self.assertEqual(list(binding.pending_withdrawals(VOTE_LIFETIME_SECONDS)), [])
 
 
 if __name__ == "__main__":
