--- a/src/dewledge/core/pooler/rate_limits/__init__.py
+++ b/src/dewledge/core/pooler/rate_limits/__init__.py
@@ -1,12 +1,15 @@
-"""Rate limits of callers, counted over all processes together.
+"""Distributed rate limits: each caller's limit holds over all processes together.
 
-The bound is arithmetic: `limits`. The other modules, by where they are at work:
+`limits` divides a caller's limit between processes. The other modules, by where they run:
 
-- at the process that takes an operation: `admission`, `gate`, `token_wait`, `kept_tokens`;
-  without a grantor `local_allowances`, `local_allowance`;
-- whom that process asks and votes for: `slots`, `slot_voters`, `voter`, `vote_binding`,
-  `candidate_answers`, `grantor_search`, `former_votes`; the messages: `questions`, `messages`;
-- at the grantor: `grantor`, `counted_votes`, `held_share`, `slot_grants`;
-- a caller's operations there: `caller_token_queues`, `token_queue`, `queue_key`,
-  `standing_queue_watch`, `return_times`, `token_bucket`, `reserved_bucket`, `recent_demand`.
+- in the process that receives an operation: `admission`, `gate`, `token_wait`, `kept_tokens`;
+  without a grantor also `local_allowances`, `local_allowance`;
+- in every process, to choose which process to ask and vote for: `slots`, `slot_voters`, `voter`,
+  `vote_binding`, `candidate_answers`, `grantor_search`, `previous_votes`; the messages are in
+  `questions` and `messages`;
+- in the grantor, the process that grants tokens: `grantor`, `counted_votes`, `vote_fraction`,
+  `slot_grants`;
+- in the grantor, the queue of a caller's operations: `caller_token_queues`, `token_queue`,
+  `queue_key`, `persistent_queue_detector`, `retry_times`, `token_bucket`, `reserved_bucket`,
+  `recent_demand`.
 """
--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -1,7 +1,7 @@
-"""What asks for admission, and what it is told. The gate (gate.py) decides.
+"""Requests for admission and their outcomes; the gate (gate.py) decides.
 
-Owns the state of one operation that waits to be admitted. Relies on nothing but its caller: the
-session asks (operation_admission.py), the gate holds, admits or refuses it.
+A session requests admission for an operation (operation_admission.py); the gate admits, holds or
+refuses it.
 """
 
 import math
@@ -15,11 +15,11 @@
 
 
 class Wish(msgspec.Struct, frozen=True):
-    """An operation of `caller` that wants to begin.
+    """A request to admit an operation of `caller`.
 
-    statement_timeout: seconds, for waiting and serving. kept: the token that an earlier refusal in
-    its session left for this moment. keeps: whether tokens are kept and waited for; else it waits a
-    fixed time. target_latency: seconds, in which its answer is in time.
+    statement_timeout: seconds, for waiting and serving together. kept: the token reserved by an
+    earlier refusal in the session. keeps: whether tokens are reserved and waited for; otherwise the
+    operation waits a fixed time. target_latency: seconds within which its answer should arrive.
     urgency: of its route, 0 is the highest.
     """
 
@@ -32,9 +32,10 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An operation is not admitted; come_back_ms: when it may be.
+    """An operation is not admitted.
 
-    kept: to be shown by the session that comes back; None where no token is kept.
+    come_back_ms: milliseconds until the client should retry. kept: the reserved token that the
+    session presents with the retry; None if no token is reserved.
     """
 
     come_back_ms: int
@@ -47,7 +48,7 @@
 
 
 class Application:
-    """One operation that waits to be admitted. Times of the steady clock, in seconds."""
+    """An operation that waits to be admitted. Times are in seconds of the steady clock."""
 
     __slots__ = (
         "answer_deadline",
@@ -62,44 +63,45 @@
     )
 
     def __init__(self, wish: Wish, now: float, number: int, on_decided: Decided) -> None:
-        """`number`: of its key at the grantor; 0: no token is kept for it."""
+        """`number`: of the operation in its key at the grantor; 0: no token is reserved for it."""
         self.caller = wish.caller
         self.urgency = wish.urgency
         self.number = number
         self.max_wait = 0.0
-        """For so many seconds it may be held and still be in time."""
+        """Seconds for which the operation can be held and still meet its latency target."""
         self.hold_until = now
-        """It may be held for its token until then."""
+        """Latest time for which the operation may be held for its token."""
         self.answer_deadline = now
-        """A grantor has to have said something by then."""
+        """Latest time for a grantor's answer."""
         self.is_held = False
-        """Whether it waits for the moment of its token now."""
+        """Whether the operation waits until its token is available."""
         self.on_decided = on_decided
         self.is_over = False
 
     def set_max_wait(self, hold_until: float, max_wait: float) -> None:
-        """It may wait for its token."""
+        """Sets how long the operation may be held."""
         self.hold_until = hold_until
         self.max_wait = max_wait
 
     def set_answer_deadline(self, deadline: float) -> None:
-        """A grantor has to have said something by then."""
+        """Sets the latest time for a grantor's answer."""
         self.answer_deadline = deadline
 
     def hold(self) -> None:
-        """It waits for the moment of its token from now on."""
+        """Marks the operation as waiting until its token is available."""
         self.is_held = True
 
     def end_hold(self) -> None:
-        """The moment of its token has come."""
+        """Ends the wait: the token should be available now."""
         self.is_held = False
 
     def withdraw(self) -> None:
-        """Who asked is gone."""
+        """Cancels the request, because the client has disconnected; the callback is not called."""
         self.is_over = True
 
     def decide(self, refusal: Refusal | None) -> None:
-        """Tells the outcome, once."""
+        """Calls the callback with the outcome, unless it was called or the request was
+        cancelled."""
         if not self.is_over:
             self.is_over = True
             self.on_decided(refusal)
@@ -109,20 +111,20 @@
     """Decides whether operations may begin."""
 
     def apply(self, wish: Wish, decided: Decided) -> Application:
-        """Calls `decided` once. May decide before it returns."""
+        """Requests admission; calls `decided` once, possibly before returning."""
 
     def note_served(self, seconds: float) -> None:
-        """Takes in how long an admitted operation took to its first answer."""
+        """Records the time from an operation's admission to its first answer."""
 
 
 class AdmitsAll:
-    """Where no caller has a limit."""
+    """Admits every operation; used where no caller has a limit."""
 
     def apply(self, wish: Wish, decided: Decided) -> Application:
-        """Admits at once."""
+        """Admits the operation at once."""
         application = Application(wish, 0.0, 0, decided)
         application.decide(None)
         return application
 
     def note_served(self, seconds: float) -> None:
-        """Nothing waits here, so nothing is learnt."""
+        """Ignores the time, because no operation waits here."""
--- a/src/dewledge/core/pooler/rate_limits/caller_token_queues.py
+++ b/src/dewledge/core/pooler/rate_limits/caller_token_queues.py
@@ -1,12 +1,10 @@
-"""Who gets the tokens of one caller at its grantor: the most urgent operations, then by arrival.
+"""The queues for one caller's tokens at its grantor: by urgency, then in the order of arrival.
 
-Inputs: the urgency of an operation (0 is the highest), the queues of all urgencies, the tokens a
-second that each was given lately (half-life of some seconds). Decision: a token, or the moment of
-one. Reason: a caller at its limit cannot have all that it asks for, so what it wants least is
-refused first. Each urgency has a queue of its own over the caller's one bucket. A queue sees the
-bucket without one token for each more urgent operation that waits and without what more urgent
-operations usually take at once. So these have the next token, and a moment told to a less urgent
-operation holds while the demand is as usual. With one urgency there is one queue.
+A caller at its limit cannot run all its operations, so the least urgent ones are refused first.
+Each urgency has a queue of its own over the caller's one bucket. A queue sees the bucket without
+the tokens reserved for more urgent operations (reserved_bucket.py). So more urgent operations get
+the next tokens, and a retry time sent to a less urgent operation stays valid while demand is as
+usual. With one urgency there is one queue.
 """
 
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
@@ -16,12 +14,12 @@
 from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
 
 LOWEST_URGENCY = 7
-"""Levels of urgency run from 0 (the most urgent) to this one; less urgent operations share its
-queue. Bounds the queues of a caller."""
+"""Levels of urgency run from 0, the highest, to this one; operations with a larger number share its
+queue. Bounds the number of queues of a caller."""
 
 
 class _UrgencyQueue:
-    """The operations of one urgency, and what they were given lately."""
+    """The queue for an urgency level, and the recent demand of its operations."""
 
     def __init__(self, bucket: TokenBucket) -> None:
         self.bucket = ReservedBucket(bucket)
@@ -30,14 +28,14 @@
 
 
 class CallerTokenQueues:
-    """Of one caller. Soft state; what is given is bounded by the bucket alone."""
+    """The queues for a caller's tokens. Soft state; the bucket alone enforces the limit."""
 
     def __init__(self, bucket: TokenBucket) -> None:
         self.bucket = bucket
         self._queues: dict[int, _UrgencyQueue] = {}
 
     def __len__(self) -> int:
-        """How many operations have a position, of all urgencies."""
+        """Number of operations with a position in a queue of any urgency."""
         return sum(len(each.queue) for each in self._queues.values())
 
     def ask(
@@ -49,18 +47,18 @@
         fraction: float,
         max_wait: float,
     ) -> Granted | Deferred:
-        """Gives a token, or the moment of one.
+        """Grants a token, or returns when to ask again.
 
-        urgency: 0 is the highest. Else as for a queue (token_queue.py).
+        urgency: 0 is the highest. The other parameters are those of `TokenQueue.ask`.
         """
         level = min(max(urgency, 0), LOWEST_URGENCY)
-        own = self._queue_of(level)
-        taken = self._more_urgent_rate(level, now) / fraction
-        own.bucket.set_reserve(self._more_urgent_waiting(level), taken)
-        found = own.queue.ask(key, now, bucket_time, fraction, max_wait)
-        if isinstance(found, Granted) and not found.age:
-            own.demand.record(now)
-        return found
+        level_queue = self._queue_of(level)
+        more_urgent_rate = self._more_urgent_rate(level, now) / fraction
+        level_queue.bucket.set_reserve(self._more_urgent_waiting(level), more_urgent_rate)
+        result = level_queue.queue.ask(key, now, bucket_time, fraction, max_wait)
+        if isinstance(result, Granted) and not result.age:
+            level_queue.demand.record(now)
+        return result
 
     def _queue_of(self, urgency: int) -> _UrgencyQueue:
         queue = self._queues.get(urgency)
@@ -69,10 +67,10 @@
         return queue
 
     def _more_urgent_waiting(self, urgency: int) -> int:
-        """Returns how many more urgent operations have a position."""
-        return sum(len(each.queue) for other, each in self._queues.items() if other < urgency)
+        """Returns the number of more urgent operations with a position."""
+        return sum(len(each.queue) for level, each in self._queues.items() if level < urgency)
 
     def _more_urgent_rate(self, urgency: int, now: float) -> float:
-        """Returns how many tokens a second the more urgent have had lately."""
+        """Returns how many tokens a second more urgent operations recently used."""
         queues = self._queues.items()
-        return sum(each.demand.per_second(now) for other, each in queues if other < urgency)
+        return sum(each.demand.per_second(now) for level, each in queues if level < urgency)
--- a/src/dewledge/core/pooler/rate_limits/candidate_answers.py
+++ b/src/dewledge/core/pooler/rate_limits/candidate_answers.py
@@ -1,6 +1,7 @@
-"""What the candidates of one slot said last, and when; the voter of the slot reads it.
+"""The last answers of a slot's candidates, used by the slot's voter.
 
-Owns two moments for each candidate: its own clock's, to be told back, and this process's.
+Keeps two times for each candidate: the candidate's own timestamp, which votes echo, and when the
+answer arrived here.
 """
 
 import math
@@ -16,14 +17,16 @@
         self._answered_at: dict[str, float] = {}
 
     def record(self, answer: QuotaAnswer, now: float) -> None:
-        """Takes an answer that came now."""
+        """Records an answer that arrived now."""
         self._last_timestamp[answer.sender] = answer.told_at
         self._answered_at[answer.sender] = now
 
     def last_timestamp(self, candidate: str) -> float | None:
-        """Returns what a candidate is to be told back of its own clock; None without an answer."""
+        """Returns the timestamp in a candidate's last answer, by its own clock; None without an
+        answer."""
         return self._last_timestamp.get(candidate)
 
     def answered_at(self, candidate: str) -> float:
-        """Returns when a candidate answered last (own steady clock, seconds); -inf: never."""
+        """Returns when a candidate's last answer arrived (local steady clock, seconds); -inf if
+        none did."""
         return self._answered_at.get(candidate, -math.inf)
--- a/src/dewledge/core/pooler/rate_limits/counted_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/counted_votes.py
@@ -1,35 +1,36 @@
-"""The votes of other processes that count at this one in one slot, and until when each counts.
+"""The votes of other processes that are valid at this one in one slot.
 
-Inputs: questions that carry a vote, with the moment (this process's own steady clock, seconds) of
-the answer that the voter echoes. Decision: whose vote counts now. Reason: the moment that a vote
-echoes lies before the voter sent it, and the voter votes for another process only when that vote
-cannot count any more, so that no two clocks are compared and no vote counts at two processes.
+A vote echoes the timestamp of this process's last answer to the voter, and expires
+VOTE_LIFETIME_SECONDS after that timestamp. The timestamp is earlier than the sending of the vote,
+and the voter votes for another process only once this vote has expired by its own clock. So no two
+clocks are compared, and no vote is valid at two processes.
 """
 
 import math
 from collections.abc import Collection
 
 VOTE_LIFETIME_SECONDS = 1.0
-"""Seconds for which a vote counts: two may be lost on the way without being missed; and so long a
-vote counts for a process that is gone."""
+"""Seconds for which a vote is valid: two renewals may be lost. Votes for a failed process stay
+valid as long."""
 
 
 class CountedVotes:
-    """Of one slot."""
+    """The votes received for one slot."""
 
     def __init__(self) -> None:
         self._valid_until: dict[str, float] = {}
-        """Until when the vote of each process counts."""
+        """When the vote of each process expires."""
         self._withdrawn_at: dict[str, float] = {}
-        """Votes of a process that echo an older answer were sent before it started anew."""
+        """When each process withdrew its votes; votes that echo an earlier timestamp are
+        ignored."""
 
     def withdraw(self, asker: str, now: float) -> None:
-        """Drops what a process sent before: it has just started and does not know it."""
+        """Drops the votes that a process sent before it restarted."""
         self._valid_until.pop(asker, None)
         self._withdrawn_at[asker] = now
 
     def add(self, asker: str, echoed_at: float) -> None:
-        """Counts a vote, unless it was sent before the asker withdrew what it had sent."""
+        """Counts a vote, unless it was sent before the voter withdrew its votes."""
         if echoed_at < self._withdrawn_at.get(asker, -math.inf):
             return
         self._valid_until[asker] = max(
@@ -37,5 +38,5 @@
         )
 
     def count_valid(self, voters: Collection[str], now: float) -> int:
-        """Returns how many of the voters' votes count now."""
+        """Returns how many of the voters have a valid vote now."""
         return sum(until > now for name, until in self._valid_until.items() if name in voters)
--- a/src/dewledge/core/pooler/rate_limits/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -1,12 +1,11 @@
-"""The part of a process in granting tokens: each vote for it carries its share of the rates.
+"""Grants tokens in proportion to the votes that this process holds.
 
-Inputs: questions with votes (counted_votes.py) and wants, the limits of the configuration in force.
-Decision: whether this process grants in a slot, and how much. A process with v of a slot's n votes
-gives out v/n of each rate; two sides of a split each go on with theirs. Reason: each vote counts at
-one process at most, whoever is cut off, frozen or restarted, so the shares sum up to one at most.
+A process with v of a slot's n votes grants v/n of each caller's rate; both sides of a network
+partition continue with their parts. Each vote is valid at one process at most (counted_votes.py),
+also after a freeze or a restart, so the fractions sum up to one at most.
 
-Owns the state of each slot here: its votes, the share held, what is given out. Relies on
-slot_grants.py for who gets the tokens. Log line: grantor_changed.
+Holds the state of each slot in this process: its votes, the fraction held, and the callers' buckets
+and queues (slot_grants.py). Log line: grantor_changed.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -14,7 +13,6 @@
 import msgspec
 
 from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS, CountedVotes
-from dewledge.core.pooler.rate_limits.held_share import VoteFraction
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import (
     QuotaAnswer,
@@ -24,13 +22,14 @@
 )
 from dewledge.core.pooler.rate_limits.slot_grants import SlotGrants
 from dewledge.core.pooler.rate_limits.slots import Slot, update_voters, voters_of
+from dewledge.core.pooler.rate_limits.vote_fraction import VoteFraction
 from dewledge.core.shared.units import MILLISECONDS
 
 
 class GrantorChanged(msgspec.Struct, frozen=True):
-    """This process grants tokens of a slot from now on, or does so no more.
+    """This process started or stopped granting tokens in a slot.
 
-    votes: that count now. members: how many processes' votes could count.
+    votes: the valid votes. members: the number of processes with a vote in the slot.
     """
 
     slot_count: int
@@ -41,7 +40,7 @@
 
 
 class _SlotState:
-    """What this process knows and gives out in one slot."""
+    """A slot's votes and grants in this process."""
 
     def __init__(self, policy: QuotaPolicy) -> None:
         self.votes = CountedVotes()
@@ -50,14 +49,14 @@
         self._is_grantor = False
 
     def set_granting(self, is_grantor: bool) -> bool:
-        """This process grants from now on, or does not; returns whether that is a change."""
+        """Sets whether this process grants; returns whether that is a change."""
         has_changed = self._is_grantor != is_grantor
         self._is_grantor = is_grantor
         return has_changed
 
 
 class Grantor:
-    """This process's part in granting, for all slots."""
+    """The votes and grants of all slots in this process."""
 
     def __init__(
         self,
@@ -74,24 +73,24 @@
         self._voters: dict[Slot, frozenset[str]] = {}
 
     def set_members(self, members: Collection[str]) -> None:
-        """Sets whose votes count."""
-        before, self._members = self._members, frozenset(members)
-        if self._members == before:
+        """Sets the processes whose votes count."""
+        previous_members, self._members = self._members, frozenset(members)
+        if self._members == previous_members:
             return
         self._voters = {
-            slot: update_voters(slot, voters, before, self._members)
+            slot: update_voters(slot, voters, previous_members, self._members)
             for slot, voters in self._voters.items()
         }
 
     def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
-        """Sets the limits; they hold from now on."""
+        """Sets the limits; buckets created from now on start empty."""
         self._limits = limits
         for state in self._slots.values():
             state.vote_fraction.restart_filling()
             state.grants.drop_unlimited(limits)
 
     def take_question(self, question: QuotaQuestion, now: float) -> QuotaAnswer:
-        """Counts a vote and returns the answer."""
+        """Counts the question's vote, grants tokens, and returns the answer."""
         slot = question.slot
         state = self._slots.get(slot)
         if state is None:
@@ -115,10 +114,10 @@
         return votes / max(len(self._voters_of(slot)), 1)
 
     def _update_vote_fraction(self, slot: Slot, state: _SlotState, now: float) -> None:
-        """Lets the buckets fill for the time until now; after a loss of votes they hold less."""
-        share = self._vote_fraction(slot, state.votes.count_valid(self._voters_of(slot), now))
-        if state.vote_fraction.record(share, now):
-            state.grants.shrink_buckets(self._limits, share)
+        """Advances the buckets' clock to now; shrinks the buckets if votes have expired."""
+        fraction = self._vote_fraction(slot, state.votes.count_valid(self._voters_of(slot), now))
+        if state.vote_fraction.record(fraction, now):
+            state.grants.shrink_buckets(self._limits, fraction)
 
     def _voters_of(self, slot: Slot) -> Collection[str]:
         voters = self._voters.get(slot)
@@ -130,6 +129,6 @@
     def _grant(self, state: _SlotState, asker: str, want: TokenWant, now: float) -> TokenGrant:
         limit = self._limits.get(want.caller)
         if limit is None:
-            # This process has another configuration than who asks; the limit may be new.
+            # The asker has another configuration; the limit may be new.
             return TokenGrant(want.caller, 0, int(VOTE_LIFETIME_SECONDS * MILLISECONDS))
         return state.grants.grant(asker, want, limit, now)
--- a/src/dewledge/core/pooler/rate_limits/grantor_search.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor_search.py
@@ -1,49 +1,48 @@
-"""Since when operations look for a grantor in one slot, and for how long they may go on.
+"""When operations began to look for a grantor in one slot, and how long they may wait for it.
 
-Inputs: when operations waited for a grantor and whether one was found (own steady clock, seconds).
-Decision: whether the slot's candidates are asked though no operation asks just now, and until when
-an operation may wait for the first grantor. Reason: who is refused comes back, so the search goes
-on for a moment; but operations that come while there is no grantor at all must not each wait anew.
+A refused operation is retried, so polling the candidates continues for a while after an operation
+waited. Operations that arrive while there is no grantor share one search time, so they do not each
+wait for the whole of it.
 """
 
 import math
 
 SEARCH_SECONDS = 1.0
-"""Seconds for which a grantor is looked for after an operation waited for one, since who is refused
-comes back."""
+"""Seconds for which candidates are polled after an operation last waited for a grantor."""
 
 
 class GrantorSearch:
-    """Of one slot at one process."""
+    """The search for a grantor in one slot by one process. Times are in seconds of its steady
+    clock."""
 
     def __init__(self, began_at: float, has_vote: bool) -> None:
         self._began_at = began_at
         self._has_vote = has_vote
         self._has_found_grantor = False
         self._searching_since = math.inf
-        """Since when operations look for a grantor."""
+        """When the present search began; inf if there is none."""
         self._last_waiting_at = -math.inf
-        """When an operation waited for a grantor last."""
+        """When an operation last waited for a grantor."""
 
     def record_waiting_operation(self, now: float) -> None:
-        """An operation waits for a grantor."""
+        """Records that an operation waits for a grantor now."""
         if not self.needs_polling(now) or self._searching_since == math.inf:
             self._searching_since = now
         self._last_waiting_at = now
 
     def record_found(self) -> None:
-        """A grantor was found."""
+        """Records that a grantor was found."""
         self._has_found_grantor = True
         self._searching_since = math.inf
 
     def needs_polling(self, now: float) -> bool:
-        """Tells whether the candidate is to be asked although no operation asks for a token."""
+        """Returns whether to ask the candidate even though no operation asks for a token."""
         return self._has_vote or now < self._last_waiting_at + SEARCH_SECONDS
 
     def wait_deadline(self, now: float, seconds: float) -> float:
-        """Returns until when an operation may wait that finds no grantor known.
+        """Returns until when an operation may wait while no grantor is known.
 
-        seconds: for the search, once: not for each operation while there is none.
+        seconds: the length of a search, which all operations during it share.
         """
         if self._has_vote:
             return -math.inf if self._has_found_grantor else self._began_at + seconds
--- a/src/dewledge/core/pooler/rate_limits/kept_tokens.py
+++ b/src/dewledge/core/pooler/rate_limits/kept_tokens.py
@@ -1,6 +1,7 @@
-"""The rate-limit tokens that are kept for a session's refused operations, until they come back.
+"""The tokens reserved for the refused operations of a session.
 
-Owns the keys that a refusal left. Relies on the grantor to keep the token itself (token_queue.py).
+A refusal may come with a token that the grantor reserves for a retry (token_queue.py). The session
+keeps the reservation's key and presents it with the retry.
 """
 
 from collections import deque
@@ -10,14 +11,14 @@
 from dewledge.core.pooler.rate_limits.token_queue import REDEEM_TIMEOUT_SECONDS
 
 MAX_RESERVATIONS = 64
-"""Tokens kept for one session: as many as it may have statements without an answer."""
+"""Tokens reserved for one session: as many as it may have statements without an answer."""
 
 
 class KeptToken(msgspec.Struct, frozen=True):
-    """What a session keeps of an operation that was refused and whose token is kept.
+    """The reservation of a refused operation.
 
-    caller: whose limit it is. number: the operation's, in its key at the grantor. return_at: steady
-    clock, seconds.
+    caller: whose limit the token is from. number: the operation's number in its key at the grantor.
+    return_at: when the token is available, in seconds of the steady clock.
     """
 
     caller: str
@@ -26,27 +27,31 @@
 
 
 class KeptTokens:
-    """Those of one session. Which of its operations comes back is not told, so each that comes has
-    the earliest key that the session has, also before its moment: it waits in that position, and no
-    position is left to nobody while another is added.
+    """A session's reservations.
+
+    A retry does not say which refused operation it repeats. Each new operation therefore uses the
+    earliest reservation of its caller, even before its time; so no reserved position stays unused
+    while another one is added to the queue.
     """
 
     def __init__(self) -> None:
         self._reservations: deque[KeptToken] = deque(maxlen=MAX_RESERVATIONS)
 
-    def keep(self, kept: KeptToken) -> None:
-        """Keeps one more; the oldest goes if there are too many."""
-        self._reservations.append(kept)
+    def keep(self, reservation: KeptToken) -> None:
+        """Adds a reservation; drops the oldest if there are too many."""
+        self._reservations.append(reservation)
 
     def redeem(self, caller: str, now: float) -> KeptToken | None:
-        """Returns the one of the caller whose moment is first, and keeps it no more."""
-        alive = [
-            kept for kept in self._reservations if now <= kept.return_at + REDEEM_TIMEOUT_SECONDS
+        """Removes and returns the caller's earliest reservation that has not expired."""
+        valid = [
+            reservation
+            for reservation in self._reservations
+            if now <= reservation.return_at + REDEEM_TIMEOUT_SECONDS
         ]
-        self._reservations = deque(alive, maxlen=MAX_RESERVATIONS)
-        own = [kept for kept in alive if kept.caller == caller]
-        if not own:
+        self._reservations = deque(valid, maxlen=MAX_RESERVATIONS)
+        of_caller = [reservation for reservation in valid if reservation.caller == caller]
+        if not of_caller:
             return None
-        first = min(own, key=lambda kept: kept.return_at)
+        first = min(of_caller, key=lambda reservation: reservation.return_at)
         self._reservations.remove(first)
         return first
--- a/src/dewledge/core/pooler/rate_limits/local_allowance.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowance.py
@@ -1,10 +1,8 @@
-"""What one process may admit of one caller by itself, while it reaches nobody that grants.
+"""What one process may admit of a caller's operations without a grantor.
 
-Inputs: the caller's limit, the policy's window (seconds), this process's rank among the members,
-until when its vote may count for a grantor (own steady clock, seconds). Decision: whether one
-operation may begin. Reason: a process whose vote cannot count any more has that vote's share of the
-caller's rate: the grantor, if there is one elsewhere, gives out only the shares of those whose
-votes count. Besides there is a small reserve for each window, for the time until then.
+A process whose vote is no longer valid at any grantor may use that vote's part of the caller's
+rate: a grantor elsewhere hands out only the parts of valid votes. Until the vote expires, the
+process has only a small reserve for each window.
 """
 
 from collections import deque
@@ -12,12 +10,12 @@
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 
 MAX_CREDIT = 1.0
-"""Operations of the share that may be saved up: one, which the reserve is less for; by the
-arithmetic of the bound."""
+"""Operations: the maximum unused credit from the rate. The reserve is smaller by the same number,
+so the bound holds."""
 
 
 class LocalAllowance:
-    """Of one caller at one process. Times in seconds of the process's steady clock."""
+    """A caller's allowance in this process. Times are in seconds of the process's steady clock."""
 
     def __init__(
         self,
@@ -30,8 +28,8 @@
     ) -> None:
         """`rank`: of this process among the `processes`, from 0.
 
-        voters: among so many the rate is divided, this one with them; 0 if it has no vote, None if
-        all processes have one.
+        voters: the number of voters that the rate is divided between, including this process; 0 if
+        it has no vote, None if all processes have one.
         """
         self._window = policy.window
         voters = processes if voters is None else voters
@@ -44,10 +42,10 @@
         self._admitted: deque[float] = deque()
 
     def admit(self, now: float, vote_valid_until: float) -> bool:
-        """Tells whether one operation may begin, and counts it.
+        """Returns whether one operation may begin, and counts it if so.
 
-        counted_until: until then the vote of this process may count for a grantor, which then gives
-        out its share.
+        vote_valid_until: until then this process's vote may be valid at a grantor, which then hands
+        out this process's part of the rate.
         """
         self._gain_credit(now, vote_valid_until)
         if self._credit >= MAX_CREDIT:
@@ -61,7 +59,7 @@
         return True
 
     def _gain_credit(self, now: float, vote_valid_until: float) -> None:
-        since = max(self._credited_until, vote_valid_until)
-        if self._has_rate and now > since:
-            self._credit = min(self._credit + (now - since) * self._rate, MAX_CREDIT)
+        credited_from = max(self._credited_until, vote_valid_until)
+        if self._has_rate and now > credited_from:
+            self._credit = min(self._credit + (now - credited_from) * self._rate, MAX_CREDIT)
         self._credited_until = max(now, self._credited_until)
--- a/src/dewledge/core/pooler/rate_limits/local_allowances.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -1,7 +1,7 @@
-"""What one process admits of all callers by itself, while it reaches nobody that grants.
+"""The operations of all callers that one process admits without a grantor.
 
-Owns one allowance for each caller (local_allowance.py decides). Relies on the members for this
-process's rank among them, another for each caller, and on slots.py for who votes.
+Holds one allowance for each caller (local_allowance.py). Each caller ranks the processes in another
+order, so the remainders of the reserves go to different processes.
 """
 
 from collections.abc import Collection, Mapping
@@ -18,7 +18,7 @@
 
 
 class LocalAllowances:
-    """By caller; each begins when it is needed first."""
+    """The allowances by caller, each created on first use."""
 
     def __init__(self, process_name: str, policy: QuotaPolicy) -> None:
         self._process_name = process_name
@@ -28,22 +28,22 @@
         self._allowances: dict[str, LocalAllowance] = {}
 
     def set_limits(self, limits: Mapping[str, RateLimit]) -> None:
-        """Sets the limits; the allowances of those that changed begin anew."""
+        """Sets the limits; resets the allowances of callers whose limit changed."""
         changed = [name for name in self._allowances if limits.get(name) != self._limits.get(name)]
         for name in changed:
             del self._allowances[name]
         self._limits = limits
 
     def set_members(self, members: Collection[str]) -> None:
-        """Sets the processes among which callers are divided."""
+        """Sets the processes that the reserves and rates are divided between."""
         if members != self._members:
             self._allowances = {}
         self._members = members
 
     def admit(self, caller: str, now: float, vote_valid_until: float) -> bool:
-        """Tells whether one operation may begin, and counts it.
+        """Returns whether one operation may begin, and counts it if so.
 
-        counted_until: until then the vote of this process may count for a grantor.
+        vote_valid_until: until then this process's vote may be valid at a grantor.
         """
         limit = self._limits.get(caller)
         if limit is None:
@@ -60,7 +60,8 @@
         return LocalAllowance(limit, self._policy, processes, rank, now, self._voter_count(caller))
 
     def _voter_count(self, caller: str) -> int:
-        """Returns among how many votes a slot's rates are divided; 0 where none is this one's."""
+        """Returns the number of voters of the caller's slot; 0 if this process has no vote
+        there."""
         slot = slot_of(caller, slot_count(len(self._members)))
         if not is_voter(self._process_name, slot):
             return 0
--- a/src/dewledge/core/pooler/rate_limits/messages.py
+++ b/src/dewledge/core/pooler/rate_limits/messages.py
@@ -1,6 +1,7 @@
-"""What processes say to each other about rate limits, in datagrams that may be lost or come twice.
+"""Messages between processes about rate limits: datagrams that may be lost or duplicated.
 
-Times are those of the grantor's steady clock, in seconds; nobody else compares them with its own.
+Times are in seconds of the grantor's steady clock; no other process compares them with its own
+clock.
 """
 
 import msgspec
@@ -8,18 +9,17 @@
 from dewledge.core.pooler.rate_limits.slots import Slot
 
 MAX_WAIT_MS = 60_000
-"""Milliseconds: an operation that may wait for longer than this may wait for as long as tokens are
-kept (KEPT_SECONDS of token_queue.py is far less); bounds the number in the message."""
+"""Milliseconds: the maximum of `TokenWant.bears_ms`, far above the time for which tokens are
+reserved (RESERVATION_HORIZON_SECONDS of token_queue.py)."""
 
 
 class TokenWant(msgspec.Struct, frozen=True, array_like=True):
-    """A token that is wanted for an operation of a caller.
+    """A request for a token for an operation of a caller.
 
-    count: one, for an operation; processes of an earlier release read it, so its position stays.
-    place: the number in the operation's key (queue_key.py), the same each time it asks; 0: nothing
-    is kept.
-    bears_ms: for so long it may wait for its token and still be answered within its target.
-    urgency: of its route, 0 is the highest.
+    count: always one; processes of an earlier release read it, so it keeps its position. place: the
+    operation's number (queue_key.py), the same for each request of an operation; 0 if no token
+    should be reserved. bears_ms: how long the operation can wait for its token and still meet its
+    latency target. urgency: of its route, 0 is the highest.
     """
 
     caller: str
@@ -30,11 +30,12 @@
 
 
 class TokenGrant(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens for a caller, and when there is one for who got none (milliseconds).
+    """The answer to a TokenWant: a token, or the time until one is available.
 
-    is_kept: the token of that moment is kept for the operation that asked.
-    refuses: the operation is not to be held until then; it may come back then.
-    age_ms: how long ago the token was given, to a question whose answer was lost or is slow.
+    count: tokens granted. come_back_ms: milliseconds until a token is available if none was
+    granted. is_kept: the token at that time is reserved for the operation. age_ms: how long ago the
+    token was granted, if to an earlier request whose answer was lost or slow. refuses: the
+    operation should not be held until the token is available, but may be retried then.
     """
 
     caller: str
@@ -46,11 +47,12 @@
 
 
 class QuotaQuestion(msgspec.Struct, frozen=True, array_like=True, tag="quota_ask"):
-    """Asks a candidate for tokens, and may be a vote for it.
+    """Asks a candidate for tokens, and may carry a vote for it.
 
-    heard_at: from the last answer of this candidate to the asker, None without one. Where `votes`,
-    the asker votes for no other while this vote may count, VOTE_SECONDS from that answer on.
-    withdraws: votes that it sent before count no more; it has just started and does not know them.
+    heard_at: the timestamp of this candidate's last answer to the asker, None without one. votes:
+    whether this is a vote; the asker votes for no other candidate while it may be valid,
+    VOTE_LIFETIME_SECONDS from that answer on. withdraws: drops the votes sent before; the asker has
+    restarted or the slot is no longer in use.
     """
 
     asker: str
@@ -63,9 +65,9 @@
 
 
 class QuotaAnswer(msgspec.Struct, frozen=True, array_like=True, tag="quota_say"):
-    """The answer: whether the sender has votes in this slot, and what it grants.
+    """The answer: whether the sender grants in this slot, and its grants.
 
-    told_at: when it was sent.
+    told_at: when it was sent, by the sender's clock.
     """
 
     sender: str
--- a/src/dewledge/core/pooler/rate_limits/former_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/previous_votes.py
@@ -1,10 +1,8 @@
-"""The votes that this process sent in an earlier division of callers into slots.
+"""The votes that this process sent in the slots of a previous partitioning.
 
-Inputs: the voters that end, with until when their votes may count (own steady clock, seconds).
-Decision: until when an earlier vote may count, and which processes are asked to drop theirs.
-Reason: a vote in a new slot has to wait until the old ones cannot count. The candidates of the new
-slots cannot drop old votes; the processes that hold them can, so this process need not wait for
-them to lapse.
+The number of slots changes with the number of processes. A vote in a new slot must wait until the
+votes in the old slots are no longer valid. The processes that received the old votes are asked to
+drop them, so that this process need not wait for them to expire.
 """
 
 import math
@@ -15,16 +13,17 @@
 
 
 class PreviousVotes:
-    """Times of the process's steady clock, in seconds."""
+    """The votes in slots that are no longer in use. Times are in seconds of the process's steady
+    clock."""
 
     def __init__(self) -> None:
         self.valid_until = -math.inf
-        """At the latest; afterwards none counts."""
+        """When the last of the votes expires."""
         self._candidates: dict[Slot, str] = {}
         self._can_be_dropped = True
 
     def add(self, voters: Mapping[Slot, Voter], now: float) -> None:
-        """Takes over the votes of voters that end now."""
+        """Adds the votes of voters that are discarded now."""
         if now >= self.valid_until:
             self._candidates.clear()
             self._can_be_dropped = True
@@ -35,17 +34,18 @@
             if voter.voted_for:
                 self._candidates[slot] = voter.voted_for
             else:
-                # A vote of an earlier start of this process: it does not know whom that was for.
+                # Sent before this process restarted, so its candidate is not known.
                 self._can_be_dropped = False
 
     def droppable_votes(self, now: float) -> Mapping[Slot, str]:
-        """Returns the process to ask to drop its vote, by slot; none where that frees no vote."""
+        """Returns the process to ask to drop its vote, by slot; empty where that would free no
+        vote."""
         if now >= self.valid_until or not self._can_be_dropped:
             return {}
         return dict(self._candidates)
 
     def record_dropped(self, slot: Slot, sender: str) -> bool:
-        """A process dropped a vote; returns whether that was the last one that may count."""
+        """Records that a process dropped a vote; returns whether that was the last valid one."""
         if self._candidates.get(slot) != sender:
             return False
         del self._candidates[slot]
--- a/src/dewledge/core/pooler/rate_limits/questions.py
+++ b/src/dewledge/core/pooler/rate_limits/questions.py
@@ -1,8 +1,8 @@
-"""The questions of this process to those that may grant rate-limit tokens, until their answers.
+"""Sends this process's questions to grantor candidates and matches the answers.
 
-Owns the numbers of questions and what each question was for. Relies on the voter of a slot to say
-whom to ask and whether the question is a vote. A question that is lost is not sent again here: who
-waits for it asks anew (gate.py), and the next vote follows (slot_voters.py).
+Keeps the questions that have no answer yet. The slot's voter chooses the candidate and decides
+whether the question carries a vote. A lost question is not sent again from here: operations ask
+again after a timeout (gate.py), and votes are repeated (slot_voters.py).
 """
 
 import itertools
@@ -23,15 +23,16 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 QUESTION_RETENTION_SECONDS = 1.0
-"""Seconds after which an answer is no longer waited for; some times longer than any answer is
-waited for, it only bounds what is remembered."""
+"""Seconds after which a question without an answer is forgotten. Longer than any operation waits
+for an answer; it only bounds the memory."""
 
 SendQuestion = Callable[[str, QuotaQuestion], None]
-"""Takes the name of the process to ask, and the question."""
+"""Sends a question to the process of the given name."""
 
 
 class PendingQuestion(msgspec.Struct, frozen=True):
-    """A question under way: for whom, and when it was sent (steady clock, seconds)."""
+    """A question without an answer yet: its operations, and when it was sent (steady clock,
+    seconds)."""
 
     slot: Slot
     sent_at: float
@@ -40,7 +41,7 @@
 
 
 class Questions:
-    """Those that have no answer yet, by their numbers."""
+    """The questions without an answer, by number."""
 
     def __init__(self, scheduler: Scheduler, process_name: str, send: SendQuestion) -> None:
         self._scheduler = scheduler
@@ -49,18 +50,19 @@
         self._numbers = itertools.count(1)
         self._pending: dict[int, PendingQuestion] = {}
 
-    def ask(self, slot: Slot, voter: Voter, applications: tuple[Application, ...] = ()) -> int:
-        """Asks the voter's candidate, with this process's vote if it may count; returns its number.
+    def ask(self, slot: Slot, voter: Voter, pending: tuple[Application, ...] = ()) -> int:
+        """Asks the voter's candidate, with this process's vote if one may be sent; returns the
+        number.
 
-        applications: the operations that want a token.
+        pending: the operations to request a token for.
         """
         now = self._scheduler.now()
         votes = voter.may_vote(now)
         if votes:
             voter.record_vote()
         voter.record_question(now)
-        number = self._register(PendingQuestion(slot, now, applications))
-        wants = tuple(_token_want(each) for each in applications)
+        number = self._register(PendingQuestion(slot, now, pending))
+        wants = tuple(_token_want(each) for each in pending)
         question = QuotaQuestion(
             self._process_name, number, slot, votes, voter.last_timestamp, wants
         )
@@ -68,7 +70,7 @@
         return number
 
     def probe(self, slot: Slot, name: str) -> None:
-        """Asks a candidate for an answer only: it may be reached again."""
+        """Asks a candidate only for an answer, to learn whether it is reachable again."""
         number = self._register(PendingQuestion(slot, self._scheduler.now()))
         self._send(name, QuotaQuestion(self._process_name, number, slot, False, None))
 
@@ -79,15 +81,16 @@
         self._send(name, question)
 
     def is_open(self, number: int) -> bool:
-        """Tells whether a question has no answer yet."""
+        """Returns whether a question has no answer yet."""
         return number in self._pending
 
     def match_answer(self, answer: QuotaAnswer) -> PendingQuestion | None:
-        """Returns the question that an answer is for, once; None if it is not waited for."""
+        """Removes and returns the question of an answer; None if it was answered or forgotten
+        before."""
         return self._pending.pop(answer.number, None)
 
     def forget_unanswered(self, now: float) -> None:
-        """Forgets the questions whose answers are no longer waited for."""
+        """Forgets the questions older than QUESTION_RETENTION_SECONDS."""
         lost = [
             number
             for number, asked in self._pending.items()
@@ -102,11 +105,11 @@
         return number
 
 
-def _token_want(application: Application) -> TokenWant:
-    accepted_ms = min(application.max_wait * MILLISECONDS, MAX_WAIT_MS)
+def _token_want(pending: Application) -> TokenWant:
+    accepted_ms = min(pending.max_wait * MILLISECONDS, MAX_WAIT_MS)
     return TokenWant(
-        application.caller,
-        place=application.number,
+        pending.caller,
+        place=pending.number,
         bears_ms=int(accepted_ms),
-        urgency=application.urgency,
+        urgency=pending.urgency,
     )
--- a/src/dewledge/core/pooler/rate_limits/queue_key.py
+++ b/src/dewledge/core/pooler/rate_limits/queue_key.py
@@ -1,10 +1,10 @@
-"""Which operation asks for a token: its key in a grantor's queue."""
+"""Identifies an operation in a grantor's token queue."""
 
 import msgspec
 
 
 class QueueKey(msgspec.Struct, frozen=True):
-    """An operation that asks for a token: the process that took it, and its number there."""
+    """The process that received an operation, and the operation's number in that process."""
 
     asker: str
     number: int
--- a/src/dewledge/core/pooler/rate_limits/slot_grants.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_grants.py
@@ -1,67 +1,70 @@
-"""What this process gives out of the rate-limit tokens of one slot's callers.
+"""Grants the rate-limit tokens of a slot's callers.
 
-Inputs: a caller's limit (operations a second), the share of the votes held now (held_share.py), the
-want of an operation (its key, urgency, and the seconds for which it may wait). Decision: a token,
-or the milliseconds until the operation's own. Relies on caller_token_queues.py for the order of a
-caller's operations.
+Each caller has a bucket, whose clock is the fraction of the slot's votes that this process holds
+over time (vote_fraction.py). caller_token_queues.py decides which operation gets the next token.
 
-What all buckets of a caller hold together never exceeds one full bucket: a bucket begins empty,
-holds v/n of a full one at most, and loses what is beyond that as soon as the share falls, also for
-a moment (limits.py).
+All buckets of a caller, at all grantors, never hold more than one full bucket together: each starts
+empty, holds at most this process's fraction of a full one, and drops the excess as soon as the
+fraction falls, even if briefly (limits.py).
 """
 
 import math
 from collections.abc import Mapping
 
 from dewledge.core.pooler.rate_limits.caller_token_queues import CallerTokenQueues
-from dewledge.core.pooler.rate_limits.held_share import VoteFraction
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import TokenGrant, TokenWant
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Granted
+from dewledge.core.pooler.rate_limits.vote_fraction import VoteFraction
 from dewledge.core.shared.units import MILLISECONDS
 
 
 class SlotGrants:
-    """The buckets and queues of a slot's callers. Soft state."""
+    """The buckets and queues of a slot's callers. Soft state: lost with the process."""
 
     def __init__(self, policy: QuotaPolicy, vote_fraction: VoteFraction) -> None:
         self._policy = policy
         self._vote_fraction = vote_fraction
         self._queues: dict[str, CallerTokenQueues] = {}
-        """By caller. Their buckets' time is `share_seconds`, so each fills with the share held."""
+        """The queues by caller. Their buckets use `full_rate_seconds` as their clock."""
 
     def drop_unlimited(self, limits: Mapping[str, RateLimit]) -> None:
-        """Forgets the callers that have no limit now."""
+        """Drops the queues of callers without a limit."""
         for caller in [name for name in self._queues if name not in limits]:
             del self._queues[caller]
 
     def shrink_buckets(self, limits: Mapping[str, RateLimit], fraction: float) -> None:
-        """The share fell: each bucket holds less from now on."""
+        """Reduces the bucket sizes after the fraction of the votes fell."""
         for caller, queues in self._queues.items():
             limit = limits[caller]
             size = self._policy.bucket_size(limit, fraction)
             queues.bucket.change(limit.rate, size, self._vote_fraction.full_rate_seconds)
 
     def grant(self, asker: str, want: TokenWant, limit: RateLimit, now: float) -> TokenGrant:
-        """Returns a token for an operation, or when its own token comes."""
-        share = self._vote_fraction
+        """Returns a token for an operation, or the time until one is available."""
+        vote_fraction = self._vote_fraction
         queues = self._queues_of(want.caller, limit)
         key = QueueKey(asker, want.place) if want.place else None
-        accepted = want.bears_ms / MILLISECONDS
-        found = queues.ask(
-            want.urgency, key, now, share.full_rate_seconds, share.fraction, accepted
+        max_wait = want.bears_ms / MILLISECONDS
+        result = queues.ask(
+            want.urgency,
+            key,
+            now,
+            vote_fraction.full_rate_seconds,
+            vote_fraction.fraction,
+            max_wait,
         )
-        if isinstance(found, Granted):
-            age_ms = math.ceil(found.age * MILLISECONDS)
+        if isinstance(result, Granted):
+            age_ms = math.ceil(result.age * MILLISECONDS)
             return TokenGrant(want.caller, 1, 0, age_ms=age_ms)
-        milliseconds = math.ceil(found.seconds * MILLISECONDS)
-        is_kept = found.is_kept or found.is_own
-        return TokenGrant(want.caller, 0, milliseconds, is_kept, refuses=found.is_refused)
+        milliseconds = math.ceil(result.seconds * MILLISECONDS)
+        is_reserved = result.is_kept or result.is_own
+        return TokenGrant(want.caller, 0, milliseconds, is_reserved, refuses=result.is_refused)
 
     def _queues_of(self, caller: str, limit: RateLimit) -> CallerTokenQueues:
-        """Returns a caller's queues, with the bucket of the present limit and share."""
+        """Returns a caller's queues, with the bucket updated to the present limit and fraction."""
         size = self._policy.bucket_size(limit, self._vote_fraction.fraction)
         queues = self._queues.get(caller)
         if queues is None:
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -1,13 +1,13 @@
-"""Whom this process asks and votes for, in all slots of callers.
+"""Which processes this process asks and votes for, in all slots.
 
-Owns the members among which callers are divided, one voter for each slot in use, and the votes of
-an earlier division, which bind the process until they lapse or are dropped. Relies on the rules of
-one slot (voter.py, former_votes.py) and on the division of callers into slots (slots.py).
+Holds the members, a voter for each slot in use (voter.py), and the votes of the previous
+partitioning (previous_votes.py), which delay new votes until they expire or are dropped. slots.py
+assigns callers and voters to slots.
 """
 
 from dewledge.core.pooler.rate_limits.counted_votes import VOTE_LIFETIME_SECONDS
-from dewledge.core.pooler.rate_limits.former_votes import PreviousVotes
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
+from dewledge.core.pooler.rate_limits.previous_votes import PreviousVotes
 from dewledge.core.pooler.rate_limits.questions import PendingQuestion, Questions
 from dewledge.core.pooler.rate_limits.slots import (
     Slot,
@@ -22,19 +22,19 @@
 from dewledge.core.pooler.scheduling import Scheduler
 
 VOTE_INTERVAL_SECONDS = 0.3
-"""Seconds between two votes while each grantor is known; a third of a vote's time (VOTE_SECONDS),
-so that two votes may be lost."""
+"""Seconds between two votes while every grantor is known: a third of the lifetime of a vote, so
+that two may be lost."""
 SEARCH_SPACING_SECONDS = 0.1
-"""Seconds between two questions while a grantor is not known; some round trips between regions."""
+"""Seconds between two questions while a grantor is not known: some round trips between regions."""
 
 
 class SlotVoters:
-    """The voters of one process. Times in seconds of its steady clock."""
+    """This process's voters by slot. Times are in seconds of its steady clock."""
 
     def __init__(
         self, scheduler: Scheduler, process_name: str, questions: Questions, started_at: float
     ) -> None:
-        """`started_at`: of the process; votes of an earlier start may count until later."""
+        """`started_at`: when the process started; votes from before then may still be valid."""
         self._scheduler = scheduler
         self._process_name = process_name
         self._questions = questions
@@ -45,28 +45,28 @@
         self._previous_votes = PreviousVotes()
 
     def set_members(self, members: frozenset[str]) -> None:
-        """Sets the processes among which callers are divided."""
+        """Sets the members; discards all voters if the number of slots changes."""
         now = self._scheduler.now()
-        before, self._members = self._members, members
-        if members == before:
+        previous_members, self._members = self._members, members
+        if members == previous_members:
             return
         count = slot_count(len(members))
         if any(slot.count != count for slot in self._voters):
             self._repartition()
         for slot, voter in self._voters.items():
-            candidates = update_candidates(slot, voter.candidates, before, members)
+            candidates = update_candidates(slot, voter.candidates, previous_members, members)
             voter.change_candidates(candidates, now)
 
     def clear(self) -> None:
-        """No caller has a limit: no vote is needed."""
+        """Discards all voters, because no caller has a limit."""
         self._voters = {}
 
     def slot_of(self, caller: str) -> Slot:
-        """Returns the slot of a caller in the present division."""
+        """Returns the present slot of a caller."""
         return slot_of(caller, slot_count(len(self._members)))
 
     def voter(self, slot: Slot) -> Voter:
-        """Returns the voter of a slot; it begins when it is needed first."""
+        """Returns the voter of a slot, created on first use."""
         voter = self._voters.get(slot)
         if voter is None:
             now = self._scheduler.now()
@@ -81,27 +81,28 @@
         return voter
 
     def grantor_of(self, caller: str) -> str:
-        """Returns who grants a caller's tokens to this process, empty where none is known."""
+        """Returns the process that grants a caller's tokens to this one, empty if none is known."""
         voter = self._voters.get(self.slot_of(caller))
         if voter is None or not voter.has_grantor(self._scheduler.now()):
             return ""
         return voter.candidate
 
     def tick(self, now: float) -> bool:
-        """Votes, and leaves grantors that are gone; returns whether each slot has a grantor."""
+        """Sends votes and leaves silent candidates; returns whether each polled slot has a
+        grantor."""
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
             self.voter(slot)
-        watched = {slot: it for slot, it in self._voters.items() if it.needs_polling(now)}
-        for slot, voter in watched.items():
+        polled = {slot: it for slot, it in self._voters.items() if it.needs_polling(now)}
+        for slot, voter in polled.items():
             self._poll(slot, voter, now)
-        return all(voter.has_grantor(now) for voter in watched.values())
+        return all(voter.has_grantor(now) for voter in polled.values())
 
     def may_ask(self, slot: Slot, now: float) -> bool:
-        """Tells whether an operation may ask the slot's candidate now.
+        """Returns whether an operation may ask the slot's candidate now.
 
-        It may if the candidate grants. It may also begin to ask a candidate of which nothing was
-        heard lately; candidates that were left for this one are then asked beside it.
+        The candidate may be asked if it grants, or if `Voter.may_ask_unconfirmed` allows it. In the
+        second case the candidates that were left for this one are probed too.
         """
         voter = self.voter(slot)
         if voter.has_grantor(now):
@@ -114,7 +115,10 @@
         return True
 
     def record_dropped(self, slot: Slot, sender: str) -> bool:
-        """A process dropped a vote of an earlier division; returns whether none binds any more."""
+        """Records that a process dropped a vote of the previous partitioning.
+
+        Returns whether no vote of that partitioning is valid any more.
+        """
         if not self._previous_votes.record_dropped(slot, sender):
             return False
         for voter in self._voters.values():
@@ -122,7 +126,7 @@
         return True
 
     def handle_answer(self, answer: QuotaAnswer, asked: PendingQuestion) -> bool:
-        """Takes the answer to a question; returns False if its slot is not in use any more."""
+        """Handles the answer to a question; returns False if its slot is no longer in use."""
         voter = self._voters.get(answer.slot)
         if voter is None:
             return False
@@ -132,7 +136,7 @@
         return True
 
     def _poll(self, slot: Slot, voter: Voter, now: float) -> None:
-        """Asks the candidate, with this process's vote if it has one; leaves a silent one."""
+        """Asks the candidate, with a vote if this process has one; leaves a silent candidate."""
         for name in voter.check_candidates(now):
             self._questions.probe(slot, name)
         for name in voter.pending_withdrawals(now):
@@ -141,7 +145,8 @@
             self._questions.ask(slot, voter)
 
     def _repartition(self) -> None:
-        """The slots are other ones now; votes in the old ones bind until they are dropped."""
+        """Discards the voters of the old slots; their votes delay new ones until they are
+        dropped."""
         now = self._scheduler.now()
         self._has_repartitioned = True
         self._previous_votes.add(self._voters, now)
--- a/src/dewledge/core/pooler/rate_limits/slots.py
+++ b/src/dewledge/core/pooler/rate_limits/slots.py
@@ -1,15 +1,13 @@
-"""Which processes may grant a caller's tokens, and which vote for them. Pure functions.
+"""Assigns callers to slots, and processes to slots as grantor candidates and voters. Pure
+functions.
 
-Inputs: a caller's name, the names of the members known here (their list's age is that of the member
-table). Decision: the slot of the caller, the slot's candidates and voters.
+Callers are hashed into slots, whose number grows with the number of processes, so that no process
+grants for all callers. For each slot every process computes the same few candidates by rendezvous
+hashing. The votes that a candidate holds determine how much it may grant (grantor.py).
 
-Callers are divided into slots, more with more processes, so that no process answers all. For
-each slot every process works out the same few candidates by rendezvous hashing; how much each may
-grant follows from the votes for it (grantor.py).
-
-A process votes in VOTES_EACH slots, whatever the number of processes, so neither what it sends nor
-what a grantor takes grows with them. Where it votes follows from its name and the number of slots
-alone, so that processes which know other members still agree on it.
+A process votes in SLOTS_PER_VOTER slots whatever the number of processes, so neither the votes that
+it sends nor those that a grantor receives grow with a deployment. Its slots follow from its name
+and the number of slots alone, so processes with different member lists agree on them.
 """
 
 from collections.abc import Collection, Sequence
@@ -18,52 +16,51 @@
 import xxhash
 
 MAX_PROCESSES_PER_SLOT = 32
-"""Processes for each slot, at most. With more than that, a slot has between VOTES_EACH / 2 and
-VOTES_EACH times as many voters, so a grantor hears some two hundred votes a second, reckoned at
-about a hundredth of a small machine's core."""
+"""Processes for each slot at most. With more processes than this, a slot has between
+SLOTS_PER_VOTER / 2 and SLOTS_PER_VOTER times as many voters, which limits the votes that a grantor
+receives each second."""
 SLOTS_PER_VOTER = 2
-"""Slots in which each process votes. With more, a side of a split has more nearly its part of the
-votes (of 32 to 64 within a few); each costs a datagram and its answer in a third of a second. With
-two, a process sends and takes 1.1 KB a second at 59, 300 and 850 processes."""
+"""Slots in which each process votes. More slots divide the votes more evenly between the two sides
+of a network partition; each costs a question and an answer every VOTE_INTERVAL_SECONDS."""
 CANDIDATES_PER_SLOT = 5
-"""Processes that stand in for each other in a slot: of a side with a third of all, one is among
-them with seven chances of eight (1 - (2/3)^5), reckoned."""
+"""Processes that may grant in a slot. A side of a network partition with a third of all processes
+has a candidate with a probability of 1 - (2/3)^5, about seven in eight."""
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """One of `count` parts of all callers."""
+    """A partition of the callers, one of `count`."""
 
     count: int
     index: int
 
 
 def slot_count(processes: int) -> int:
-    """Returns into how many slots callers are divided: a power of two.
+    """Returns the number of slots for a number of processes: a power of two.
 
-    So a deployment that starts process by process divides them a few times only; each division
-    costs the time in which earlier votes may count.
+    Powers of two keep changes of the number rare while a deployment starts process by process. Each
+    change delays grants until the votes in the old slots expire or are dropped.
     """
-    least = max(-(-processes // MAX_PROCESSES_PER_SLOT), 1)
-    return 1 << (least - 1).bit_length()
+    min_slots = max(-(-processes // MAX_PROCESSES_PER_SLOT), 1)
+    return 1 << (min_slots - 1).bit_length()
 
 
 def voting_slots(name: str, count: int) -> Sequence[Slot]:
     """Returns the slots in which a process votes.
 
-    When each slot is divided in two, the voters of a new slot have voted in the old slot that it
-    was a part of, so a caller keeps some of its voters.
+    When the number of slots doubles, every voter of a new slot was a voter of the old slot that
+    contained it, so a caller keeps some of its voters.
     """
     first = xxhash.xxh3_64_intdigest(f"votes {name}".encode()) % count
     return [Slot(count, (first + step) % count) for step in range(min(SLOTS_PER_VOTER, count))]
 
 
 def is_voter(name: str, slot: Slot) -> bool:
-    """Tells whether a process's vote counts in a slot."""
+    """Returns whether a process votes in a slot."""
     return slot in voting_slots(name, slot.count)
 
 
 def voters_of(slot: Slot, members: Collection[str]) -> frozenset[str]:
-    """Returns the processes whose votes count in a slot."""
+    """Returns the members that vote in a slot."""
     if slot.count <= SLOTS_PER_VOTER:
         return frozenset(members)
     return frozenset(name for name in members if is_voter(name, slot))
@@ -75,7 +72,7 @@
 
 
 def candidates_of(slot: Slot, members: Collection[str]) -> Sequence[str]:
-    """Returns the processes that may grant for a slot, first choice first."""
+    """Returns the members that may grant in a slot, the most preferred first."""
     return _ranked(f"quota {slot.count} {slot.index}", members)[:CANDIDATES_PER_SLOT]
 
 
@@ -85,9 +82,9 @@
     previous_members: frozenset[str],
     members: frozenset[str],
 ) -> Sequence[str]:
-    """Returns the candidates among `members`, from those `known` among `before`.
+    """Returns the candidates after a change of the members.
 
-    A change of a member weighs a few names in place of all, whatever their number.
+    Hashes only the previous candidates and the added members, not all members.
     """
     if len(previous_candidates) < CANDIDATES_PER_SLOT or not members.issuperset(
         previous_candidates
@@ -107,14 +104,14 @@
     previous_members: frozenset[str],
     members: frozenset[str],
 ) -> frozenset[str]:
-    """Returns the voters among `members`, from those `known` among `before`."""
+    """Returns the voters after a change of the members; hashes only the added members."""
     return (previous_voters & members) | voters_of(slot, members - previous_members)
 
 
 def rank_of(process_name: str, caller: str, members: Collection[str]) -> int:
-    """Returns a process's rank among all, another order for each caller."""
-    own = _hash_weight(f"reserve {caller}", process_name)
-    return sum(_hash_weight(f"reserve {caller}", name) < own for name in members)
+    """Returns a process's rank among all members, in a different order for each caller."""
+    process_weight = _hash_weight(f"reserve {caller}", process_name)
+    return sum(_hash_weight(f"reserve {caller}", name) < process_weight for name in members)
 
 
 def _ranked(salt: str, members: Collection[str]) -> Sequence[str]:
--- a/src/dewledge/core/pooler/rate_limits/token_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/token_bucket.py
@@ -1,34 +1,34 @@
-"""A bucket that fills at a steady rate; time is passed in."""
+"""A token bucket that fills at a steady rate. Callers pass the time."""
 
 from typing import Protocol
 
 ROUNDING_TOKENS = 1e-9
-"""Tokens by which sums of many small gains may miss a whole one; floating point."""
+"""Tokens of tolerance for the floating-point error of many small additions."""
 
 
 class TokenSource(Protocol):
-    """What gives tokens, as a queue of those who want them sees it."""
+    """The token bucket as a queue uses it."""
 
     @property
     def rate(self) -> float:
-        """How many tokens come in a second."""
+        """Tokens added each second."""
 
     @property
     def size(self) -> float:
-        """How many tokens it holds at most."""
+        """Maximum number of tokens."""
 
     def acquire(self, wanted: int, now: float) -> int:
-        """Returns how many tokens are given, `wanted` at most."""
+        """Removes up to `wanted` whole tokens and returns their number."""
 
     def holds(self, count: float, now: float) -> bool:
-        """Tells whether there are so many tokens."""
+        """Returns whether at least `count` tokens are available."""
 
     def seconds_until(self, count: float, now: float) -> float:
-        """Returns in how many seconds so many have come, those given meanwhile included."""
+        """Returns the seconds until `count` tokens are available if none is removed before."""
 
 
 class TokenBucket:
-    """At most `size` tokens, `rate` more a second."""
+    """Holds at most `size` tokens and gains `rate` tokens a second."""
 
     def __init__(self, rate: float, size: float, tokens: float, now: float) -> None:
         self._rate = rate
@@ -38,35 +38,35 @@
 
     @property
     def rate(self) -> float:
-        """How many tokens come in a second."""
+        """Tokens added each second."""
         return self._rate
 
     @property
     def size(self) -> float:
-        """How many tokens it holds at most."""
+        """Maximum number of tokens."""
         return self._size
 
     def change(self, rate: float, size: float, now: float) -> None:
-        """Fills at another rate from now on; what is beyond the new size is lost."""
+        """Sets the rate and the size from now on; drops the tokens beyond the new size."""
         self._fill(now)
         self._rate = rate
         self._size = size
         self._tokens = min(self._tokens, size)
 
     def acquire(self, wanted: int, now: float) -> int:
-        """Returns how many tokens are given, `wanted` at most."""
+        """Removes up to `wanted` whole tokens and returns their number."""
         self._fill(now)
-        given = min(wanted, int(self._tokens + ROUNDING_TOKENS))
-        self._tokens -= given
-        return given
+        granted = min(wanted, int(self._tokens + ROUNDING_TOKENS))
+        self._tokens -= granted
+        return granted
 
     def holds(self, count: float, now: float) -> bool:
-        """Tells whether there are so many tokens."""
+        """Returns whether at least `count` tokens are available."""
         self._fill(now)
         return self._tokens >= count - ROUNDING_TOKENS
 
     def seconds_until(self, count: float, now: float) -> float:
-        """Returns in how many seconds so many have come, those given meanwhile included."""
+        """Returns the seconds until `count` tokens are available if none is removed before."""
         self._fill(now)
         return max(count - self._tokens, 0.0) / self._rate
 
--- a/src/dewledge/core/pooler/rate_limits/token_queue.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -1,14 +1,13 @@
-"""Who gets the next tokens of one caller at its grantor: a queue in the order of arrival.
+"""The queue of operations for a caller's tokens at its grantor, in the order of arrival.
 
-Inputs: the caller's bucket (tokens; its time passes with the share of votes held), the key of an
-operation and the seconds that it may wait, now. Decision: a token, or in how many seconds the
-operation's own comes, whether it is kept and whether the operation is to be refused. Reason: a
-position in the queue keeps a token that is still to come. It takes nothing out of the bucket, so
-the queue can neither lose a token nor give one twice: what a position did not redeem is there for
-the next. A standing queue (standing_queue_watch.py) is kept short: who is refused then is told a
-moment of its own (return_times.py), and has the next token when it comes back at it.
+A position in the queue reserves a token that is still to be added to the bucket. Nothing is removed
+from the bucket until the token is granted, so the queue can neither lose a token nor grant one
+twice: a token that was not redeemed is available to the next operation.
 
-Owns the positions and the tokens given lately. Relies on the bucket alone for the bound.
+A persistent queue (persistent_queue_detector.py) is kept short. Operations that it refuses get a
+retry time of their own (retry_times.py), and the next token when they retry at that time.
+
+The bucket alone enforces the caller's limit.
 """
 
 import math
@@ -16,38 +15,38 @@
 import msgspec
 
 from dewledge.core.pooler.rate_limits.limits import TOKEN_LIFETIME_SECONDS
+from dewledge.core.pooler.rate_limits.persistent_queue_detector import (
+    ACCEPTABLE_WAIT_SECONDS,
+    PersistentQueueDetector,
+)
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
-from dewledge.core.pooler.rate_limits.return_times import (
+from dewledge.core.pooler.rate_limits.retry_times import (
     RETRY_RATIO,
     RetryTimes,
     drop_before,
 )
-from dewledge.core.pooler.rate_limits.standing_queue_watch import (
-    ACCEPTABLE_WAIT_SECONDS,
-    PersistentQueueDetector,
-)
 from dewledge.core.pooler.rate_limits.token_bucket import ROUNDING_TOKENS, TokenSource
 
 RESERVATION_HORIZON_SECONDS = 2.0
-"""Seconds ahead for which tokens are kept for who has asked. Statements may take one to some
-seconds; what is told a later moment has most of its time behind it when it comes back, and a longer
-queue would have all of a caller's operations late long after it asked for too much."""
+"""Seconds ahead for which tokens are reserved. Statements usually have timeouts of a few seconds. A
+longer queue would delay all of a caller's operations long after its demand has fallen."""
 REDEEM_TIMEOUT_SECONDS = 0.5
-"""Seconds after its moment for which a token is kept at most: some round trips of a client and of a
-process. A bucket that is full before that keeps it for less."""
+"""Seconds for which an available token stays reserved at most: some round trips to the client and
+between processes. The time is shorter if the bucket fills up before."""
 
 
 class Granted(msgspec.Struct, frozen=True):
-    """A token is given, or was to an earlier question of the asker: `age` seconds ago."""
+    """A token is granted now, or was granted `age` seconds ago to the same operation."""
 
     age: float = 0.0
 
 
 class Deferred(msgspec.Struct, frozen=True):
-    """There is none yet. seconds: until the one of this asker. is_kept: none else gets it.
+    """No token is available yet.
 
-    is_refused: the operation is not to be held. is_own: if it comes back at that moment the next
-    token is its own.
+    seconds: until the operation should ask again. is_kept: the token at that time is reserved in
+    the queue. is_refused: the operation should not be held until then. is_own: the retry time is
+    reserved, so an operation that retries then gets the next token.
     """
 
     seconds: float
@@ -57,15 +56,18 @@
 
 
 class TokenQueue:
-    """One caller's. Soft state: without it the next operation that asks is the next served."""
+    """A caller's queue. Soft state: without it, tokens go to operations as they ask."""
 
     def __init__(self, bucket: TokenSource) -> None:
-        """The bucket fills by the time with a full share; the queue's moments are by the clock."""
+        """The bucket's clock advances by the fraction of the votes held, the queue's by real
+        time."""
         self.bucket = bucket
         self._due_at: dict[QueueKey, float] = {}
-        """The positions in the order of arrival; of `rate` x KEPT_SECONDS and a bucket at most."""
+        """When the token of each position is available, in the order of arrival. Holds at most rate
+        x RESERVATION_HORIZON_SECONDS positions plus a full bucket."""
         self._granted_at: dict[QueueKey, float] = {}
-        """For the life of a token: whoever asks again, its answer being lost or slow, has it."""
+        """When tokens were granted, for their lifetime: an operation whose answer was lost asks
+        again."""
         self._detector = PersistentQueueDetector()
         self.retries = RetryTimes()
 
@@ -80,18 +82,18 @@
         fraction: float,
         max_wait: float = math.inf,
     ) -> Granted | Deferred:
-        """Gives a token, or the moment of one.
+        """Grants a token, or returns when to ask again.
 
-        key: None where nothing is to be kept. filled_to: the bucket's time. share: of the rate
-        that comes in now, above 0. accepted_wait: for so many seconds the operation may wait and
-        still be in time; that counts in a standing queue. The same key again finds its position
-        again.
+        key: None if no token should be reserved. bucket_time: now, by the bucket's clock. fraction:
+        of the rate that the bucket fills at now, above 0. max_wait: seconds that the operation can
+        wait and still meet its latency target, which matters in a persistent queue. A repeated
+        request with the same key keeps its position.
         """
         self._drop_expired(now, fraction)
         if key is not None and key in self._granted_at:
             return Granted(now - self._granted_at[key])
-        return_at = self.retries.retry_at(key)
-        if key is not None and return_at is not None and return_at <= now + ROUNDING_TOKENS:
+        retry_at = self.retries.retry_at(key)
+        if key is not None and retry_at is not None and retry_at <= now + ROUNDING_TOKENS:
             return self._handle_retry(key, now, bucket_time, fraction)
         if self._can_grant(key, now, bucket_time, fraction):
             self._record_wait(key, 0.0, now, fraction)
@@ -104,49 +106,50 @@
         return self._enqueue(key, now, bucket_time, fraction, max_wait)
 
     def _enqueue(
-        self, key: QueueKey | None, now: float, filled_to: float, share: float, accepted_wait: float
+        self, key: QueueKey | None, now: float, bucket_time: float, fraction: float, max_wait: float
     ) -> Deferred:
-        """Promises the token after all those in the queue, or refuses and tells a moment."""
-        seconds = self._token_delay(len(self._due_at), filled_to, share)
-        self._record_wait(key, seconds, now, share)
+        """Adds the operation at the end of the queue, or returns a time to retry at."""
+        seconds = self._token_delay(len(self._due_at), bucket_time, fraction)
+        self._record_wait(key, seconds, now, fraction)
         if key is None:
-            return Deferred(self._unreserved_delay(now, seconds, share), False)
+            return Deferred(self._unreserved_delay(now, seconds, fraction), False)
         if self._detector.is_persistent(now):
-            return self._enqueue_or_refuse(key, now, seconds, share, accepted_wait)
+            return self._enqueue_or_refuse(key, now, seconds, fraction, max_wait)
         if seconds <= RESERVATION_HORIZON_SECONDS:
             return self._reserve(key, seconds, now)
-        return Deferred(self._unreserved_delay(now, seconds, share), False)
+        return Deferred(self._unreserved_delay(now, seconds, fraction), False)
 
     def _handle_retry(
-        self, key: QueueKey, now: float, filled_to: float, share: float
+        self, key: QueueKey, now: float, bucket_time: float, fraction: float
     ) -> Granted | Deferred:
-        """Gives the token of the moment that was told, or says when it comes: soon."""
+        """Grants the token of an operation that retries, or returns when it is available."""
         needed = self.retries.record_retry(key, now) + 1
-        if not self.bucket.holds(needed, filled_to):
-            seconds = self.bucket.seconds_until(needed, filled_to) / share
+        if not self.bucket.holds(needed, bucket_time):
+            seconds = self.bucket.seconds_until(needed, bucket_time) / fraction
             self.retries.set_token_time(key, now + seconds)
             return Deferred(seconds, True)
         self.retries.remove(key)
-        self._grant(key, now, filled_to)
+        self._grant(key, now, bucket_time)
         return Granted()
 
     def _enqueue_or_refuse(
-        self, key: QueueKey, now: float, seconds: float, share: float, accepted_wait: float
+        self, key: QueueKey, now: float, seconds: float, fraction: float, max_wait: float
     ) -> Deferred:
-        """Keeps a token for who is in time with it; others are told a moment.
+        """Reserves a token if the operation meets its latency target with it; else reserves a retry
+        time.
 
-        A queue as long as its operations accept serves what a wave of demand leaves behind. Who
-        comes back as told may have its part of the tokens meanwhile.
+        Allowing a queue as long as the operations accept serves more of what a wave of demand
+        leaves behind. Part of the tokens, RETRY_RATIO, is left to operations that retry.
         """
-        longest = max(accepted_wait * (1.0 - RETRY_RATIO), self._token_interval(share))
-        if seconds <= min(longest, RESERVATION_HORIZON_SECONDS):
+        max_seconds = max(max_wait * (1.0 - RETRY_RATIO), self._token_interval(fraction))
+        if seconds <= min(max_seconds, RESERVATION_HORIZON_SECONDS):
             return self._reserve(key, seconds, now)
-        self._detector.mark_persistent(now, self._token_interval(share))
-        return_at = self.retries.retry_at(key)
-        if return_at is not None:
-            return Deferred(return_at - now, False, True, True)
+        self._detector.mark_persistent(now, self._token_interval(fraction))
+        retry_at = self.retries.retry_at(key)
+        if retry_at is not None:
+            return Deferred(retry_at - now, False, True, True)
         moment, is_own = self.retries.reserve_retry_time(
-            key, now, now + seconds, self.bucket.rate * share
+            key, now, now + seconds, self.bucket.rate * fraction
         )
         return Deferred(moment - now, False, True, is_own)
 
@@ -154,67 +157,74 @@
         self._due_at[key] = now + seconds
         return Deferred(seconds, True)
 
-    def _token_delay(self, ahead: int, filled_to: float, share: float) -> float:
-        """Returns when there is a token beside those of `ahead` positions and of who came back."""
+    def _token_delay(self, ahead: int, bucket_time: float, fraction: float) -> float:
+        """Returns the seconds until a token is available beyond `ahead` positions and all
+        retries."""
         needed = ahead + self.retries.waiting_count + 1
-        return self.bucket.seconds_until(needed, filled_to) / share
+        return self.bucket.seconds_until(needed, bucket_time) / fraction
 
-    def _token_interval(self, share: float) -> float:
-        """Returns the seconds in which one token comes."""
-        return 1.0 / (self.bucket.rate * share)
+    def _token_interval(self, fraction: float) -> float:
+        """Returns the seconds between two tokens."""
+        return 1.0 / (self.bucket.rate * fraction)
 
-    def _acceptable_wait(self, share: float) -> float:
-        """Returns the wait in a queue that is not too long: there may be one position at least."""
-        return max(ACCEPTABLE_WAIT_SECONDS, self._token_interval(share))
+    def _acceptable_wait(self, fraction: float) -> float:
+        """Returns the wait up to which the queue is not too long; allows at least one position."""
+        return max(ACCEPTABLE_WAIT_SECONDS, self._token_interval(fraction))
 
-    def _record_wait(self, key: QueueKey | None, seconds: float, now: float, share: float) -> None:
-        """Tells the watch the wait of an operation that asks for the first time."""
+    def _record_wait(
+        self, key: QueueKey | None, seconds: float, now: float, fraction: float
+    ) -> None:
+        """Reports the wait of an operation's first request to the detector."""
         if key is not None and key not in self._due_at:
             self._detector.record_wait(
-                seconds, self._acceptable_wait(share), now, self._token_interval(share)
+                seconds, self._acceptable_wait(fraction), now, self._token_interval(fraction)
             )
 
-    def _can_grant(self, key: QueueKey | None, now: float, filled_to: float, share: float) -> bool:
-        if not self.bucket.holds(1, filled_to):
+    def _can_grant(
+        self, key: QueueKey | None, now: float, bucket_time: float, fraction: float
+    ) -> bool:
+        if not self.bucket.holds(1, bucket_time):
             return False
         if key is None or key not in self._due_at:
-            return self._has_surplus(now, filled_to, share)
+            return self._has_surplus(now, bucket_time, fraction)
         needed = self._positions_ahead(key) + 1
         if self._due_at[key] <= now:
             # A full bucket cannot hold more tokens for positions ahead that are not redeemed.
             needed = min(needed, max(int(self.bucket.size), 1))
-        return self.bucket.holds(self.retries.waiting_count + needed, filled_to)
+        return self.bucket.holds(self.retries.waiting_count + needed, bucket_time)
 
-    def _has_surplus(self, now: float, filled_to: float, share: float) -> bool:
-        """Tells whether each in the queue still finds its token at its moment without this one.
+    def _has_surplus(self, now: float, bucket_time: float, fraction: float) -> bool:
+        """Returns whether every queued operation would still get its token in time after a grant.
 
-        Positions are added with moments at which no token is left over, so the last one decides.
-        Tokens that positions before it did not redeem are left over.
+        Positions are added only while no token is surplus, so checking the last one is enough.
+        Tokens that were not redeemed are surplus.
         """
         if not self._due_at:
-            return self.bucket.holds(self.retries.waiting_count + 1, filled_to)
+            return self.bucket.holds(self.retries.waiting_count + 1, bucket_time)
         last_due_at = next(reversed(self._due_at.values()))
-        come_until_then = max(last_due_at - now, 0.0) * self.bucket.rate * share
-        needed = self.retries.waiting_count + len(self._due_at) + 1 - come_until_then
-        return self.bucket.holds(max(needed, 1), filled_to)
+        arriving_tokens = max(last_due_at - now, 0.0) * self.bucket.rate * fraction
+        needed = self.retries.waiting_count + len(self._due_at) + 1 - arriving_tokens
+        return self.bucket.holds(max(needed, 1), bucket_time)
 
-    def _grant(self, key: QueueKey | None, now: float, filled_to: float) -> None:
-        self.bucket.acquire(1, filled_to)
+    def _grant(self, key: QueueKey | None, now: float, bucket_time: float) -> None:
+        self.bucket.acquire(1, bucket_time)
         if key is not None:
             self._due_at.pop(key, None)
             self._granted_at[key] = now
 
     def _positions_ahead(self, key: QueueKey) -> int:
-        """Returns how many positions are ahead; one that redeems in time is near the front."""
+        """Returns the number of positions ahead; a linear search, short for operations near the
+        front."""
         return next(ahead for ahead, other in enumerate(self._due_at) if other == key)
 
-    def _unreserved_delay(self, now: float, seconds: float, share: float) -> float:
-        """Returns the seconds after which an operation may come back for which no token is kept."""
-        return self.retries.next_unreserved_time(now + seconds, self.bucket.rate * share) - now
+    def _unreserved_delay(self, now: float, seconds: float, fraction: float) -> float:
+        """Returns the seconds until an operation without a reserved token may retry."""
+        return self.retries.next_unreserved_time(now + seconds, self.bucket.rate * fraction) - now
 
-    def _drop_expired(self, now: float, share: float) -> None:
-        """Drops the positions of operations that did not come, before the bucket is full."""
-        kept_for = min(REDEEM_TIMEOUT_SECONDS, self.bucket.size / (self.bucket.rate * share))
-        drop_before(self._due_at, now - kept_for)
+    def _drop_expired(self, now: float, fraction: float) -> None:
+        """Drops positions and retry times that were not used, and grants whose tokens have
+        expired."""
+        retention = min(REDEEM_TIMEOUT_SECONDS, self.bucket.size / (self.bucket.rate * fraction))
+        drop_before(self._due_at, now - retention)
         drop_before(self._granted_at, now - TOKEN_LIFETIME_SECONDS)
-        self.retries.drop_expired(now - kept_for)
+        self.retries.drop_expired(now - retention)
--- a/src/dewledge/core/pooler/rate_limits/vote_binding.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_binding.py
@@ -1,11 +1,10 @@
-"""To which candidate this process's vote in one slot binds it, and until when.
-
-Inputs: the moments at which candidates answered (own steady clock, seconds). Decision: whether a
-vote for another candidate may be sent now. Reason: each vote counts at one grantor at most, so a
-vote for another is sent only when the last one cannot count any more: VOTE_SECONDS after the answer
-that it echoes, or once the candidate has dropped it. What an earlier start of the process did is
-forgotten, so after a start it votes for nobody for as long, or until each candidate has dropped its
-earlier votes.
+"""Decides when this process may vote for another candidate of a slot.
+
+Each vote must be valid at one grantor at most. So a vote for another candidate is sent only after
+the last vote has expired, VOTE_LIFETIME_SECONDS after the answer that it echoes, or after its
+candidate dropped it. A process does not remember its votes across a restart. For
+VOTE_LIFETIME_SECONDS after a start, or until each candidate has dropped its earlier votes, the
+process therefore sends no vote.
 """
 
 import math
@@ -16,32 +15,33 @@
 
 
 class VoteBinding:
-    """Of one slot at one process."""
+    """The last vote of this process in one slot."""
 
     def __init__(
         self, answers: CandidateAnswers, started_at: float, withdrawal_candidates: Collection[str]
     ) -> None:
-        """`withdrawing`: the candidates that may count votes of an earlier start of this process.
+        """`withdrawal_candidates`: the candidates that may hold votes from before this process
+        restarted.
 
-        started_at: of the process.
+        started_at: when the process started.
         """
         self._answers = answers
         self._earlier_votes_valid_until = started_at + VOTE_LIFETIME_SECONDS
-        """From then on no vote of an earlier start of the process counts."""
+        """When the votes from before a restart expire."""
         self._voted_for = ""
         self._pending_withdrawals = set(withdrawal_candidates)
 
     @property
     def voted_for(self) -> str:
-        """Whom the last vote was for, empty where there was none."""
+        """The candidate of the last vote, empty if there was none."""
         return self._voted_for
 
     @property
     def vote_valid_until(self) -> float:
-        """Until then a vote of this process may count.
+        """When every vote sent by this process has expired.
 
-        A vote counts for VOTE_SECONDS from the sending of the answer that it echoes, which came
-        here later.
+        A vote expires VOTE_LIFETIME_SECONDS after the candidate sent the answer that the vote
+        echoes; the answer arrived here later than that.
         """
         return max(
             self._answers.answered_at(self._voted_for) + VOTE_LIFETIME_SECONDS,
@@ -49,23 +49,27 @@
         )
 
     def may_vote(self, candidate: str, now: float) -> bool:
-        """Tells whether a vote for the candidate can count beside no earlier one."""
+        """Returns whether a vote for the candidate may be sent: no vote for another one is
+        valid."""
         return self._voted_for == candidate or now >= self.vote_valid_until
 
     def record_vote(self, candidate: str) -> None:
-        """A vote for the candidate is sent now."""
+        """Records that a vote for the candidate is sent now."""
         self._voted_for = candidate
 
     def clear_earlier_votes(self) -> None:
-        """No vote from before this binding counts any more."""
+        """Records that no vote from before this binding is valid any more."""
         self._earlier_votes_valid_until = -math.inf
 
     def pending_withdrawals(self, now: float) -> Sequence[str]:
-        """Returns the candidates that are to drop the earlier votes of this process."""
+        """Returns the candidates that have yet to drop the votes from before a restart."""
         return sorted(self._pending_withdrawals) if now < self._earlier_votes_valid_until else ()
 
     def record_withdrawal(self, sender: str) -> bool:
-        """A candidate has dropped the earlier votes; returns whether all have, just now."""
+        """Records that a candidate dropped the votes from before a restart.
+
+        Returns whether this was the last one and this process may vote now.
+        """
         if sender not in self._pending_withdrawals:
             return False
         self._pending_withdrawals.discard(sender)
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -1,13 +1,12 @@
-"""Whom a process asks in one slot: the first candidate that answers, and its vote is for that one.
+"""Selects the candidate that a process asks in a slot, and votes for.
 
-Inputs: the candidates in their order, and the answers to this process's questions (own steady
-clock, seconds; an answer is a round trip old). Decision: which candidate is asked, when it is asked
-again, when it is left for the next, which earlier ones are probed. Reason: all processes of a slot
-prefer the same candidate, so that one grantor has the votes; a silent one may be lost or cut off.
+All processes prefer the candidates in the same order, so that the votes gather at one grantor. A
+process asks the first candidate that answers. If that candidate falls silent, the process selects
+the next one, and probes the earlier ones to return to the first that answers again.
 
-Where the process has no vote it asks only when there is an operation, nothing is sent while there
-is none, and it looks for a candidate that has votes, whichever that is. Relies on vote_binding.py
-for when a vote may be sent and on grantor_search.py for how long operations look for a grantor.
+A process without a vote in the slot asks only on behalf of operations, and looks for any candidate
+that holds votes. vote_binding.py decides when a vote may be sent, grantor_search.py how long
+operations wait for a grantor.
 """
 
 import math
@@ -20,23 +19,23 @@
 from dewledge.core.pooler.rate_limits.vote_binding import VoteBinding
 
 SILENCE_TIMEOUT_SECONDS = 0.7
-"""Seconds without an answer after which a candidate is left for the next: two lost questions are
-survived."""
+"""Seconds without an answer after which a voter leaves a candidate; two questions may be lost."""
 NON_VOTER_SILENCE_TIMEOUT_SECONDS = 0.09
-"""Seconds of the same where no vote binds this process: two round trips between regions. Earlier
-candidates are asked beside the next one, so that one lost question costs a round trip."""
+"""Seconds without an answer after which a process without a vote leaves a candidate: two round
+trips between regions. Earlier candidates are probed at the same time, so one lost question costs
+one round trip."""
 NON_GRANTOR_RETRY_SECONDS = 0.1
-"""Seconds after which a candidate that said that it has no votes is asked again."""
+"""Seconds after which a candidate that answered that it holds no votes is asked again."""
 PROBE_INTERVAL_SECONDS = 1.0
-"""Seconds between two questions to the candidates before the present one, which are gone back
-to."""
+"""Seconds between two probes of the candidates before the selected one."""
 POLL_DUE_RATIO = 0.8
-"""Ratio; share of the time between two questions after which the next one is due: what is nearly
-due is sent with what is due now."""
+"""Ratio of the poll interval after which the next question is due, so that questions of several
+slots are sent together."""
 
 
 class Voter:
-    """The state of one slot at one process. Times in seconds of its own steady clock."""
+    """The candidate selected in one slot by one process. Times are in seconds of its steady
+    clock."""
 
     def __init__(
         self,
@@ -46,9 +45,9 @@
         has_vote: bool = True,
         can_withdraw: bool = True,
     ) -> None:
-        """`started_at`: of the process. began_at: when it began to look for a grantor.
+        """`started_at`: when the process started. began_at: when the search for a grantor began.
 
-        can_withdraw: whether no other process than the candidates may count earlier votes.
+        can_withdraw: whether only the candidates can hold votes from before a restart.
         """
         self._has_vote = has_vote
         self._candidates = tuple(candidates)
@@ -58,104 +57,113 @@
         self._binding = VoteBinding(self._answers, started_at, withdrawing)
         self._search = GrantorSearch(began_at, has_vote)
         self._asked_at = -math.inf
-        """When a candidate was asked last."""
+        """When a candidate was last asked."""
         self._unanswered_since = math.inf
-        """When the present candidate was asked first after its last answer."""
+        """When the candidate was first asked after its last answer; inf if no question is open."""
         self._allows_concurrent_questions = False
-        """Whether all that come may ask the candidate, as nothing shows that it is no grantor."""
+        """Whether operations may ask the candidate while an earlier question to it is
+        unanswered."""
         self._selected_at = began_at
-        """Since when the present candidate is asked."""
+        """When the candidate was selected."""
         self._confirmed_at = -math.inf
-        """When a question was sent whose answer said that the candidate grants."""
+        """When the last question was sent whose answer said that the candidate grants."""
         self._probe_after = began_at
 
     @property
     def candidate(self) -> str:
-        """Whom this process asks."""
+        """The candidate that this process asks, empty without candidates."""
         return self._candidates[self._index] if self._candidates else ""
 
     @property
     def last_timestamp(self) -> float | None:
-        """What the candidate is to be told back of its own clock."""
+        """The timestamp in the candidate's last answer, by its own clock, for a vote to echo."""
         return self._answers.last_timestamp(self.candidate)
 
     @property
     def candidates(self) -> Sequence[str]:
-        """Who may grant, first choice first."""
+        """The processes that may grant, the most preferred first."""
         return self._candidates
 
     @property
     def vote_valid_until(self) -> float:
-        """Until then a vote of this process may count."""
+        """When every vote sent by this process has expired."""
         return self._binding.vote_valid_until
 
     @property
     def voted_for(self) -> str:
-        """Whom the last vote was for, empty where there was none."""
+        """The candidate of the last vote, empty if there was none."""
         return self._binding.voted_for
 
     def change_candidates(self, candidates: Sequence[str], now: float) -> None:
-        """Keeps to the present candidate if it is still one of them."""
-        present = self.candidate
+        """Sets the candidates; keeps the selected one if it is still among them."""
+        current = self.candidate
         self._candidates = tuple(candidates)
-        if present in self._candidates:
-            self._index = self._candidates.index(present)
+        if current in self._candidates:
+            self._index = self._candidates.index(current)
         else:
             self._select(0, now)
 
     def may_vote(self, now: float) -> bool:
-        """Tells whether a vote for the present candidate can count beside no earlier one."""
+        """Returns whether a vote for the selected candidate may be sent: no vote for another is
+        valid."""
         return self._has_vote and self._binding.may_vote(self.candidate, now)
 
     def record_question(self, now: float) -> None:
-        """The present candidate is asked now."""
+        """Records that the selected candidate is asked now."""
         self._asked_at = now
         self._unanswered_since = min(self._unanswered_since, now)
 
     def record_vote(self) -> None:
-        """A vote for the present candidate is sent now."""
+        """Records that a vote for the selected candidate is sent now."""
         self._binding.record_vote(self.candidate)
 
     def clear_earlier_votes(self) -> None:
-        """No vote from before this voter counts any more."""
+        """Records that no vote from before this voter is valid any more."""
         self._binding.clear_earlier_votes()
 
     def pending_withdrawals(self, now: float) -> Sequence[str]:
-        """Returns the candidates that are to drop the earlier votes of this process."""
+        """Returns the candidates that have yet to drop the votes from before a restart."""
         return self._binding.pending_withdrawals(now)
 
     def record_withdrawal(self, sender: str) -> bool:
-        """A candidate has dropped the earlier votes; returns whether all have, just now."""
+        """Records that a candidate dropped the votes from before a restart.
+
+        Returns whether this was the last one and this process may vote now.
+        """
         return self._binding.record_withdrawal(sender)
 
     def record_waiting_operation(self, now: float) -> None:
-        """An operation waits for a grantor."""
+        """Records that an operation waits for a grantor now."""
         self._search.record_waiting_operation(now)
 
     def search_deadline(self, now: float, seconds: float) -> float:
-        """Returns until when an operation may wait that finds no grantor known.
+        """Returns until when an operation may wait while no grantor is known, -inf if one is.
 
-        seconds: for the search, once: not for each operation while there is none.
+        seconds: the length of a search, which all operations during it share.
         """
         if self.has_grantor(now):
             return -math.inf
         return self._search.wait_deadline(now, seconds)
 
     def needs_polling(self, now: float) -> bool:
-        """Tells whether the candidate is to be asked although no operation asks for a token."""
+        """Returns whether to ask the candidate even though no operation asks for a token."""
         return self._search.needs_polling(now)
 
     def is_poll_due(self, now: float, grantor_interval: float, search_interval: float) -> bool:
-        """Tells whether it is time to ask; operations' questions serve as well."""
+        """Returns whether the last question is so old that the candidate should be asked again.
+
+        Operations' questions count too. grantor_interval: seconds between questions while a grantor
+        is known; search_interval: while none is.
+        """
         spacing = grantor_interval if self.has_grantor(now) else search_interval
         return now >= self._asked_at + spacing * POLL_DUE_RATIO
 
     def may_ask_unconfirmed(self, now: float) -> bool:
-        """Tells whether an operation may ask the candidate though it is not known to grant.
+        """Returns whether an operation may ask the candidate although it is not known to grant.
 
-        Only where this process has no vote. One that does not answer is left for the next one.
-        Operations that come beside the first question ask too; if it leads to no grantor, one
-        question at a time goes on, however many wait.
+        Always False for a voter. Leaves a silent candidate for the next first. While the first
+        question of a search is open, other operations may ask too; once a candidate was left, one
+        question at a time is sent, however many operations wait.
         """
         if self._has_vote:
             return False
@@ -168,11 +176,11 @@
         return now >= self._answers.answered_at(self.candidate) + NON_GRANTOR_RETRY_SECONDS
 
     def has_grantor(self, now: float) -> bool:
-        """Tells whether the candidate granted a moment ago."""
+        """Returns whether the candidate recently confirmed that it grants."""
         return now < self._confirmed_at + VOTE_LIFETIME_SECONDS
 
     def handle_answer(self, answer: QuotaAnswer, sent_at: float, now: float) -> None:
-        """Takes an answer to a question sent at `sent_at`."""
+        """Handles an answer to a question that was sent at `sent_at`."""
         self._answers.record(answer, now)
         if answer.sender != self.candidate:
             self._return_to_earlier(answer, now)
@@ -185,13 +193,14 @@
             self._select_next(now)
 
     def _return_to_earlier(self, answer: QuotaAnswer, now: float) -> None:
-        """Goes back to a candidate that comes before the present one, if that is of use."""
+        """Selects an earlier candidate that answered, if this process votes or that candidate
+        grants."""
         is_useful = self._has_vote or answer.grants_here
         if is_useful and answer.sender in self._candidates[: self._index]:
             self._select(self._candidates.index(answer.sender), now)
 
     def check_candidates(self, now: float) -> Sequence[str]:
-        """Leaves a candidate that is silent; returns the earlier ones to be asked for an answer."""
+        """Leaves a silent candidate for the next; returns the earlier ones to probe now."""
         if self._is_silent(now):
             self._select_next(now)
         if now < self._probe_after:
@@ -200,11 +209,11 @@
         return self._candidates[: self._index]
 
     def _is_silent(self, now: float) -> bool:
-        """Tells whether the candidate is to be left; one that was not asked is not silent."""
+        """Returns whether the candidate left questions unanswered for too long."""
         if not self._has_vote:
             return now > self._unanswered_since + NON_VOTER_SILENCE_TIMEOUT_SECONDS
-        heard = max(self._selected_at, self._answers.answered_at(self.candidate))
-        return now > heard + SILENCE_TIMEOUT_SECONDS
+        last_answer_at = max(self._selected_at, self._answers.answered_at(self.candidate))
+        return now > last_answer_at + SILENCE_TIMEOUT_SECONDS
 
     def _select_next(self, now: float) -> None:
         self._allows_concurrent_questions = False
--- a/src/dewledge/core/shared/__init__.py
+++ b/src/dewledge/core/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What the proxy and the pooler share: positions, addresses, fair shares, measured rates."""
+"""Code shared by the proxy and the pooler: positions, addresses, fair queueing, time estimates."""
--- a/src/dewledge/core/shared/addresses.py
+++ b/src/dewledge/core/shared/addresses.py
@@ -1,13 +1,13 @@
-"""Addresses as settings, resources and messages write them: an IP number and a port."""
+"""Parses addresses: an IP address and a port, as in settings, resources and messages."""
 
 import ipaddress
 
 MAX_PORT = 65535
-"""Number of the largest port: 16 bits, by TCP and UDP."""
+"""Number of the largest TCP or UDP port."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits "ip:port" or "[ipv6]:port". Raises ValueError if it is neither."""
+    """Splits "ip:port" or "[ipv6]:port". Raises ValueError for other texts."""
     host, separator, port_text = address.rpartition(":")
     if not separator or not (port_text.isascii() and port_text.isdigit()):
         raise ValueError("must be an IP number and a port, such as 10.0.0.7:7400")
@@ -22,7 +22,7 @@
 
 
 def check_remote_address(address: str) -> None:
-    """Checks an address to connect to. Raises ValueError."""
+    """Checks that an address can be connected to. Raises ValueError if not."""
     _, port = split_address(address)
     if port == 0:
         raise ValueError("port 0 cannot be connected to")
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -1,10 +1,10 @@
-"""Shares among callers: who is to be served next, by start-time fair queueing.
+"""Start-time fair queueing between callers: chooses whose request is served next.
 
-Virtual time is the start tag of what was served last. A caller that begins to wait gets the
-virtual time as its tag, or the end of what it was served before if that is later; being served
-moves its tag on by the cost over its weight. The lowest tag is next: callers that wait share what
-is served by weight, whoever can use more gets what is left, and nobody saves up a share.
-What waits costs nothing until it is served, so who leaves unserved needs no share back.
+Virtual time is the start tag of the last request served. A caller that starts to wait gets the
+virtual time as its tag, or the end of its last request if that is later. Serving a request advances
+the caller's tag by its cost over the caller's weight. The lowest tag is next, so callers that wait
+share the capacity by weight, and a caller cannot save up unused capacity. A request is charged when
+it is served, so a request that leaves the queue unserved needs no refund.
 """
 
 import heapq
@@ -12,14 +12,17 @@
 import msgspec
 
 DEFAULT_WEIGHT = 1.0
-"""Weight of a caller without a weight of its own, relative to the others."""
+"""Weight of a caller without a configured weight, relative to the others."""
 MAX_STALE_FACTOR = 8
-"""Entries; notes for each remembered caller of when it can be forgotten, beyond which they are made
-anew: so that callers who come and leave unserved are bounded by their number."""
+"""Factor by which heap entries may outnumber the remembered callers before the heap is rebuilt;
+bounds the memory for callers that come and leave unserved."""
 
 
 class _CallerShare(msgspec.Struct):
-    """tag: the virtual time at which the caller's next one starts. waiting: how many wait."""
+    """A caller's state.
+
+    tag: the virtual time at which its next request starts. waiting: its number of waiting requests.
+    """
 
     tag: float
     weight: float
@@ -27,10 +30,10 @@
 
 
 class FairShares:
-    """The tags of the callers before one thing that they share.
+    """The tags of the callers that share one resource.
 
-    A caller of whom nothing waits is remembered until virtual time has passed its tag, and nobody
-    longer than anything waits.
+    A caller without waiting requests is remembered until virtual time has passed its tag. No caller
+    is remembered while no request waits.
     """
 
     def __init__(self) -> None:
@@ -40,27 +43,28 @@
         self._waiting = 0
 
     def __len__(self) -> int:
-        """How many callers are remembered."""
+        """Number of remembered callers."""
         return len(self._shares)
 
     def tag(self, caller: str) -> float:
-        """Returns the virtual time at which the next one of a caller starts."""
+        """Returns the virtual time at which a caller's next request starts."""
         share = self._shares.get(caller)
         return self.virtual_time if share is None else share.tag
 
     def step(self, caller: str, cost: float) -> float:
-        """Returns by how much the tag of a caller that waits moves for something served."""
+        """Returns by how much serving a request of this cost advances the tag of a waiting
+        caller."""
         return cost / self._shares[caller].weight
 
     def join(self, caller: str, weight: float = DEFAULT_WEIGHT) -> None:
-        """One more of a caller waits; `weight`: its share, above 0."""
+        """Adds a waiting request of a caller. weight: of the caller, above 0."""
         share = self._shares.setdefault(caller, _CallerShare(self.virtual_time, weight))
         share.weight = weight
         share.waiting += 1
         self._waiting += 1
 
     def leave(self, caller: str) -> None:
-        """One of a caller waits no longer, and was not served."""
+        """Removes a waiting request that was not served."""
         share = self._shares[caller]
         share.waiting -= 1
         self._waiting -= 1
@@ -70,7 +74,7 @@
             self._mark_idle(caller, share)
 
     def serve(self, caller: str, cost: float) -> None:
-        """One of a caller that waited is served, at a cost."""
+        """Removes a waiting request that is served at a cost, and advances the caller's tag."""
         share = self._shares[caller]
         self.virtual_time = max(self.virtual_time, share.tag)
         share.tag = self.virtual_time + cost / share.weight
@@ -78,9 +82,9 @@
         self.leave(caller)
 
     def settle(self, caller: str, extra: float) -> None:
-        """What a caller was served cost more than was charged; less if negative.
+        """Corrects the cost of a request that was served; `extra` may be negative.
 
-        Nothing is kept where nobody waits.
+        Does nothing while no request waits.
         """
         if not self._waiting:
             return
@@ -89,8 +93,8 @@
             if extra <= 0:
                 return
             share = self._shares[caller] = _CallerShare(self.virtual_time, DEFAULT_WEIGHT)
-        least = min(share.tag, self.virtual_time)
-        share.tag = max(share.tag + extra / share.weight, least)
+        min_tag = min(share.tag, self.virtual_time)
+        share.tag = max(share.tag + extra / share.weight, min_tag)
         if not share.waiting:
             self._mark_idle(caller, share)
 
--- a/src/dewledge/core/shared/retry_budget.py
+++ b/src/dewledge/core/shared/retry_budget.py
@@ -1,14 +1,14 @@
-"""The retry budget: retries are a bounded share of the traffic, so that they cannot amplify it.
+"""Limits retries to a fraction of the requests.
 
-Inputs: each request, each wish to retry. Decision: whether one retry may be made now. Reason: where
-all fails, retries of all would multiply the load that makes it fail.
+Without a limit, the retries during an outage would multiply the load and prolong it.
 """
 
 
 class RetryBudget:
     """A token bucket that requests fill and retries empty.
 
-    ratio: retries earned by each request. reserve: the most that is saved up, and the start.
+    ratio: retries earned by each request. reserve: the maximum number of unused retries, also
+    available at the start.
     """
 
     def __init__(self, ratio: float, reserve: float) -> None:
@@ -20,15 +20,15 @@
 
     @property
     def available(self) -> float:
-        """Retries that may be made now."""
+        """Number of retries that may be made now."""
         return self._available
 
     def note_request(self) -> None:
-        """Counts one request that came in."""
+        """Adds the retries that one request earns."""
         self._available = min(self._reserve, self._available + self._ratio)
 
     def take(self) -> bool:
-        """Takes one retry; returns False, and takes nothing, if the budget is spent."""
+        """Uses one retry; returns False if none is available."""
         if self._available < 1:
             return False
         self._available -= 1
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -1,17 +1,15 @@
-"""How long statements hold a slot of a database, as observed, and the wait that follows from it.
-
-Owns running means of measured times, in seconds. Relies on its callers to measure; no clock here.
-"""
+"""Estimates of how long statements occupy a database slot. Callers pass the durations, in
+seconds."""
 
 MAX_STEP_FACTOR = 10.0
-"""Multiple of the mean that one measured time counts for at most: a process that was frozen
-measures its own standstill."""
+"""Factor by which one duration may exceed the mean; a process that was frozen would count its own
+pause."""
 DEVIATIONS = 2.0
-"""Deviations above the mean that most measured times do not exceed."""
+"""Deviations above the mean that most durations do not exceed."""
 
 
 class ServiceRate:
-    """The running mean of the time that one statement holds a slot."""
+    """A running mean of the time for which a statement occupies a slot."""
 
     def __init__(self, initial_time: float, smoothing: float) -> None:
         self._mean = initial_time
@@ -19,14 +17,14 @@
 
     @property
     def service_time(self) -> float:
-        """Seconds for one statement."""
+        """Mean seconds for one statement."""
         return self._mean
 
     def note(self, duration: float) -> None:
-        """Takes in one measured time, seconds.
+        """Adds one duration in seconds, limited to MAX_STEP_FACTOR times the mean.
 
-        One of a process that was frozen meanwhile says nothing, so a single one counts as at most
-        `LARGEST_STEP` times the mean; a database that did become slow soon shows all the same.
+        The limit ignores the pause of a frozen process; a database that became slow still raises
+        the mean soon.
         """
         bounded = min(duration, MAX_STEP_FACTOR * self._mean)
         self._mean += self._smoothing * (bounded - self._mean)
@@ -37,7 +35,7 @@
 
 
 class UsualTime:
-    """A time that most measured ones do not exceed: the running mean and some mean deviations."""
+    """An upper estimate of a duration: the running mean plus some mean deviations."""
 
     def __init__(self, smoothing: float) -> None:
         self._smoothing = smoothing
@@ -46,11 +44,11 @@
 
     @property
     def seconds(self) -> float:
-        """The estimate; 0 until a time was measured."""
+        """The estimate in seconds; 0 before the first duration."""
         return 0.0 if self._mean is None else self._mean + DEVIATIONS * self._deviation
 
     def note(self, duration: float) -> None:
-        """Takes in one measured time, seconds."""
+        """Adds one duration in seconds."""
         if self._mean is None:
             self._mean = duration
             return
--- a/src/dewledge/core/shared/units.py
+++ b/src/dewledge/core/shared/units.py
@@ -1,4 +1,4 @@
-"""Conversions of units, each of them once: inside, times are seconds; on the wire, milliseconds."""
+"""Conversion of units: times are in seconds inside the programs and in milliseconds on the wire."""
 
 MILLISECONDS = 1000
-"""Milliseconds in a second; exact."""
+"""Milliseconds in a second."""
--- a/tests/core/pooler/rate_limits/crowd.py
+++ b/tests/core/pooler/rate_limits/simulated_clients.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from dewledge.core.pooler.rate_limits.persistent_queue_detector import ACCEPTABLE_WAIT_SECONDS
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
-from dewledge.core.pooler.rate_limits.standing_queue_watch import ACCEPTABLE_WAIT_SECONDS
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
 
--- a/tests/core/pooler/rate_limits/test_caller_token_queues.py
+++ b/tests/core/pooler/rate_limits/test_caller_token_queues.py
@@ -16,7 +16,7 @@
 from dewledge.core.pooler.rate_limits.reserved_bucket import ReservedBucket
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Deferred, Granted, TokenQueue
-from tests.core.pooler.rate_limits.crowd import Crowd, Operation, steady
+from tests.core.pooler.rate_limits.simulated_clients import Crowd, Operation, steady
 
 RATE = 20.0
 SIZE = 15.0
--- a/tests/core/pooler/rate_limits/test_standing_queue.py
+++ b/tests/core/pooler/rate_limits/test_persistent_queue.py
@@ -5,11 +5,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from dewledge.core.pooler.rate_limits.persistent_queue_detector import ACCEPTABLE_WAIT_SECONDS
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
-from dewledge.core.pooler.rate_limits.return_times import RETRY_HORIZON_SECONDS, RETRY_RATIO
-from dewledge.core.pooler.rate_limits.standing_queue_watch import ACCEPTABLE_WAIT_SECONDS
+from dewledge.core.pooler.rate_limits.retry_times import RETRY_HORIZON_SECONDS, RETRY_RATIO
 from dewledge.core.pooler.rate_limits.token_queue import RESERVATION_HORIZON_SECONDS, Deferred
-from tests.core.pooler.rate_limits.crowd import Crowd, by_chance, steady
+from tests.core.pooler.rate_limits.simulated_clients import Crowd, by_chance, steady
 
 RATE = 20.0
 SETTLED = 5.0
--- a/tests/core/pooler/rate_limits/test_standing_queue_watch.py
+++ b/tests/core/pooler/rate_limits/test_persistent_queue_detector.py
@@ -3,7 +3,7 @@
 import unittest
 from collections.abc import Callable
 
-from dewledge.core.pooler.rate_limits.standing_queue_watch import (
+from dewledge.core.pooler.rate_limits.persistent_queue_detector import (
     ACCEPTABLE_WAIT_SECONDS,
     MIN_PERSISTENT_SECONDS,
     PersistentQueueDetector,
--- a/tests/core/pooler/rate_limits/test_former_votes.py
+++ b/tests/core/pooler/rate_limits/test_previous_votes.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from dewledge.core.pooler.rate_limits.former_votes import PreviousVotes
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer
+from dewledge.core.pooler.rate_limits.previous_votes import PreviousVotes
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.core.pooler.rate_limits.voter import Voter
 
--- a/tests/core/pooler/rate_limits/test_token_wait.py
+++ b/tests/core/pooler/rate_limits/test_token_wait.py
@@ -4,7 +4,7 @@
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
 from dewledge.core.pooler.rate_limits.kept_tokens import MAX_RESERVATIONS, KeptToken, KeptTokens
-from dewledge.core.pooler.rate_limits.return_times import MIN_RETRY_SECONDS
+from dewledge.core.pooler.rate_limits.retry_times import MIN_RETRY_SECONDS
 from dewledge.core.pooler.rate_limits.token_wait import (
     DEFAULT_SERVING_SECONDS,
     HoldTimes,
