--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -78,7 +78,7 @@
         self.on_decided = on_decided
         self.is_over = False
 
-    def set_max_wait(self, hold_until: float, max_wait: float) -> None:
+    def set_hold_limits(self, hold_until: float, max_wait: float) -> None:
         """Sets how long the operation may be held."""
         self.hold_until = hold_until
         self.max_wait = max_wait
@@ -100,8 +100,7 @@
         self.is_over = True
 
     def decide(self, refusal: Refusal | None) -> None:
-        """Calls the callback with the outcome, unless it was called or the request was
-        cancelled."""
+        """Calls the callback with the outcome, at most once and not after a cancellation."""
         if not self.is_over:
             self.is_over = True
             self.on_decided(refusal)
--- a/src/dewledge/core/pooler/rate_limits/candidate_answers.py
+++ b/src/dewledge/core/pooler/rate_limits/candidate_answers.py
@@ -22,11 +22,9 @@
         self._answered_at[answer.sender] = now
 
     def last_timestamp(self, candidate: str) -> float | None:
-        """Returns the timestamp in a candidate's last answer, by its own clock; None without an
-        answer."""
+        """Returns the timestamp of a candidate's last answer, by its own clock, or None."""
         return self._last_timestamp.get(candidate)
 
     def answered_at(self, candidate: str) -> float:
-        """Returns when a candidate's last answer arrived (local steady clock, seconds); -inf if
-        none did."""
+        """Returns when a candidate's last answer arrived, by the local steady clock, or -inf."""
         return self._answered_at.get(candidate, -math.inf)
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -99,7 +99,7 @@
         if wish.caller not in self._limits:
             pending.decide(None)
             return pending
-        pending.set_max_wait(
+        pending.set_hold_limits(
             now + self._hold_seconds(wish),
             self._hold_times.max_wait_seconds(wish.target_latency, wish.statement_timeout),
         )
@@ -145,8 +145,7 @@
         return next(self._numbers) if wish.kept is None else wish.kept.number
 
     def _set_answer_deadline(self, pending: Application) -> None:
-        """Allows time for an answer, and for another grantor to be found if the present one is
-        lost."""
+        """Allows time for an answer, and for finding another grantor if this one is lost."""
         now = self._scheduler.now()
         voter = self._voters.voter(self._voters.slot_of(pending.caller))
         takeover_deadline = min(voter.vote_valid_until + TAKEOVER_SECONDS, pending.hold_until)
@@ -156,8 +155,7 @@
         )
 
     def _ask(self, pending: Application) -> None:
-        """Asks the grantor; checks again later if none is known, and decides locally at the
-        deadline."""
+        """Asks the grantor, waits for one if none is known, or decides locally at the deadline."""
         if pending.is_over or pending.is_held:
             return
         now = self._scheduler.now()
@@ -219,8 +217,7 @@
         self._scheduler.call_later(wait, lambda: self._ask(pending))
 
     def _decide_locally(self, pending: Application) -> None:
-        """Admits the operation by the local allowance or refuses it, after no grantor answered in
-        time."""
+        """Admits the operation by the local allowance, or refuses it, without a grantor."""
         if self._admit_locally(pending.caller):
             pending.decide(None)
         else:
--- a/src/dewledge/core/pooler/rate_limits/grantor_search.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor_search.py
@@ -1,4 +1,4 @@
-"""When operations began to look for a grantor in one slot, and how long they may wait for it.
+"""How long operations wait for a grantor in a slot, and how long its candidates are polled.
 
 A refused operation is retried, so polling the candidates continues for a while after an operation
 waited. Operations that arrive while there is no grantor share one search time, so they do not each
@@ -12,8 +12,7 @@
 
 
 class GrantorSearch:
-    """The search for a grantor in one slot by one process. Times are in seconds of its steady
-    clock."""
+    """The search for a grantor in a slot. Times are in seconds of the process's steady clock."""
 
     def __init__(self, began_at: float, has_vote: bool) -> None:
         self._began_at = began_at
--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -55,8 +55,7 @@
         return steady * (1 + self.overshoot) + self.slack
 
     def headroom(self, limit: RateLimit) -> float:
-        """Returns the part of the bound that the steady rate does not use, allowing for tokens that
-        are used late."""
+        """Returns the operations that the bound allows beyond the steady rate and late tokens."""
         steady = limit.rate * (self.window + TOKEN_LIFETIME_SECONDS)
         return max(self.bound(limit) - steady, 0.0)
 
--- a/src/dewledge/core/pooler/rate_limits/local_allowances.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -60,8 +60,7 @@
         return LocalAllowance(limit, self._policy, processes, rank, now, self._voter_count(caller))
 
     def _voter_count(self, caller: str) -> int:
-        """Returns the number of voters of the caller's slot; 0 if this process has no vote
-        there."""
+        """Returns the number of the slot's voters, or 0 if this process is none of them."""
         slot = slot_of(caller, slot_count(len(self._members)))
         if not is_voter(self._process_name, slot):
             return 0
--- a/src/dewledge/core/pooler/rate_limits/previous_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/previous_votes.py
@@ -13,8 +13,7 @@
 
 
 class PreviousVotes:
-    """The votes in slots that are no longer in use. Times are in seconds of the process's steady
-    clock."""
+    """The votes in slots that are no longer in use. Times are in seconds of the steady clock."""
 
     def __init__(self) -> None:
         self.valid_until = -math.inf
@@ -23,7 +22,7 @@
         self._can_be_dropped = True
 
     def add(self, voters: Mapping[Slot, Voter], now: float) -> None:
-        """Adds the votes of voters that are discarded now."""
+        """Adds the valid votes of voters whose slots are no longer in use."""
         if now >= self.valid_until:
             self._candidates.clear()
             self._can_be_dropped = True
@@ -38,8 +37,7 @@
                 self._can_be_dropped = False
 
     def droppable_votes(self, now: float) -> Mapping[Slot, str]:
-        """Returns the process to ask to drop its vote, by slot; empty where that would free no
-        vote."""
+        """Returns which process to ask to drop its vote in each slot, if that can free a vote."""
         if now >= self.valid_until or not self._can_be_dropped:
             return {}
         return dict(self._candidates)
--- a/src/dewledge/core/pooler/rate_limits/questions.py
+++ b/src/dewledge/core/pooler/rate_limits/questions.py
@@ -31,8 +31,11 @@
 
 
 class PendingQuestion(msgspec.Struct, frozen=True):
-    """A question without an answer yet: its operations, and when it was sent (steady clock,
-    seconds)."""
+    """A question without an answer yet.
+
+    applications: the operations that it asks for. sent_at: steady clock, seconds. withdraws:
+    whether it asks to drop earlier votes.
+    """
 
     slot: Slot
     sent_at: float
@@ -51,8 +54,7 @@
         self._pending: dict[int, PendingQuestion] = {}
 
     def ask(self, slot: Slot, voter: Voter, pending: tuple[Application, ...] = ()) -> int:
-        """Asks the voter's candidate, with this process's vote if one may be sent; returns the
-        number.
+        """Asks the voter's candidate, with a vote if one may be sent; returns the number.
 
         pending: the operations to request a token for.
         """
@@ -85,8 +87,7 @@
         return number in self._pending
 
     def match_answer(self, answer: QuotaAnswer) -> PendingQuestion | None:
-        """Removes and returns the question of an answer; None if it was answered or forgotten
-        before."""
+        """Removes and returns the question of an answer, or None if it is no longer open."""
         return self._pending.pop(answer.number, None)
 
     def forget_unanswered(self, now: float) -> None:
--- a/src/dewledge/core/pooler/rate_limits/retry_times.py
+++ b/src/dewledge/core/pooler/rate_limits/retry_times.py
@@ -50,8 +50,7 @@
         return len(self._token_at)
 
     def retry_at(self, key: QueueKey | None) -> float | None:
-        """Returns an operation's retry time, or when its token is available; None without
-        either."""
+        """Returns when an operation may retry or, if it did, when its token is available."""
         if key is None:
             return None
         return self._token_at.get(key, self._retry_at.get(key))
@@ -72,8 +71,7 @@
         return retry_at, True
 
     def next_unreserved_time(self, earliest: float, rate: float) -> float:
-        """Returns a time beyond the end of the queue, later for each operation than for the one
-        before.
+        """Returns a time beyond the end of the queue, and later than the one before.
 
         No token is reserved for it. rate: tokens added each second now.
         """
@@ -100,8 +98,8 @@
         drop_before(self._token_at, earliest)
 
 
-def drop_before(moments: dict[QueueKey, float], earliest: float) -> None:
+def drop_before(times: dict[QueueKey, float], earliest: float) -> None:
     """Removes the keys at the front whose time is before `earliest`."""
-    old = list(itertools.takewhile(lambda key: moments[key] < earliest, moments))
+    old = list(itertools.takewhile(lambda key: times[key] < earliest, times))
     for key in old:
-        del moments[key]
+        del times[key]
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -88,7 +88,7 @@
         return voter.candidate
 
     def tick(self, now: float) -> bool:
-        """Sends votes and leaves silent candidates; returns whether each polled slot has a
+        """Sends votes and leaves silent candidates; returns whether every polled slot has a
         grantor."""
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
@@ -145,8 +145,7 @@
             self._questions.ask(slot, voter)
 
     def _repartition(self) -> None:
-        """Discards the voters of the old slots; their votes delay new ones until they are
-        dropped."""
+        """Discards the voters of the old slots, and asks their candidates to drop the votes."""
         now = self._scheduler.now()
         self._has_repartitioned = True
         self._previous_votes.add(self._voters, now)
--- a/src/dewledge/core/pooler/rate_limits/token_queue.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -59,8 +59,7 @@
     """A caller's queue. Soft state: without it, tokens go to operations as they ask."""
 
     def __init__(self, bucket: TokenSource) -> None:
-        """The bucket's clock advances by the fraction of the votes held, the queue's by real
-        time."""
+        """The queue uses real time; the bucket's clock is `VoteFraction.full_rate_seconds`."""
         self.bucket = bucket
         self._due_at: dict[QueueKey, float] = {}
         """When the token of each position is available, in the order of arrival. Holds at most rate
@@ -135,8 +134,7 @@
     def _enqueue_or_refuse(
         self, key: QueueKey, now: float, seconds: float, fraction: float, max_wait: float
     ) -> Deferred:
-        """Reserves a token if the operation meets its latency target with it; else reserves a retry
-        time.
+        """Reserves a token if it is available in time for the operation, otherwise a retry time.
 
         Allowing a queue as long as the operations accept serves more of what a wave of demand
         leaves behind. Part of the tokens, RETRY_RATIO, is left to operations that retry.
@@ -148,17 +146,17 @@
         retry_at = self.retries.retry_at(key)
         if retry_at is not None:
             return Deferred(retry_at - now, False, True, True)
-        moment, is_own = self.retries.reserve_retry_time(
+        next_retry_at, is_own = self.retries.reserve_retry_time(
             key, now, now + seconds, self.bucket.rate * fraction
         )
-        return Deferred(moment - now, False, True, is_own)
+        return Deferred(next_retry_at - now, False, True, is_own)
 
     def _reserve(self, key: QueueKey, seconds: float, now: float) -> Deferred:
         self._due_at[key] = now + seconds
         return Deferred(seconds, True)
 
     def _token_delay(self, ahead: int, bucket_time: float, fraction: float) -> float:
-        """Returns the seconds until a token is available beyond `ahead` positions and all
+        """Returns the seconds until a token is available after `ahead` positions and all
         retries."""
         needed = ahead + self.retries.waiting_count + 1
         return self.bucket.seconds_until(needed, bucket_time) / fraction
@@ -213,8 +211,7 @@
             self._granted_at[key] = now
 
     def _positions_ahead(self, key: QueueKey) -> int:
-        """Returns the number of positions ahead; a linear search, short for operations near the
-        front."""
+        """Returns the number of positions ahead of the key's; the search is linear."""
         return next(ahead for ahead, other in enumerate(self._due_at) if other == key)
 
     def _unreserved_delay(self, now: float, seconds: float, fraction: float) -> float:
@@ -222,8 +219,7 @@
         return self.retries.next_unreserved_time(now + seconds, self.bucket.rate * fraction) - now
 
     def _drop_expired(self, now: float, fraction: float) -> None:
-        """Drops positions and retry times that were not used, and grants whose tokens have
-        expired."""
+        """Drops positions and retry times that were not used, and tokens that expired."""
         retention = min(REDEEM_TIMEOUT_SECONDS, self.bucket.size / (self.bucket.rate * fraction))
         drop_before(self._due_at, now - retention)
         drop_before(self._granted_at, now - TOKEN_LIFETIME_SECONDS)
--- a/src/dewledge/core/pooler/rate_limits/token_wait.py
+++ b/src/dewledge/core/pooler/rate_limits/token_wait.py
@@ -40,7 +40,7 @@
         return max(statement_timeout - self.serving_seconds, 0.0)
 
     def max_wait_seconds(self, target_latency: float, statement_timeout: float) -> float:
-        """Returns how long an operation may be held and still meet its timeout and its latency
+        """Returns how long an operation may be held and still meet its timeout and latency
         target."""
         return self.hold_seconds(min(target_latency, statement_timeout))
 
--- a/src/dewledge/core/pooler/rate_limits/vote_binding.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_binding.py
@@ -20,8 +20,7 @@
     def __init__(
         self, answers: CandidateAnswers, started_at: float, withdrawal_candidates: Collection[str]
     ) -> None:
-        """`withdrawal_candidates`: the candidates that may hold votes from before this process
-        restarted.
+        """`withdrawal_candidates`: the candidates that may hold votes from before a restart.
 
         started_at: when the process started.
         """
@@ -49,8 +48,7 @@
         )
 
     def may_vote(self, candidate: str, now: float) -> bool:
-        """Returns whether a vote for the candidate may be sent: no vote for another one is
-        valid."""
+        """Returns whether a vote for the candidate may be sent: no other one is valid."""
         return self._voted_for == candidate or now >= self.vote_valid_until
 
     def record_vote(self, candidate: str) -> None:
--- a/src/dewledge/core/pooler/rate_limits/vote_fraction.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_fraction.py
@@ -8,8 +8,7 @@
 
 
 class VoteFraction:
-    """The part of a slot's votes that this process holds. Times are in seconds of its steady
-    clock."""
+    """The part of a slot's votes that this process holds. Times are in seconds, steady clock."""
 
     def __init__(self) -> None:
         self.full_rate_seconds = 0.0
@@ -23,8 +22,7 @@
         self._recorded_at = 0.0
 
     def record(self, fraction: float, now: float) -> bool:
-        """Records the fraction held now, before a question's vote is counted; returns whether it
-        fell.
+        """Records the fraction held before a question's vote is counted; returns whether it fell.
 
         Only questions renew votes, and every question calls this, so the fraction was never smaller
         between two calls.
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -34,8 +34,7 @@
 
 
 class Voter:
-    """The candidate selected in one slot by one process. Times are in seconds of its steady
-    clock."""
+    """The candidate selected in a slot. Times are in seconds of the process's steady clock."""
 
     def __init__(
         self,
@@ -104,8 +103,7 @@
             self._select(0, now)
 
     def may_vote(self, now: float) -> bool:
-        """Returns whether a vote for the selected candidate may be sent: no vote for another is
-        valid."""
+        """Returns whether a vote for the selected candidate may be sent: no other one is valid."""
         return self._has_vote and self._binding.may_vote(self.candidate, now)
 
     def record_question(self, now: float) -> None:
@@ -193,8 +191,7 @@
             self._select_next(now)
 
     def _return_to_earlier(self, answer: QuotaAnswer, now: float) -> None:
-        """Selects an earlier candidate that answered, if this process votes or that candidate
-        grants."""
+        """Selects an earlier candidate that answered, if it grants or this process has a vote."""
         is_useful = self._has_vote or answer.grants_here
         if is_useful and answer.sender in self._candidates[: self._index]:
             self._select(self._candidates.index(answer.sender), now)
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -52,8 +52,7 @@
         return self.virtual_time if share is None else share.tag
 
     def step(self, caller: str, cost: float) -> float:
-        """Returns by how much serving a request of this cost advances the tag of a waiting
-        caller."""
+        """Returns by how much serving a request would advance the caller's tag."""
         return cost / self._shares[caller].weight
 
     def join(self, caller: str, weight: float = DEFAULT_WEIGHT) -> None:
--- a/src/dewledge/core/shared/positions.py
+++ b/src/dewledge/core/shared/positions.py
@@ -6,8 +6,7 @@
 
 
 class LogPosition(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A position in a group's log: the term that wrote the entry, then its offset (entries, from
-    0).
+    """A position in a group's log: the term that wrote the entry, and its offset in entries.
 
     Ordered by term first, so a position of a later term is always greater.
     """
@@ -17,8 +16,7 @@
 
 
 class TermStart(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """The offset at which a term's primary started; its log contains the earlier terms up to
-    there."""
+    """The offset at which a term's primary started; the log up to there is of earlier terms."""
 
     term: int
     offset: int
@@ -36,6 +34,5 @@
 
 
 def satisfies(applied: LogPosition, floor: LogPosition, term_starts: Sequence[TermStart]) -> bool:
-    """Returns whether a database that has applied the log up to `applied` shows everything up to
-    `floor`."""
+    """Returns whether a database that applied the log up to `applied` shows all up to `floor`."""
     return applied >= floor and not is_cut_off(applied, term_starts)
