--- a/tests/core/pooler/rate_limits/__init__.py
+++ b/tests/core/pooler/rate_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of rate limits over all processes."""
+"""Tests of the distributed rate limits."""
--- a/tests/core/pooler/rate_limits/counted_bytes.py
+++ b/tests/core/pooler/rate_limits/counted_bytes.py
@@ -1,4 +1,4 @@
-"""A model network that counts what each process sends and takes, with the real codec."""
+"""A model network that counts the datagrams and bytes of each process, with the real codec."""
 
 from collections import Counter
 
@@ -10,20 +10,20 @@
 from tests.core.pooler.rate_limits.model_processes import ModelNetwork
 
 HEADER_BYTES = 28
-"""IP and UDP."""
-LONGER_NAME_BYTES = 14
-"""A process's name has some 24 letters, a model's ten."""
+"""IP and UDP headers."""
+EXTRA_NAME_BYTES = 14
+"""Real process names have about 24 characters, the model's have 10."""
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Of one process in a span: datagrams and bytes, sent and taken."""
+    """Datagrams and bytes that one process sent and received."""
 
     datagrams: int
     size: int
 
 
-class CountingNetwork(ModelNetwork):
-    """Counts datagrams between processes; what a process says to itself is none."""
+class TrafficCountingNetwork(ModelNetwork):
+    """Counts the datagrams between processes, except those from a process to itself."""
 
     def __init__(self, count: int, limits: dict[str, RateLimit], seed: int = 1) -> None:
         self.datagrams: Counter[str] = Counter()
@@ -31,17 +31,17 @@
         self.kinds: Counter[str] = Counter()
         super().__init__(count, limits, seed)
 
-    def carry(self, sender: str, receiver: str, message: QuotaQuestion | QuotaAnswer) -> None:
+    def transmit(self, sender: str, receiver: str, message: QuotaQuestion | QuotaAnswer) -> None:
         if sender != receiver:
-            size = len(encode(message)) + LONGER_NAME_BYTES + HEADER_BYTES
+            size = len(encode(message)) + EXTRA_NAME_BYTES + HEADER_BYTES
             for name in (sender, receiver):
                 self.datagrams[name] += 1
                 self.bytes[name] += size
             self.kinds[_kind_of(message)] += size
-        super().carry(sender, receiver, message)
+        super().transmit(sender, receiver, message)
 
-    def count(self, seconds: float, rates: dict[str, float]) -> list[Traffic]:
-        """Returns what each process sent and took in a span, the busiest last."""
+    def count_traffic(self, seconds: float, rates: dict[str, float]) -> list[Traffic]:
+        """Runs the network and returns the traffic of each process, the smallest first."""
         self.datagrams.clear()
         self.bytes.clear()
         self.kinds.clear()
--- a/tests/core/pooler/rate_limits/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -1,4 +1,4 @@
-"""Some processes that admit operations, and a network that may hold back or lose datagrams."""
+"""Model processes with a gate and a grantor, and a network that delays and loses datagrams."""
 
 import math
 import random
@@ -14,22 +14,22 @@
 
 
 class ProcessScheduler:
-    """The clock of one process: it may stand still, and what is due then comes when it wakes."""
+    """The scheduler of one process; callbacks that are due while it is frozen run afterwards."""
 
     def __init__(self, scheduler: ModelScheduler) -> None:
         self._scheduler = scheduler
-        self.asleep_until = 0.0
-        self.is_over = False
+        self.frozen_until = 0.0
+        self.is_stopped = False
 
     def now(self) -> float:
         return self._scheduler.now()
 
     def call_later(self, delay: float, callback: object) -> Timer:
         def run() -> None:
-            if self.is_over:
+            if self.is_stopped:
                 return
-            if self.now() < self.asleep_until:
-                self._scheduler.call_later(self.asleep_until - self.now(), run)
+            if self.now() < self.frozen_until:
+                self._scheduler.call_later(self.frozen_until - self.now(), run)
                 return
             callback()  # type: ignore[operator]
 
@@ -37,7 +37,7 @@
 
 
 class ModelProcess:
-    """One process's gate and grantor."""
+    """A process with a gate and a grantor."""
 
     def __init__(self, network: "ModelNetwork", name: str) -> None:
         self.network = network
@@ -56,58 +56,61 @@
         self.gate.set_limits(limits)
         self.grantor.set_limits(limits)
 
-    def end(self) -> None:
-        self.scheduler.is_over = True
+    def stop(self) -> None:
+        self.scheduler.is_stopped = True
 
     def operate(
         self,
         caller: str,
         timeout: float = 0.35,
-        kept: KeptToken | None = None,
+        redeemed: KeptToken | None = None,
         urgency: int | None = None,
     ) -> None:
-        """One operation of a client arrives, with a statement's timeout in seconds.
+        """Requests admission of an operation, with a statement timeout in seconds.
 
-        urgency: None for one that comes for the first time.
+        urgency: None for the first attempt.
         """
-        if self.scheduler.now() < self.scheduler.asleep_until:
+        if self.scheduler.now() < self.scheduler.frozen_until:
             return
         if urgency is None:
-            urgency = self.network.asked % self.network.urgencies
-        self.network.asked += 1
+            urgency = self.network.requested % self.network.urgency_count
+        self.network.requested += 1
         arrived = self.scheduler.now()
 
-        def decided(refusal: Refusal | None) -> None:
+        def on_decided(refusal: Refusal | None) -> None:
             if refusal is None:
-                self.network.held[caller].append(self.scheduler.now() - arrived)
-            self.network.note(caller, refusal, kept)
-            if refusal is not None and refusal.kept is not None and self.network.clients_return:
-                moment = refusal.come_back_ms / 1000
-                again = refusal.kept
+                self.network.hold_seconds[caller].append(self.scheduler.now() - arrived)
+            self.network.record_outcome(caller, refusal, redeemed)
+            if refusal is not None and refusal.kept is not None and self.network.clients_retry:
+                delay = refusal.come_back_ms / 1000
+                new_reservation = refusal.kept
                 self.scheduler.call_later(
-                    moment, lambda: self.operate(caller, timeout, again, urgency)
+                    delay, lambda: self.operate(caller, timeout, new_reservation, urgency)
                 )
 
-        target = self.network.target
-        wish = Wish(caller, timeout, kept, target_latency=target, urgency=urgency)
-        self.gate.apply(wish, decided)
+        target = self.network.target_latency
+        wish = Wish(caller, timeout, redeemed, target_latency=target, urgency=urgency)
+        self.gate.apply(wish, on_decided)
 
     def _tick(self) -> None:
         self.scheduler.call_later(self.gate.tick(), self._tick)
 
     def _send(self, name: str, question: QuotaQuestion) -> None:
-        self.network.carry(self.name, name, question)
+        self.network.transmit(self.name, name, question)
 
-    def take(self, sender: str, message: QuotaQuestion | QuotaAnswer) -> None:
+    def receive(self, sender: str, message: QuotaQuestion | QuotaAnswer) -> None:
         if isinstance(message, QuotaAnswer):
             self.gate.take_answer(message)
             return
         answer = self.grantor.take_question(message, self.scheduler.now())
-        self.network.carry(self.name, sender, answer)
+        self.network.transmit(self.name, sender, answer)
 
 
 class ModelNetwork:
-    """All processes. `cut`: pairs of sides that do not hear each other."""
+    """All processes and the network between them.
+
+    Processes in different `partition`s cannot reach each other.
+    """
 
     def __init__(self, count: int, limits: dict[str, RateLimit], seed: int = 1) -> None:
         self.scheduler = ModelScheduler()
@@ -115,52 +118,54 @@
         self.policy = QuotaPolicy(5.0, 0.1, 20.0)
         self.limits = limits
         self.names = [f"process{number}" for number in range(count)]
-        self.side: dict[str, int] = dict.fromkeys(self.names, 0)
+        self.partition: dict[str, int] = dict.fromkeys(self.names, 0)
         self.loss = 0.0
-        self.target = math.inf
-        """In which clients want their answers, in seconds."""
-        self.longest_delay = 0.02
+        self.target_latency = math.inf
+        """Target latency of the operations in seconds."""
+        self.max_delay = 0.02
         self.admitted: dict[str, list[float]] = defaultdict(list)
         self.refused: dict[str, list[Refusal]] = defaultdict(list)
-        self.held: dict[str, list[float]] = defaultdict(list)
-        """For how long those admitted were held, in seconds."""
-        self.asked = 0
-        self.clients_return = False
-        self.urgencies = 1
-        """Operations are of so many, by turns."""
-        """Whether who is refused comes back at the moment that it was told."""
-        self.returned: list[Refusal | None] = []
-        """What those were told."""
+        self.hold_seconds: dict[str, list[float]] = defaultdict(list)
+        """How long admitted operations were held, in seconds, by caller."""
+        self.requested = 0
+        self.clients_retry = False
+        """Whether refused clients retry at the promised time."""
+        self.urgency_count = 1
+        """Number of urgencies that operations have in turn."""
+        self.retry_outcomes: list[Refusal | None] = []
+        """The outcome of each retry, None if it was admitted."""
         self.processes: dict[str, ModelProcess] = {}
         for name in self.names:
             self.processes[name] = ModelProcess(self, name)
 
     def restart(self, name: str) -> None:
-        self.processes[name].end()
+        self.processes[name].stop()
         self.processes[name] = ModelProcess(self, name)
 
-    def note(self, caller: str, refusal: Refusal | None, kept: KeptToken | None) -> None:
-        if kept is not None:
-            self.returned.append(refusal)
+    def record_outcome(
+        self, caller: str, refusal: Refusal | None, redeemed: KeptToken | None
+    ) -> None:
+        if redeemed is not None:
+            self.retry_outcomes.append(refusal)
         if refusal is None:
             self.admitted[caller].append(self.scheduler.now())
         else:
             self.refused[caller].append(refusal)
 
-    def carry(self, sender: str, receiver: str, message: QuotaQuestion | QuotaAnswer) -> None:
-        if self.side[sender] != self.side[receiver] or self.random.random() < self.loss:
+    def transmit(self, sender: str, receiver: str, message: QuotaQuestion | QuotaAnswer) -> None:
+        if self.partition[sender] != self.partition[receiver] or self.random.random() < self.loss:
             return
         process = self.processes.get(receiver)
         if process is None:
             return
 
         def arrive() -> None:
-            process.scheduler.call_later(0.0, lambda: process.take(sender, message))
+            process.scheduler.call_later(0.0, lambda: process.receive(sender, message))
 
-        self.scheduler.call_later(self.random.uniform(0.001, self.longest_delay), arrive)
+        self.scheduler.call_later(self.random.uniform(0.001, self.max_delay), arrive)
 
     def run(self, seconds: float, rates: dict[str, float], timeout: float = 0.35) -> None:
-        """Has operations of each caller arrive at processes drawn by chance."""
+        """Requests operations of each caller at random processes."""
         end = self.scheduler.now() + seconds
         while self.scheduler.now() < end:
             self.scheduler.advance(0.01)
@@ -172,12 +177,12 @@
         whole = int(mean)
         return whole + (self.random.random() < mean - whole)
 
-    def worst_share(self, caller: str) -> float:
-        """Returns the most admitted in a window, as a share of the bound."""
+    def max_bound_ratio(self, caller: str) -> float:
+        """Returns the maximum number admitted in a window, relative to the bound."""
         admitted = self.admitted[caller]
-        worst = first = 0
+        max_count = first = 0
         for last, at in enumerate(admitted):
             while admitted[first] <= at - self.policy.window:
                 first += 1
-            worst = max(worst, last - first + 1)
-        return worst / self.policy.bound(self.limits[caller])
+            max_count = max(max_count, last - first + 1)
+        return max_count / self.policy.bound(self.limits[caller])
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -1,4 +1,4 @@
-"""Votes and what they carry: when one counts, when a voter may give another, what it grants."""
+"""Guards the validity of votes, the choice of a candidate, and grants in proportion to votes."""
 
 import unittest
 from collections.abc import Sequence
@@ -49,29 +49,29 @@
         self.grantor.set_limits({"north": LIMIT})
 
     def ask(
-        self, asker: str, now: float, heard_at: float | None, wanted: int = 0, votes: bool = True
+        self, asker: str, now: float, echoed_at: float | None, wanted: int = 0, votes: bool = True
     ) -> QuotaAnswer:
         wants = (TokenWant("north"),) * wanted
-        question = QuotaQuestion(asker, 1, SLOT, votes, heard_at, wants)
+        question = QuotaQuestion(asker, 1, SLOT, votes, echoed_at, wants)
         return self.grantor.take_question(question, now)
 
-    def test_when_a_vote_counts(self) -> None:
+    def test_validity_of_votes(self) -> None:
         cases = (
-            ("no answer was heard before", None, 10.0, False),
-            ("just heard", 10.0, 10.0, True),
-            ("heard not quite a vote's time ago", 10.0, 10.9, True),
-            ("heard a vote's time ago", 10.0, 10.0 + VOTE_LIFETIME_SECONDS, False),
-            ("heard in the time to come, by another machine of this name", 99.0, 10.0, False),
+            ("no answer before the vote", None, 10.0, False),
+            ("answer sent just now", 10.0, 10.0, True),
+            ("answer almost a vote lifetime old", 10.0, 10.9, True),
+            ("answer a vote lifetime old", 10.0, 10.0 + VOTE_LIFETIME_SECONDS, False),
+            ("answer in the future, of another process with this name", 99.0, 10.0, False),
         )
-        for name, heard_at, now, counts in cases:
+        for name, echoed_at, now, counts in cases:
             with self.subTest(name):
                 self.setUp()
-                self.assertIs(self.ask("b", now, heard_at).grants_here, counts)
+                self.assertIs(self.ask("b", now, echoed_at).grants_here, counts)
 
-    def test_who_is_no_member_does_not_count(self) -> None:
+    def test_vote_of_a_non_member_is_ignored(self) -> None:
         self.assertFalse(self.ask("stranger", 10.0, 10.0).grants_here)
 
-    def test_who_has_no_vote_in_the_slot_does_not_count(self) -> None:
+    def test_vote_of_a_non_voter_is_ignored(self) -> None:
         names = [f"frontend-{number}" for number in range(90)]
         self.grantor.set_members(names)
         slot = Slot(slot_count(len(names)), 1)
@@ -90,26 +90,26 @@
                 self.grantor.take_question(QuotaQuestion(name, 1, slot, True, now), now)
         wants = (TokenWant("north"),) * 500
         question = QuotaQuestion("frontend-0", 1, slot, False, None, wants)
-        # All voters' votes count, so its bucket has the size of one that gives out all.
-        whole = int(POLICY.bucket_size(LIMIT))
-        self.assertEqual(tokens_in(self.grantor.take_question(question, now)), whole)
+        # All voters' votes are valid, so the bucket has its full size.
+        bucket_size = int(POLICY.bucket_size(LIMIT))
+        self.assertEqual(tokens_in(self.grantor.take_question(question, now)), bucket_size)
 
-    def test_a_question_alone_is_no_vote(self) -> None:
+    def test_question_without_a_vote_is_not_counted(self) -> None:
         self.assertFalse(self.ask("b", 10.0, 10.0, votes=False).grants_here)
 
-    def test_votes_lapse_and_this_is_told(self) -> None:
+    def test_expiry_of_votes_is_reported(self) -> None:
         self.ask("b", 10.0, 10.0)
         self.ask("c", 11.5, None)
         self.assertEqual([event.grants for event in self.events], [True, False])
 
-    def test_withdrawn_votes_do_not_come_back_late(self) -> None:
+    def test_delayed_votes_stay_withdrawn(self) -> None:
         self.ask("b", 10.0, 9.9)
         withdrawal = QuotaQuestion("b", 2, SLOT, False, None, withdraws=True)
         self.assertFalse(self.grantor.take_question(withdrawal, 10.1).grants_here)
         self.assertFalse(self.ask("b", 10.2, 9.95).grants_here)
         self.assertTrue(self.ask("b", 10.3, 10.1).grants_here)
 
-    def test_the_rate_is_the_share_of_the_votes(self) -> None:
+    def test_rate_is_proportional_to_the_votes(self) -> None:
         for voters, expected in ((("b",), 25), (("b", "c"), 50), (MEMBERS, 100)):
             with self.subTest(voters):
                 self.setUp()
@@ -124,7 +124,7 @@
                     granted += tokens_in(self.ask(voters[0], now, now, wanted=1000))
                 self.assertAlmostEqual(granted / 2.0, expected, delta=1.0)
 
-    def test_a_bucket_begins_empty_however_the_votes_come(self) -> None:
+    def test_new_bucket_is_empty(self) -> None:
         granted = 0
         for _ in range(3):
             for name in MEMBERS:
@@ -135,56 +135,57 @@
         for name in names:
             self.ask(name, now, now)
 
-    def fill(self, names: Sequence[str], begin: float, end: float) -> None:
-        """The votes are renewed all the while, and nobody asks for a token."""
+    def renew_votes(self, names: Sequence[str], begin: float, end: float) -> None:
+        """Renews the votes every 0.1 s without requesting tokens."""
         now = begin
         while now <= end:
             self.vote(names, now)
             now += 0.1
 
-    def test_what_is_held_follows_the_share_down_also_where_it_fell_for_a_moment(self) -> None:
-        whole = int(POLICY.bucket_size(LIMIT))
-        for name, back_at, held in (
-            ("no vote lapsed", 20.5, whole),
-            ("all votes lapsed and came back", 21.5, 1),
+    def test_brief_loss_of_votes_drops_excess_tokens(self) -> None:
+        bucket_size = int(POLICY.bucket_size(LIMIT))
+        for name, renewed_at, granted in (
+            ("no vote expired", 20.5, bucket_size),
+            ("all votes expired and were renewed", 21.5, 1),
         ):
             with self.subTest(name):
                 self.setUp()
                 self.vote(MEMBERS, 10.0)
                 self.ask("b", 10.0, 10.0, wanted=1)
-                self.fill(MEMBERS, 10.0, 20.0)
-                self.vote(MEMBERS, back_at)
-                self.assertEqual(tokens_in(self.ask("b", back_at, back_at, wanted=1000)), held)
+                self.renew_votes(MEMBERS, 10.0, 20.0)
+                self.vote(MEMBERS, renewed_at)
+                self.assertEqual(
+                    tokens_in(self.ask("b", renewed_at, renewed_at, wanted=1000)), granted
+                )
 
-    def test_a_share_that_lapsed_in_between_filled_nothing(self) -> None:
+    def test_bucket_does_not_fill_while_votes_are_expired(self) -> None:
         self.vote(MEMBERS, 10.0)
         self.ask("b", 10.0, 10.0, wanted=1000)
         self.vote(MEMBERS, 19.0)
         self.assertLessEqual(tokens_in(self.ask("b", 19.0, 19.0, wanted=1000)), 1)
 
-    def test_a_burst_that_is_owed_is_given(self) -> None:
-        """A caller that asked for nothing for a while may ask for its whole burst at once."""
+    def test_idle_caller_may_use_its_whole_burst(self) -> None:
         self.vote(MEMBERS, 10.0)
-        self.fill(MEMBERS, 10.0, 20.0)
+        self.renew_votes(MEMBERS, 10.0, 20.0)
         self.assertGreaterEqual(tokens_in(self.ask("b", 20.0, 20.0, wanted=1000)), LIMIT.burst)
 
-    def test_a_question_that_comes_twice_takes_one_token(self) -> None:
+    def test_duplicated_question_uses_one_token(self) -> None:
         self.vote(MEMBERS, 10.0)
-        self.fill(MEMBERS, 10.0, 12.0)
+        self.renew_votes(MEMBERS, 10.0, 12.0)
         want = TokenWant("north", place=7)
         question = QuotaQuestion("b", 1, SLOT, True, 12.0, (want,))
         first = self.grantor.take_question(question, 12.0).grants[0]
         again = self.grantor.take_question(question, 12.0).grants[0]
         self.assertEqual((first.count, again.count), (1, 1))
-        whole = int(POLICY.bucket_size(LIMIT))
-        self.assertEqual(tokens_in(self.ask("c", 12.0, 12.0, wanted=1000)), whole - 1)
+        bucket_size = int(POLICY.bucket_size(LIMIT))
+        self.assertEqual(tokens_in(self.ask("c", 12.0, 12.0, wanted=1000)), bucket_size - 1)
         late = self.grantor.take_question(question, 12.1).grants[0]
         self.assertEqual((late.count, late.age_ms), (1, 100))
 
-    def test_none_are_granted_without_votes(self) -> None:
+    def test_no_grants_without_votes(self) -> None:
         self.assertEqual(self.ask("b", 10.0, None, wanted=3).grants, ())
 
-    def test_a_caller_whose_limit_is_not_known_here_is_told_to_come_back(self) -> None:
+    def test_caller_with_unknown_limit_is_asked_to_retry(self) -> None:
         self.grantor.set_limits({})
         grant = self.ask("b", 10.0, 10.0, wanted=1).grants[0]
         self.assertEqual((grant.count, grant.come_back_ms), (0, 1000))
@@ -198,18 +199,18 @@
         answer = QuotaAnswer(sender, 1, SLOT, 1000.0 + now, grants)
         self.voter.handle_answer(answer, now - 0.04, now)
 
-    def test_who_has_just_started_does_not_vote_for_a_votes_time(self) -> None:
+    def test_no_vote_during_one_vote_lifetime_after_a_start(self) -> None:
         self.assertFalse(self.voter.may_vote(0.9))
         self.assertTrue(self.voter.may_vote(1.0))
 
-    def test_or_until_all_candidates_have_dropped_its_earlier_votes(self) -> None:
+    def test_vote_is_allowed_once_all_earlier_votes_are_dropped(self) -> None:
         self.assertEqual(self.voter.pending_withdrawals(0.5), ["a", "b", "c"])
-        told = [self.voter.record_withdrawal(name) for name in ("a", "a", "b", "c")]
-        self.assertEqual(told, [False, False, False, True])
+        freed = [self.voter.record_withdrawal(name) for name in ("a", "a", "b", "c")]
+        self.assertEqual(freed, [False, False, False, True])
         self.assertTrue(self.voter.may_vote(0.6))
 
-    def test_votes_in_another_division_are_waited_for(self) -> None:
-        """Nobody who may grant now can drop them."""
+    def test_votes_in_previous_slots_must_expire(self) -> None:
+        """No candidate can drop them."""
         voter = Voter(("a", "b", "c"), 0.0, 0.5, can_withdraw=False)
         self.assertEqual(list(voter.pending_withdrawals(0.5)), [])
         for name in ("a", "b", "c"):
@@ -217,7 +218,7 @@
         self.assertFalse(voter.may_vote(0.6))
         self.assertTrue(voter.may_vote(1.0))
 
-    def test_it_votes_for_another_when_its_last_vote_cannot_count_any_more(self) -> None:
+    def test_votes_for_another_candidate_only_after_expiry(self) -> None:
         self.voter.record_vote()
         self.answer("a", 5.0)
         self.voter.check_candidates(5.0 + SILENCE_TIMEOUT_SECONDS + 0.01)
@@ -225,7 +226,7 @@
         self.assertFalse(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS - 0.01))
         self.assertTrue(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS))
 
-    def test_it_goes_back_to_an_earlier_candidate_that_answers(self) -> None:
+    def test_voter_returns_to_an_earlier_candidate_that_answers(self) -> None:
         self.voter.check_candidates(0.5 + SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("b", 1.3)
@@ -236,7 +237,7 @@
         self.answer("a", 2.5)
         self.assertEqual(self.voter.candidate, "a")
 
-    def test_a_candidate_without_votes_is_no_grantor(self) -> None:
+    def test_candidate_without_votes_is_no_grantor(self) -> None:
         self.answer("a", 2.0, grants=False)
         self.assertFalse(self.voter.has_grantor(2.1))
         self.answer("a", 2.2)
@@ -244,8 +245,8 @@
         self.assertFalse(self.voter.has_grantor(2.2 + VOTE_LIFETIME_SECONDS))
 
 
-class AskingWithoutVoteTest(unittest.TestCase):
-    """A process that has no vote in a slot asks when there is an operation, and only then."""
+class NonVoterTest(unittest.TestCase):
+    """A process without a vote in a slot asks only on behalf of operations."""
 
     def setUp(self) -> None:
         self.voter = Voter(("a", "b", "c"), 0.0, 0.5, has_vote=False)
@@ -253,12 +254,12 @@
     def answer(self, sender: str, now: float) -> None:
         self.voter.handle_answer(QuotaAnswer(sender, 1, SLOT, 1000.0 + now, True), now - 0.04, now)
 
-    def test_it_never_votes_nor_withdraws_and_is_quiet(self) -> None:
+    def test_non_voter_neither_votes_nor_withdraws_nor_polls(self) -> None:
         self.assertFalse(self.voter.may_vote(50.0))
         self.assertEqual(list(self.voter.pending_withdrawals(0.5)), [])
         self.assertFalse(self.voter.needs_polling(50.0))
 
-    def test_an_operation_asks_at_once_and_those_beside_it_too(self) -> None:
+    def test_concurrent_operations_may_ask_at_once(self) -> None:
         self.assertTrue(self.voter.may_ask_unconfirmed(9.0))
         self.assertEqual(self.voter.candidate, "a")
         self.voter.record_question(9.0)
@@ -266,7 +267,7 @@
         self.answer("a", 9.05)
         self.assertTrue(self.voter.has_grantor(9.06))
 
-    def test_it_goes_on_from_one_without_votes_until_one_has_some(self) -> None:
+    def test_candidates_without_votes_are_skipped(self) -> None:
         for sender, now in (("a", 9.01), ("b", 9.02), ("c", 9.03)):
             self.assertEqual(self.voter.candidate, sender)
             self.assertTrue(self.voter.may_ask_unconfirmed(now))
@@ -277,7 +278,7 @@
         self.assertFalse(self.voter.may_ask_unconfirmed(9.04))
         self.assertTrue(self.voter.may_ask_unconfirmed(9.01 + NON_GRANTOR_RETRY_SECONDS))
 
-    def test_an_earlier_candidate_is_gone_back_to_when_it_has_votes(self) -> None:
+    def test_non_voter_returns_to_an_earlier_candidate_with_votes(self) -> None:
         self.voter.record_question(9.0)
         self.voter.check_candidates(9.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
@@ -286,20 +287,20 @@
         self.answer("a", 9.3)
         self.assertEqual(self.voter.candidate, "a")
 
-    def test_after_a_long_rest_the_candidate_that_answered_is_asked_again(self) -> None:
+    def test_idle_time_keeps_the_candidate_that_answered(self) -> None:
         self.voter.record_question(9.0)
         self.answer("a", 9.05)
         self.assertTrue(self.voter.may_ask_unconfirmed(90.0))
         self.voter.check_candidates(90.0)
         self.assertEqual(self.voter.candidate, "a")
 
-    def test_one_that_did_not_answer_is_left_first_and_probed(self) -> None:
+    def test_silent_candidate_is_left_and_probed(self) -> None:
         self.voter.record_question(9.0)
         self.assertTrue(self.voter.may_ask_unconfirmed(20.0))
         self.assertEqual(self.voter.candidate, "b")
         self.assertEqual(self.voter.check_candidates(20.0), ("a",))
 
-    def test_one_that_was_not_asked_for_long_is_not_silent(self) -> None:
+    def test_unasked_candidate_is_not_silent(self) -> None:
         self.voter.record_question(9.0)
         self.answer("a", 9.05)
         self.voter.check_candidates(50.0)
@@ -308,7 +309,7 @@
         self.voter.check_candidates(50.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
 
-    def test_a_search_has_its_time_once(self) -> None:
+    def test_operations_share_one_search_deadline(self) -> None:
         self.assertEqual(self.voter.search_deadline(9.0, 0.8), 9.8)
         self.voter.record_waiting_operation(9.0)
         self.voter.record_waiting_operation(9.5)
@@ -317,65 +318,69 @@
         self.assertLess(self.voter.search_deadline(9.7, 0.8), 9.7)
         self.assertEqual(self.voter.search_deadline(20.0, 0.8), 20.8)
 
-    def test_it_is_looked_for_while_operations_wait_for_it(self) -> None:
+    def test_candidate_is_polled_while_operations_wait(self) -> None:
         self.voter.record_waiting_operation(9.0)
         self.assertTrue(self.voter.needs_polling(9.5))
         self.assertFalse(self.voter.needs_polling(9.0 + SEARCH_SECONDS))
 
 
-class OwnShareTest(unittest.TestCase):
-    def admitted(self, share: LocalAllowance, seconds: float, counted_until: float) -> int:
-        return sum(share.admit(step / 100, counted_until) for step in range(int(seconds * 100)))
+class LocalAllowanceTest(unittest.TestCase):
+    def admitted(self, allowance: LocalAllowance, seconds: float, vote_valid_until: float) -> int:
+        return sum(
+            allowance.admit(step / 100, vote_valid_until) for step in range(int(seconds * 100))
+        )
 
-    def test_while_its_vote_may_count_a_process_has_its_reserve_alone(self) -> None:
+    def test_only_the_reserve_is_available_while_the_vote_is_valid(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
-        self.assertEqual(self.admitted(share, 5.0, counted_until=99.0), reserve - 1)
+        allowance = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
+        self.assertEqual(self.admitted(allowance, 5.0, vote_valid_until=99.0), reserve - 1)
 
-    def test_after_that_it_has_its_share_of_the_rate_too(self) -> None:
+    def test_rate_is_available_after_the_vote_expires(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
-        admitted = self.admitted(share, 5.0, counted_until=0.0)
+        allowance = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0)
+        admitted = self.admitted(allowance, 5.0, vote_valid_until=0.0)
         self.assertLessEqual(admitted, reserve + 50)
         self.assertGreater(admitted, 45)
 
-    def test_without_a_vote_it_has_its_reserve_alone(self) -> None:
+    def test_only_the_reserve_is_available_without_a_vote(self) -> None:
         reserve = POLICY.reserve(LIMIT, 10, 0)
-        share = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0, voters=0)
-        self.assertEqual(self.admitted(share, 5.0, counted_until=0.0), reserve)
+        allowance = LocalAllowance(LIMIT, POLICY, 10, 0, 0.0, voters=0)
+        self.assertEqual(self.admitted(allowance, 5.0, vote_valid_until=0.0), reserve)
 
-    def test_the_rate_is_divided_among_the_voters(self) -> None:
-        shares = [LocalAllowance(LIMIT, POLICY, 40, rank, 0.0, voters=10) for rank in range(10)]
-        admitted = sum(self.admitted(share, 5.0, counted_until=0.0) for share in shares)
+    def test_rate_is_divided_between_the_voters(self) -> None:
+        allowances = [LocalAllowance(LIMIT, POLICY, 40, rank, 0.0, voters=10) for rank in range(10)]
+        admitted = sum(
+            self.admitted(allowance, 5.0, vote_valid_until=0.0) for allowance in allowances
+        )
         reserves = sum(POLICY.reserve(LIMIT, 40, rank) for rank in range(10))
         self.assertLessEqual(admitted, reserves + LIMIT.rate * 5.0)
         self.assertGreater(admitted, LIMIT.rate * 5.0 * 0.9)
 
-    def test_a_share_that_is_no_operation_in_a_window_is_none(self) -> None:
-        share = LocalAllowance(RateLimit(1, 1), POLICY, 60, 59, 0.0)
-        self.assertEqual(self.admitted(share, 10.0, counted_until=0.0), 0)
+    def test_less_than_one_operation_per_window_admits_nothing(self) -> None:
+        allowance = LocalAllowance(RateLimit(1, 1), POLICY, 60, 59, 0.0)
+        self.assertEqual(self.admitted(allowance, 10.0, vote_valid_until=0.0), 0)
 
 
 class SlotsTest(unittest.TestCase):
-    def test_all_processes_find_the_same_candidates(self) -> None:
+    def test_candidates_do_not_depend_on_member_order(self) -> None:
         self.assertEqual(candidates_of(SLOT, MEMBERS), candidates_of(SLOT, MEMBERS[::-1]))
 
-    def test_there_are_more_slots_with_more_processes(self) -> None:
+    def test_slot_count_grows_with_the_processes(self) -> None:
         sizes = (1, 32, 33, 59, 64, 65, 300, 512, 850)
         self.assertEqual([slot_count(n) for n in sizes], [1, 1, 2, 2, 2, 4, 16, 16, 32])
 
     @given(st.integers(1, 900))
-    def test_no_slot_has_more_processes_than_it_may(self, processes: int) -> None:
+    def test_processes_per_slot_are_bounded(self, processes: int) -> None:
         self.assertLessEqual(processes / slot_count(processes), MAX_PROCESSES_PER_SLOT)
 
-    def test_up_to_two_slots_all_processes_vote_in_all(self) -> None:
+    def test_with_up_to_two_slots_all_processes_vote_in_all(self) -> None:
         for count in (1, 2):
             slots = {Slot(count, index) for index in range(count)}
             for slot in slots:
                 self.assertEqual(voters_of(slot, MEMBERS), frozenset(MEMBERS))
             self.assertEqual(set(voting_slots("a", count)), slots)
 
-    def test_a_process_votes_in_two_slots_at_any_size_and_they_have_few_voters(self) -> None:
+    def test_votes_per_process_and_voters_per_slot_are_bounded(self) -> None:
         for processes in (65, 100, 300, 504, 850, 2000):
             names = [f"frontend-{number}" for number in range(processes)]
             count = slot_count(processes)
@@ -388,24 +393,22 @@
             self.assertLessEqual(max(map(len, voters)), 96)
 
     @given(st.text("abc-123", min_size=1, max_size=8), st.integers(0, 6))
-    def test_when_slots_are_divided_a_caller_keeps_half_of_its_voters(
-        self, caller: str, power: int
-    ) -> None:
+    def test_doubling_the_slots_keeps_half_of_the_voters(self, caller: str, power: int) -> None:
         names = [f"frontend-{number}" for number in range(150)]
         before, after = (slot_of(caller, 1 << exponent) for exponent in (power, power + 1))
         self.assertLessEqual(voters_of(after, names), voters_of(before, names))
 
-    def test_where_a_process_votes_does_not_hang_on_whom_it_knows(self) -> None:
+    def test_voted_slots_do_not_depend_on_the_members(self) -> None:
         few, many = MEMBERS[:3], (*MEMBERS, "e", "f", "g")
         for index in range(8):
             slot = Slot(8, index)
             self.assertEqual(voters_of(slot, few), voters_of(slot, many) & set(few))
 
-    def test_callers_are_spread_over_slots(self) -> None:
+    def test_callers_are_distributed_over_slots(self) -> None:
         found = {slot_of(f"caller{number}", 4).index for number in range(60)}
         self.assertEqual(found, {0, 1, 2, 3})
 
-    def test_ranks_are_all_different(self) -> None:
+    def test_ranks_are_unique(self) -> None:
         ranks = sorted(rank_of(name, "north", MEMBERS) for name in MEMBERS)
         self.assertEqual(ranks, [0, 1, 2, 3])
 
--- a/tests/core/pooler/rate_limits/test_persistent_queue_detector.py
+++ b/tests/core/pooler/rate_limits/test_persistent_queue_detector.py
@@ -1,4 +1,4 @@
-"""What is taken for a queue that stands: a table of waits over time."""
+"""Guards the detection of persistent queues, with patterns of waits over time."""
 
 import unittest
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 def watch_of(wait: Callable[[float], float], seconds: float) -> PersistentQueueDetector:
-    """Returns a watch that has seen the waits of operations at equal distances."""
+    """Returns a detector that recorded the waits of equally spaced operations."""
     watch = PersistentQueueDetector()
     for number in range(int(seconds / STEP)):
         now = number * STEP
@@ -21,30 +21,34 @@
     return watch
 
 
-class LineWatchTest(unittest.TestCase):
-    def test_each_course(self) -> None:
+class PersistentQueueDetectorTest(unittest.TestCase):
+    def test_wait_patterns(self) -> None:
         cases: tuple[tuple[str, Callable[[float], float], bool], ...] = (
             ("short", lambda now: 0.14, False),
-            ("as long all the time", lambda now: 1.9, True),
-            ("becomes longer", lambda now: 0.2 + 0.2 * now, True),
-            ("becomes shorter as usual demand leaves a third", lambda now: 1.8 - 0.37 * now, False),
-            ("becomes shorter too slowly", lambda now: 1.8 - 0.05 * now, True),
+            ("constantly long", lambda now: 1.9, True),
+            ("growing", lambda now: 0.2 + 0.2 * now, True),
             (
-                "an outage's operations come for half a second",
+                "shrinking because demand is a third below the rate",
+                lambda now: 1.8 - 0.37 * now,
+                False,
+            ),
+            ("shrinking too slowly", lambda now: 1.8 - 0.05 * now, True),
+            (
+                "growing for half a second after an outage",
                 lambda now: 2 * now if now < 0.5 else 1.0 - 0.37 * (now - 0.5),
                 False,
             ),
-            ("is short now and then", lambda now: 0.0 if now % 1.0 < STEP else 1.0, False),
+            ("short from time to time", lambda now: 0.0 if now % 1.0 < STEP else 1.0, False),
         )
         for name, wait, expected in cases:
             with self.subTest(name):
                 self.assertIs(watch_of(wait, 3.0).is_persistent(3.0), expected)
 
-    def test_it_takes_longer_than_what_an_outage_piles_up_needs_to_come(self) -> None:
+    def test_detection_takes_longer_than_arrivals_after_an_outage(self) -> None:
         self.assertFalse(watch_of(lambda now: 1.0, 1.4).is_persistent(1.4))
         self.assertTrue(watch_of(lambda now: 1.0, 1.6).is_persistent(1.6))
 
-    def test_it_stands_until_nobody_found_it_too_long_for_a_while(self) -> None:
+    def test_queue_stays_persistent_for_a_while(self) -> None:
         watch = watch_of(lambda now: 1.0, 1.6)
         watch.record_wait(0.0, ACCEPTABLE_WAIT_SECONDS, 1.7)
         self.assertTrue(watch.is_persistent(1.7))
--- a/tests/core/pooler/rate_limits/test_questions.py
+++ b/tests/core/pooler/rate_limits/test_questions.py
@@ -1,4 +1,4 @@
-"""Questions under way: each is answered once, and none is remembered for good."""
+"""Guards against questions that are answered twice or never forgotten."""
 
 import unittest
 
@@ -23,7 +23,7 @@
             self.scheduler, "a", lambda name, question: self.sent.append((name, question))
         )
 
-    def test_each_kind_goes_to_whom_it_is_for_with_a_number_of_its_own(self) -> None:
+    def test_questions_have_the_right_receiver_and_unique_numbers(self) -> None:
         self.questions.ask(SLOT, Voter(("b", "c"), -10.0, 0.0))
         self.questions.probe(SLOT, "c")
         self.questions.withdraw(SLOT, "d")
@@ -33,7 +33,7 @@
         self.assertEqual([question.votes for question in questions], [True, False, False])
         self.assertEqual([question.withdraws for question in questions], [False, False, True])
 
-    def test_an_answer_counts_once(self) -> None:
+    def test_answer_matches_once(self) -> None:
         self.questions.withdraw(SLOT, "b")
         answer = answer_to(self.sent[0][1])
         self.assertTrue(self.questions.is_open(answer.number))
@@ -43,7 +43,7 @@
         self.assertIsNone(self.questions.match_answer(answer))
         self.assertFalse(self.questions.is_open(answer.number))
 
-    def test_a_question_without_an_answer_is_forgotten(self) -> None:
+    def test_unanswered_question_is_forgotten(self) -> None:
         self.questions.probe(SLOT, "b")
         answer = answer_to(self.sent[0][1])
         now = self.scheduler.now()
--- a/tests/core/pooler/rate_limits/test_random_days.py
+++ b/tests/core/pooler/rate_limits/test_random_days.py
@@ -1,17 +1,17 @@
-"""The bound on what a caller may have run, under faults at any moment."""
+"""Guards the bound on admitted operations under random faults."""
 
 import unittest
 
-from tests.core.pooler.rate_limits.random_days import LIMITS, SEEDS, play_day
+from tests.core.pooler.rate_limits.random_faults import LIMITS, SEED_COUNT, run_random_faults
 
 
-class RandomDaysTest(unittest.TestCase):
-    def test_the_bound_holds(self) -> None:
-        for seed in range(SEEDS):
+class RandomFaultsTest(unittest.TestCase):
+    def test_bound_holds_under_random_faults(self) -> None:
+        for seed in range(SEED_COUNT):
             with self.subTest(seed=seed):
-                network = play_day(seed)
+                network = run_random_faults(seed)
                 for caller in LIMITS:
-                    self.assertLessEqual(network.worst_share(caller), 1.0)
+                    self.assertLessEqual(network.max_bound_ratio(caller), 1.0)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_random_days_of_slots.py
+++ b/tests/core/pooler/rate_limits/test_random_days_of_slots.py
@@ -1,21 +1,21 @@
-"""The bound on what a caller may have run, under faults, where callers are divided over slots."""
+"""Guards the bound on admitted operations under random faults, with several slots."""
 
 import unittest
 from unittest import mock
 
 from dewledge.core.pooler.rate_limits import slots
-from tests.core.pooler.rate_limits.random_days import LIMITS, SEEDS, play_day
+from tests.core.pooler.rate_limits.random_faults import LIMITS, SEED_COUNT, run_random_faults
 
 
-class RandomDaysOfSlotsTest(unittest.TestCase):
-    def test_the_bound_holds_where_each_process_votes_in_two_of_many_slots(self) -> None:
-        """Of 24 processes in eight slots some six vote in each, as 53 of 850 do."""
+class RandomFaultsInSlotsTest(unittest.TestCase):
+    def test_bound_holds_with_two_of_many_slots_per_voter(self) -> None:
+        """About six of 24 processes vote in each of eight slots."""
         with mock.patch.object(slots, "MAX_PROCESSES_PER_SLOT", 3):
-            for seed in range(SEEDS):
+            for seed in range(SEED_COUNT):
                 with self.subTest(seed=seed):
-                    network = play_day(seed, fewest=13)
+                    network = run_random_faults(seed, min_processes=13)
                     for caller in LIMITS:
-                        self.assertLessEqual(network.worst_share(caller), 1.0)
+                        self.assertLessEqual(network.max_bound_ratio(caller), 1.0)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_vote_binding.py
+++ b/tests/core/pooler/rate_limits/test_vote_binding.py
@@ -1,4 +1,4 @@
-"""A vote binds its process until it cannot count any more, or was dropped."""
+"""Guards against two valid votes of one process in a slot."""
 
 import unittest
 
@@ -16,7 +16,7 @@
     def answer(self, sender: str, now: float) -> None:
         self.answers.record(QuotaAnswer(sender, 1, Slot(1, 0), 500.0, False), now)
 
-    def test_the_last_answer_of_the_candidate_decides_until_when(self) -> None:
+    def test_vote_expires_after_the_last_answer_of_its_candidate(self) -> None:
         binding = VoteBinding(self.answers, -10.0, ())
         self.answer("a", 3.0)
         binding.record_vote("a")
@@ -27,7 +27,7 @@
         self.assertFalse(binding.may_vote("b", 4.0 + VOTE_LIFETIME_SECONDS - 0.01))
         self.assertTrue(binding.may_vote("b", 4.0 + VOTE_LIFETIME_SECONDS))
 
-    def test_after_a_start_earlier_votes_bind_until_all_candidates_have_dropped_them(self) -> None:
+    def test_earlier_votes_bind_until_all_candidates_dropped_them(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a", "b"))
         self.assertFalse(binding.may_vote("a", VOTE_LIFETIME_SECONDS - 0.01))
         self.assertEqual(list(binding.pending_withdrawals(0.1)), ["a", "b"])
@@ -36,14 +36,14 @@
         self.assertTrue(binding.record_withdrawal("b"))
         self.assertTrue(binding.may_vote("a", 0.2))
 
-    def test_a_vote_given_meanwhile_binds_though_the_earlier_ones_were_dropped(self) -> None:
+    def test_new_vote_binds_after_earlier_votes_were_dropped(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a",))
         self.answer("b", VOTE_LIFETIME_SECONDS)
         binding.record_vote("b")
         self.assertFalse(binding.record_withdrawal("a"))
         self.assertFalse(binding.may_vote("a", VOTE_LIFETIME_SECONDS + 0.1))
 
-    def test_without_a_need_nobody_is_asked_to_drop_votes(self) -> None:
+    def test_no_withdrawal_is_requested_after_expiry(self) -> None:
         binding = VoteBinding(self.answers, 0.0, ("a",))
         self.assertEqual(list(binding.pending_withdrawals(VOTE_LIFETIME_SECONDS)), [])
 
--- a/tests/core/shared/test_fair_share.py
+++ b/tests/core/shared/test_fair_share.py
@@ -1,4 +1,4 @@
-"""Shares among callers: who is next, what is remembered, what is charged."""
+"""Guards the order of service between callers, and against unbounded state."""
 
 import unittest
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class Backlog:
-    """Shares with what waits beside them; the lowest tag is served, as doors do."""
+    """Fair shares with a count of waiting requests; serves the lowest tag."""
 
     def __init__(self) -> None:
         self.shares = FairShares()
@@ -40,14 +40,14 @@
 
 
 class OrderTest(unittest.TestCase):
-    """One caller sends many times its usual: what the others get beside it."""
+    """The order of service when a caller sends many times its usual load."""
 
-    def test_patterns(self) -> None:
+    def test_service_order(self) -> None:
         for name, joins, weights, expected in (
-            ("a caller alone", "aaa", {}, "aaa"),
-            ("a hot one beside two", "aaaaabc", {}, "abcaaaa"),
-            ("two backlogs", "aaabbb", {}, "ababab"),
-            ("by weight", "aaabbbbbb", {"b": 2.0}, "abbabbabb"),
+            ("single caller", "aaa", {}, "aaa"),
+            ("busy caller and two others", "aaaaabc", {}, "abcaaaa"),
+            ("two busy callers", "aaabbb", {}, "ababab"),
+            ("different weights", "aaabbbbbb", {"b": 2.0}, "abbabbabb"),
         ):
             with self.subTest(name):
                 backlog = Backlog()
@@ -56,7 +56,7 @@
                 served = "".join(backlog.serve_next() for _ in joins)
                 self.assertEqual(served, expected)
 
-    def test_who_comes_later_has_saved_up_nothing_and_waits_behind_one_at_most(self) -> None:
+    def test_late_caller_gets_no_credit_and_waits_for_one_request(self) -> None:
         backlog = Backlog()
         backlog.join("hot", 100)
         for _ in range(50):
@@ -66,8 +66,8 @@
         self.assertIn("rare", served[:2])
         self.assertEqual(served.count("rare"), 4)
 
-    def test_real_cost_counts(self) -> None:
-        """Statements of one hold their slots four times as long: it gets a fourth as many."""
+    def test_shares_follow_the_actual_cost(self) -> None:
+        """Requests of "long" cost four times as much, so it gets a quarter as many."""
         backlog = Backlog()
         backlog.join("long", 100)
         backlog.join("short", 100)
@@ -78,8 +78,9 @@
             backlog.shares.settle(caller, 3.0 if caller == "long" else 0.0)
         self.assertIn(served["long"], (9, 10, 11))
 
-    def test_one_that_could_not_be_served_for_long_goes_first_once(self) -> None:
-        """No connection of its own for a while: it isn't owed all that it missed."""
+    def test_blocked_caller_does_not_accumulate_credit(self) -> None:
+        """A caller that had no connection for a while does not get all missed service
+        afterwards."""
         backlog = Backlog()
         backlog.join("without", 10)
         backlog.join("hot", 100)
@@ -94,7 +95,7 @@
 class StateTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None)
     @given(STEPS)
-    def test_nobody_is_remembered_without_need(self, steps: list[tuple[str, str, float]]) -> None:
+    def test_idle_callers_are_forgotten(self, steps: list[tuple[str, str, float]]) -> None:
         backlog = Backlog()
         for action, caller, cost in steps:
             if action == "join":
@@ -117,7 +118,7 @@
         owing = {name for name in CALLERS if backlog.shares.tag(name) > newcomer}
         self.assertLessEqual(len(backlog.shares), len(waiting | owing))
 
-    def test_callers_that_leave_unserved_leave_nothing(self) -> None:
+    def test_callers_that_leave_unserved_are_forgotten(self) -> None:
         shares = FairShares()
         shares.join("hot")
         shares.join("hot")
@@ -130,7 +131,7 @@
             shares.leave("other")
         self.assertEqual(len(shares), 2)
 
-    def test_who_leaves_has_its_share_back(self) -> None:
+    def test_request_that_leaves_is_not_charged(self) -> None:
         backlog = Backlog()
         backlog.join("leaves", 50)
         backlog.join("steady", 50)
--- a/tests/core/shared/test_positions.py
+++ b/tests/core/shared/test_positions.py
@@ -1,4 +1,4 @@
-"""Positions and the branches that a new term cuts off, as a table."""
+"""Guards the comparison of log positions across terms."""
 
 import unittest
 
@@ -23,5 +23,5 @@
             with self.subTest(name):
                 self.assertEqual(satisfies(applied, floor, TERM_STARTS), fresh)
 
-    def test_a_branch_is_not_cut_off_while_no_later_term_is_known(self) -> None:
+    def test_position_is_not_discarded_without_a_later_term(self) -> None:
         self.assertFalse(is_cut_off(LogPosition(5, 900), (TermStart(5, 0),)))
