--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -62,8 +62,8 @@
     def bucket_size(self, limit: RateLimit, fraction: float = 1.0) -> float:
         """Returns the capacity in tokens of a grantor's bucket, at least one.
 
-        fraction: the part of the rate that this grantor hands out. The minimum of one token for
-        each other candidate is subtracted first.
+        fraction: the part of the rate that this grantor hands out. Each other candidate's minimum
+        of one token is subtracted first.
         """
         divided = (
             self.headroom(limit) * BUCKET_RATIO - (CANDIDATES_PER_SLOT - 1) * MIN_BUCKET_TOKENS
--- a/src/dewledge/core/pooler/rate_limits/token_queue.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -61,7 +61,7 @@
     def __init__(self, bucket: TokenSource) -> None:
         """The queue uses real time; the bucket's clock is `VoteFraction.full_rate_seconds`."""
         self.bucket = bucket
-        self._due_at: dict[QueueKey, float] = {}
+        self._token_at: dict[QueueKey, float] = {}
         """When the token of each position is available, in the order of arrival. Holds at most rate
         x RESERVATION_HORIZON_SECONDS positions plus a full bucket."""
         self._granted_at: dict[QueueKey, float] = {}
@@ -71,7 +71,7 @@
         self.retries = RetryTimes()
 
     def __len__(self) -> int:
-        return len(self._due_at)
+        return len(self._token_at)
 
     def ask(
         self,
@@ -98,7 +98,7 @@
             self._record_wait(key, 0.0, now, fraction)
             self._grant(key, now, bucket_time)
             return Granted()
-        if key is not None and key in self._due_at:
+        if key is not None and key in self._token_at:
             return self._reserve(
                 key, self._token_delay(self._positions_ahead(key), bucket_time, fraction), now
             )
@@ -108,7 +108,7 @@
         self, key: QueueKey | None, now: float, bucket_time: float, fraction: float, max_wait: float
     ) -> Deferred:
         """Adds the operation at the end of the queue, or returns a time to retry at."""
-        seconds = self._token_delay(len(self._due_at), bucket_time, fraction)
+        seconds = self._token_delay(len(self._token_at), bucket_time, fraction)
         self._record_wait(key, seconds, now, fraction)
         if key is None:
             return Deferred(self._unreserved_delay(now, seconds, fraction), False)
@@ -152,7 +152,7 @@
         return Deferred(next_retry_at - now, False, True, is_own)
 
     def _reserve(self, key: QueueKey, seconds: float, now: float) -> Deferred:
-        self._due_at[key] = now + seconds
+        self._token_at[key] = now + seconds
         return Deferred(seconds, True)
 
     def _token_delay(self, ahead: int, bucket_time: float, fraction: float) -> float:
@@ -173,7 +173,7 @@
         self, key: QueueKey | None, seconds: float, now: float, fraction: float
     ) -> None:
         """Reports the wait of an operation's first request to the detector."""
-        if key is not None and key not in self._due_at:
+        if key is not None and key not in self._token_at:
             self._detector.record_wait(
                 seconds, self._acceptable_wait(fraction), now, self._token_interval(fraction)
             )
@@ -183,10 +183,10 @@
     ) -> bool:
         if not self.bucket.holds(1, bucket_time):
             return False
-        if key is None or key not in self._due_at:
+        if key is None or key not in self._token_at:
             return self._has_surplus(now, bucket_time, fraction)
         needed = self._positions_ahead(key) + 1
-        if self._due_at[key] <= now:
+        if self._token_at[key] <= now:
             # A full bucket cannot hold more tokens for positions ahead that are not redeemed.
             needed = min(needed, max(int(self.bucket.size), 1))
         return self.bucket.holds(self.retries.waiting_count + needed, bucket_time)
@@ -197,22 +197,22 @@
         Positions are added only while no token is surplus, so checking the last one is enough.
         Tokens that were not redeemed are surplus.
         """
-        if not self._due_at:
+        if not self._token_at:
             return self.bucket.holds(self.retries.waiting_count + 1, bucket_time)
-        last_due_at = next(reversed(self._due_at.values()))
-        arriving_tokens = max(last_due_at - now, 0.0) * self.bucket.rate * fraction
-        needed = self.retries.waiting_count + len(self._due_at) + 1 - arriving_tokens
+        last_token_at = next(reversed(self._token_at.values()))
+        arriving_tokens = max(last_token_at - now, 0.0) * self.bucket.rate * fraction
+        needed = self.retries.waiting_count + len(self._token_at) + 1 - arriving_tokens
         return self.bucket.holds(max(needed, 1), bucket_time)
 
     def _grant(self, key: QueueKey | None, now: float, bucket_time: float) -> None:
         self.bucket.acquire(1, bucket_time)
         if key is not None:
-            self._due_at.pop(key, None)
+            self._token_at.pop(key, None)
             self._granted_at[key] = now
 
     def _positions_ahead(self, key: QueueKey) -> int:
         """Returns the number of positions ahead of the key's; the search is linear."""
-        return next(ahead for ahead, other in enumerate(self._due_at) if other == key)
+        return next(ahead for ahead, other in enumerate(self._token_at) if other == key)
 
     def _unreserved_delay(self, now: float, seconds: float, fraction: float) -> float:
         """Returns the seconds until an operation without a reserved token may retry."""
@@ -221,6 +221,6 @@
     def _drop_expired(self, now: float, fraction: float) -> None:
         """Drops positions and retry times that were not used, and tokens that expired."""
         retention = min(REDEEM_TIMEOUT_SECONDS, self.bucket.size / (self.bucket.rate * fraction))
-        drop_before(self._due_at, now - retention)
+        drop_before(self._token_at, now - retention)
         drop_before(self._granted_at, now - TOKEN_LIFETIME_SECONDS)
         self.retries.drop_expired(now - retention)
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -28,7 +28,7 @@
 """Seconds after which a candidate that answered that it holds no votes is asked again."""
 PROBE_INTERVAL_SECONDS = 1.0
 """Seconds between two probes of the candidates before the selected one."""
-POLL_DUE_RATIO = 0.8
+POLL_INTERVAL_RATIO = 0.8
 """Ratio of the poll interval after which the next question is due, so that questions of several
 slots are sent together."""
 
@@ -154,7 +154,7 @@
         is known; search_interval: while none is.
         """
         spacing = grantor_interval if self.has_grantor(now) else search_interval
-        return now >= self._asked_at + spacing * POLL_DUE_RATIO
+        return now >= self._asked_at + spacing * POLL_INTERVAL_RATIO
 
     def may_ask_unconfirmed(self, now: float) -> bool:
         """Returns whether an operation may ask the candidate although it is not known to grant.
--- a/tests/core/pooler/rate_limits/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -14,7 +14,8 @@
 
 
 class ProcessScheduler:
-    """The scheduler of one process; callbacks that are due while it is frozen run afterwards."""
+    """The scheduler of one process. Callbacks whose time comes while it is frozen run
+    afterwards."""
 
     def __init__(self, scheduler: ModelScheduler) -> None:
         self._scheduler = scheduler
--- a/tests/core/pooler/rate_limits/simulated_clients.py
+++ b/tests/core/pooler/rate_limits/simulated_clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients of one caller that request tokens from a queue."""
+"""Simulates the clients of a caller that request tokens from a queue."""
 
 import heapq
 import itertools
@@ -45,7 +45,7 @@
 
 
 class SimulatedClients:
-    """The clients of one caller. obeys: whether they retry at the promised times."""
+    """A caller's clients. obeys: whether they retry at the promised times."""
 
     def __init__(
         self,
--- a/tests/core/pooler/rate_limits/test_admission.py
+++ b/tests/core/pooler/rate_limits/test_admission.py
@@ -255,7 +255,7 @@
                 self.check(network)
 
     def test_number_of_slots_changes(self) -> None:
-        """A 33rd process makes two slots of one; the processes learn of it one after the other."""
+        """A 33rd process makes two slots of one; the processes learn of it one by one."""
         network = ModelNetwork(33, LIMITS)
         for members in (network.names[:32], network.names, network.names[:32]):
             network.run(6.0, {})
--- a/tests/core/pooler/rate_limits/test_caller_token_queues.py
+++ b/tests/core/pooler/rate_limits/test_caller_token_queues.py
@@ -1,7 +1,4 @@
-"""Guards against refusing urgent operations of a caller over its limit before less urgent ones.
-
-Every `URGENT_EVERY`th operation is urgent.
-"""
+"""Guards against refusing urgent operations of a caller over its limit before less urgent ones."""
 
 import math
 import unittest
@@ -26,6 +23,7 @@
 SIZE = 15.0
 URGENT, OTHERS = 0, 2
 URGENT_EVERY = 7
+"""Every seventh operation is urgent, by its number."""
 SETTLED = 5.0
 """Seconds after which the demand of urgent operations is known."""
 
--- a/tests/core/pooler/rate_limits/test_size.py
+++ b/tests/core/pooler/rate_limits/test_size.py
@@ -10,7 +10,7 @@
 IDLE_DATAGRAMS = 18
 """Two votes every 0.3 s, their answers, and occasional probes."""
 GRANTOR_BYTES = 45_000
-"""A second's traffic of a grantor of one slot with about 90 voters."""
+"""Traffic in a second of a grantor with one slot and about 90 voters."""
 
 
 def idle_traffic(processes: int) -> list[Traffic]:
--- a/tests/core/pooler/rate_limits/test_vote_binding.py
+++ b/tests/core/pooler/rate_limits/test_vote_binding.py
@@ -1,4 +1,4 @@
-"""Guards against two valid votes of one process in a slot."""
+"""Guards against two valid votes of a process in the same slot."""
 
 import unittest
 
