--- a/src/dewledge/core/pooler/rate_limits/counted_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/counted_votes.py
@@ -25,7 +25,7 @@
         ignored."""
 
     def withdraw(self, asker: str, now: float) -> None:
-        """Drops the votes that a process sent before it restarted."""
+        """Drops the votes that a process sent until now, for example before it restarted."""
         self._valid_until.pop(asker, None)
         self._withdrawn_at[asker] = now
 
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -89,7 +89,7 @@
         self._voters.set_members(names)
 
     def grantor_of(self, caller: str) -> str:
-        """Returns the process that grants a caller's tokens to this one, empty if none is known."""
+        """Returns the process that grants a caller's tokens to this one, or "" if none is known."""
         return self._voters.grantor_of(caller)
 
     def apply(self, wish: Wish, decided: Decided) -> Application:
--- a/src/dewledge/core/pooler/rate_limits/grantor_search.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor_search.py
@@ -45,5 +45,5 @@
         """
         if self._has_vote:
             return -math.inf if self._has_found_grantor else self._began_at + seconds
-        goes_on = self.needs_polling(now) and self._searching_since < math.inf
-        return (self._searching_since if goes_on else now) + seconds
+        is_ongoing = self.needs_polling(now) and self._searching_since < math.inf
+        return (self._searching_since if is_ongoing else now) + seconds
--- a/src/dewledge/core/pooler/rate_limits/questions.py
+++ b/src/dewledge/core/pooler/rate_limits/questions.py
@@ -92,12 +92,12 @@
 
     def forget_unanswered(self, now: float) -> None:
         """Forgets the questions older than QUESTION_RETENTION_SECONDS."""
-        lost = [
+        expired = [
             number
             for number, asked in self._pending.items()
             if asked.sent_at < now - QUESTION_RETENTION_SECONDS
         ]
-        for number in lost:
+        for number in expired:
             del self._pending[number]
 
     def _register(self, asked: PendingQuestion) -> int:
@@ -107,10 +107,10 @@
 
 
 def _token_want(pending: Application) -> TokenWant:
-    accepted_ms = min(pending.max_wait * MILLISECONDS, MAX_WAIT_MS)
+    max_wait_ms = min(pending.max_wait * MILLISECONDS, MAX_WAIT_MS)
     return TokenWant(
         pending.caller,
         place=pending.number,
-        bears_ms=int(accepted_ms),
+        bears_ms=int(max_wait_ms),
         urgency=pending.urgency,
     )
--- a/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
@@ -1,7 +1,6 @@
-"""A view of a caller's bucket for less urgent operations, without the tokens reserved for more
-urgent ones.
+"""A caller's bucket as its less urgent operations see it, without the reserved tokens.
 
-The reserve covers the more urgent operations that wait and the usual demand of those still to
+The reserve is for the more urgent operations that wait and the usual demand of those still to
 arrive. So these find a token on arrival, and a retry time that was sent to a less urgent operation
 stays valid while demand is as usual.
 """
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -1,4 +1,4 @@
-"""Which processes this process asks and votes for, in all slots.
+"""Selects the processes that this process asks and votes for, in all slots.
 
 Holds the members, a voter for each slot in use (voter.py), and the votes of the previous
 partitioning (previous_votes.py), which delay new votes until they expire or are dropped. slots.py
@@ -81,14 +81,14 @@
         return voter
 
     def grantor_of(self, caller: str) -> str:
-        """Returns the process that grants a caller's tokens to this one, empty if none is known."""
+        """Returns the process that grants a caller's tokens to this one, or "" if none is known."""
         voter = self._voters.get(self.slot_of(caller))
         if voter is None or not voter.has_grantor(self._scheduler.now()):
             return ""
         return voter.candidate
 
     def tick(self, now: float) -> bool:
-        """Sends votes and leaves silent candidates; returns whether every polled slot has a
+        """Sends votes and leaves silent candidates; returns whether no polled slot lacks a
         grantor."""
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
--- a/src/dewledge/core/pooler/rate_limits/slots.py
+++ b/src/dewledge/core/pooler/rate_limits/slots.py
@@ -1,5 +1,4 @@
-"""Assigns callers to slots, and processes to slots as grantor candidates and voters. Pure
-functions.
+"""Assigns callers to slots, and grantor candidates and voters to each slot.
 
 Callers are hashed into slots, whose number grows with the number of processes, so that no process
 grants for all callers. For each slot every process computes the same few candidates by rendezvous
--- a/src/dewledge/core/pooler/rate_limits/vote_binding.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_binding.py
@@ -37,7 +37,7 @@
 
     @property
     def vote_valid_until(self) -> float:
-        """When every vote sent by this process has expired.
+        """When every vote sent by this process in the slot has expired.
 
         A vote expires VOTE_LIFETIME_SECONDS after the candidate sent the answer that the vote
         echoes; the answer arrived here later than that.
--- a/src/dewledge/core/pooler/rate_limits/vote_fraction.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_fraction.py
@@ -17,7 +17,7 @@
         """The last recorded fraction, from 0 to 1. The true one may have fallen since, but not
         risen."""
         self.filled_since = 0.0
-        """Value of `full_rate_seconds` from which a new bucket may count as filling: where the
+        """Value of `full_rate_seconds` since which a new bucket counts as filling: where the
         fraction last fell or the limits last changed."""
         self._recorded_at = 0.0
 
