--- a/src/dewledge/core/pooler/rate_limits/persistent_queue_detector.py
+++ b/src/dewledge/core/pooler/rate_limits/persistent_queue_detector.py
@@ -59,7 +59,7 @@
             self._begin_interval(wait, now)
 
     def mark_persistent(self, now: float, token_interval: float = 0.0) -> None:
-        """Marks the queue as persistent for a while, because it is too long and does not drain."""
+        """Marks the queue as persistent for a while; called for a queue that is too long."""
         self._persistent_until = now + max(
             MIN_PERSISTENT_SECONDS, MIN_PERSISTENT_TOKENS * token_interval
         )
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -1,11 +1,10 @@
-"""Estimates of how long statements occupy a database slot. Callers pass the durations, in
-seconds."""
+"""Estimates how long statements occupy a database slot, from durations in seconds."""
 
 MAX_STEP_FACTOR = 10.0
-"""Factor by which one duration may exceed the mean; a process that was frozen would count its own
-pause."""
-DEVIATIONS = 2.0
-"""Deviations above the mean that most durations do not exceed."""
+"""Factor of the mean that one duration counts as at most, which limits the effect of a process that
+was frozen while it measured."""
+DEVIATIONS_ABOVE_MEAN = 2.0
+"""Deviations added to the mean for a value that most durations do not exceed."""
 
 
 class ServiceRate:
@@ -45,7 +44,7 @@
     @property
     def seconds(self) -> float:
         """The estimate in seconds; 0 before the first duration."""
-        return 0.0 if self._mean is None else self._mean + DEVIATIONS * self._deviation
+        return 0.0 if self._mean is None else self._mean + DEVIATIONS_ABOVE_MEAN * self._deviation
 
     def note(self, duration: float) -> None:
         """Adds one duration in seconds."""
