--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -51,8 +51,8 @@
 """Seconds between two checks for a grantor while none is known: a third of the interval between two
 questions for one."""
 NUMBERS_PER_SECOND = 1_000_000
-"""Numbers of operations for each second of the clock at the start of the process, so that a
-restarted process uses numbers above all earlier ones, up to this many operations a second."""
+"""Numbers reserved for each second of the clock. The first number follows from the start time, so a
+restarted process uses numbers above all earlier ones unless it took more operations a second."""
 
 
 class QuotaGate:
--- a/src/dewledge/core/pooler/rate_limits/vote_fraction.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_fraction.py
@@ -41,5 +41,5 @@
         self.fraction = fraction
 
     def restart_filling(self) -> None:
-        """Makes buckets created from now on start empty, after a change of the limits."""
+        """Lets buckets created from now on start empty, after a change of the limits."""
         self.filled_since = math.inf
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -46,7 +46,7 @@
     ) -> None:
         """`started_at`: when the process started. began_at: when the search for a grantor began.
 
-        can_withdraw: whether only the candidates can hold votes from before a restart.
+        can_withdraw: whether the votes from before a restart can only be at the candidates.
         """
         self._has_vote = has_vote
         self._candidates = tuple(candidates)
