--- a/src/dewledge/core/pooler/rate_limits/candidate_answers.py
+++ b/src/dewledge/core/pooler/rate_limits/candidate_answers.py
@@ -1,6 +1,7 @@
-"""What the candidates of one slot said last, and when; the voter of the slot reads it.
+"""The last answers of a slot's candidates, used by the slot's voter.
 
-Owns two moments for each candidate: its own clock's, to be told back, and this process's.
+Keeps two times for each candidate: the candidate's own timestamp, which votes echo, and when the
+answer arrived here.
 """
 
 import math
@@ -12,18 +13,18 @@
     """The last answer of each candidate to this process."""
 
     def __init__(self) -> None:
-        self._heard_at: dict[str, float] = {}
+        self._last_timestamp: dict[str, float] = {}
         self._answered_at: dict[str, float] = {}
 
-    def note(self, answer: QuotaAnswer, now: float) -> None:
-        """Takes an answer that came now."""
-        self._heard_at[answer.sender] = answer.told_at
+    def record(self, answer: QuotaAnswer, now: float) -> None:
+        """Records an answer that arrived now."""
+        self._last_timestamp[answer.sender] = answer.told_at
         self._answered_at[answer.sender] = now
 
-    def heard_at(self, candidate: str) -> float | None:
-        """Returns what a candidate is to be told back of its own clock; None without an answer."""
-        return self._heard_at.get(candidate)
+    def last_timestamp(self, candidate: str) -> float | None:
+        """Returns the timestamp of a candidate's last answer, by its own clock, or None."""
+        return self._last_timestamp.get(candidate)
 
     def answered_at(self, candidate: str) -> float:
-        """Returns when a candidate answered last (own steady clock, seconds); -inf: never."""
+        """Returns when a candidate's last answer arrived, by the local steady clock, or -inf."""
         return self._answered_at.get(candidate, -math.inf)
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -1,10 +1,10 @@
-"""Shares among callers: who is to be served next, by start-time fair queueing.
+"""Start-time fair queueing between callers: chooses whose request is served next.
 
-Virtual time is the start tag of what was served last. A caller that begins to wait gets the
-virtual time as its tag, or the end of what it was served before if that is later; being served
-moves its tag on by the cost over its weight. The lowest tag is next: callers that wait share what
-is served by weight, whoever can use more gets what is left, and nobody saves up a share.
-What waits costs nothing until it is served, so who leaves unserved needs no share back.
+Virtual time is the start tag of the last request served. A caller that starts to wait gets the
+virtual time as its tag, or the end of its last request if that is later. Serving a request advances
+the caller's tag by its cost over the caller's weight. The lowest tag is next, so callers that wait
+share the capacity by weight, and a caller cannot save up unused capacity. A request is charged when
+it is served, so a request that leaves the queue unserved needs no refund.
 """
 
 import heapq
@@ -12,14 +12,17 @@
 import msgspec
 
 DEFAULT_WEIGHT = 1.0
-"""Weight of a caller without a weight of its own, relative to the others."""
-MOST_STALE = 8
-"""Entries; notes for each remembered caller of when it can be forgotten, beyond which they are made
-anew: so that callers who come and leave unserved are bounded by their number."""
+"""Weight of a caller without a configured weight, relative to the others."""
+MAX_STALE_FACTOR = 8
+"""Factor by which heap entries may outnumber the remembered callers before the heap is rebuilt;
+bounds the memory for callers that come and leave unserved."""
 
 
-class _Share(msgspec.Struct):
-    """tag: the virtual time at which the caller's next one starts. waiting: how many wait."""
+class _CallerShare(msgspec.Struct):
+    """A caller's state.
+
+    tag: the virtual time at which its next request starts. waiting: its number of waiting requests.
+    """
 
     tag: float
     weight: float
@@ -27,60 +30,60 @@
 
 
 class FairShares:
-    """The tags of the callers before one thing that they share.
+    """The tags of the callers that share one resource.
 
-    A caller of whom nothing waits is remembered until virtual time has passed its tag, and nobody
-    longer than anything waits.
+    A caller without waiting requests is remembered until virtual time has passed its tag. No caller
+    is remembered while no request waits.
     """
 
     def __init__(self) -> None:
         self.virtual_time = 0.0
-        self._shares: dict[str, _Share] = {}
-        self._resting: list[tuple[float, str]] = []
+        self._shares: dict[str, _CallerShare] = {}
+        self._idle: list[tuple[float, str]] = []
         self._waiting = 0
 
     def __len__(self) -> int:
-        """How many callers are remembered."""
+        """Number of remembered callers."""
         return len(self._shares)
 
     def tag(self, caller: str) -> float:
-        """Returns the virtual time at which the next one of a caller starts."""
+        """Returns the virtual time at which a caller's next request starts."""
         share = self._shares.get(caller)
         return self.virtual_time if share is None else share.tag
 
     def step(self, caller: str, cost: float) -> float:
-        """Returns by how much the tag of a caller that waits moves for something served."""
+        """Returns by how much serving a request would advance the caller's tag."""
         return cost / self._shares[caller].weight
 
     def join(self, caller: str, weight: float = DEFAULT_WEIGHT) -> None:
-        """One more of a caller waits; `weight`: its share, above 0."""
-        share = self._shares.setdefault(caller, _Share(self.virtual_time, weight))
+        """Adds a waiting request of a caller. weight: of the caller, above 0."""
+        share = self._shares.setdefault(caller, _CallerShare(self.virtual_time, weight))
         share.weight = weight
         share.waiting += 1
         self._waiting += 1
 
     def leave(self, caller: str) -> None:
-        """One of a caller waits no longer, and was not served."""
+        """Removes a waiting request that was not served."""
         share = self._shares[caller]
         share.waiting -= 1
         self._waiting -= 1
         if not self._waiting:
-            self._forget_all()
+            self._reset()
         elif not share.waiting:
-            self._rest(caller, share)
+            self._mark_idle(caller, share)
 
     def serve(self, caller: str, cost: float) -> None:
-        """One of a caller that waited is served, at a cost."""
+        """Removes a waiting request that is served at a cost, and advances the caller's tag."""
         share = self._shares[caller]
         self.virtual_time = max(self.virtual_time, share.tag)
         share.tag = self.virtual_time + cost / share.weight
-        self._forget_passed()
+        self._drop_passed()
         self.leave(caller)
 
     def settle(self, caller: str, extra: float) -> None:
-        """What a caller was served cost more than was charged; less if negative.
+        """Corrects the cost of a request that was served; `extra` may be negative.
 
-        Nothing is kept where nobody waits.
+        Does nothing while no request waits.
         """
         if not self._waiting:
             return
@@ -88,31 +91,31 @@
         if share is None:
             if extra <= 0:
                 return
-            share = self._shares[caller] = _Share(self.virtual_time, DEFAULT_WEIGHT)
-        least = min(share.tag, self.virtual_time)
-        share.tag = max(share.tag + extra / share.weight, least)
+            share = self._shares[caller] = _CallerShare(self.virtual_time, DEFAULT_WEIGHT)
+        min_tag = min(share.tag, self.virtual_time)
+        share.tag = max(share.tag + extra / share.weight, min_tag)
         if not share.waiting:
-            self._rest(caller, share)
+            self._mark_idle(caller, share)
 
-    def _rest(self, caller: str, share: _Share) -> None:
+    def _mark_idle(self, caller: str, share: _CallerShare) -> None:
         if share.tag <= self.virtual_time:
             del self._shares[caller]
             return
-        heapq.heappush(self._resting, (share.tag, caller))
-        if len(self._resting) > MOST_STALE * len(self._shares) + MOST_STALE:
-            self._resting = [
+        heapq.heappush(self._idle, (share.tag, caller))
+        if len(self._idle) > MAX_STALE_FACTOR * len(self._shares) + MAX_STALE_FACTOR:
+            self._idle = [
                 (each.tag, name) for name, each in self._shares.items() if not each.waiting
             ]
-            heapq.heapify(self._resting)
+            heapq.heapify(self._idle)
 
-    def _forget_passed(self) -> None:
-        while self._resting and self._resting[0][0] <= self.virtual_time:
-            _, caller = heapq.heappop(self._resting)
+    def _drop_passed(self) -> None:
+        while self._idle and self._idle[0][0] <= self.virtual_time:
+            _, caller = heapq.heappop(self._idle)
             share = self._shares.get(caller)
             if share is not None and not share.waiting and share.tag <= self.virtual_time:
                 del self._shares[caller]
 
-    def _forget_all(self) -> None:
+    def _reset(self) -> None:
         self.virtual_time = 0.0
         self._shares.clear()
-        self._resting.clear()
+        self._idle.clear()
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -1,17 +1,14 @@
-"""How long statements hold a slot of a database, as observed, and the wait that follows from it.
+"""Estimates how long statements occupy a database slot, from durations in seconds."""
 
-Owns running means of measured times, in seconds. Relies on its callers to measure; no clock here.
-"""
-
-LARGEST_STEP = 10.0
-"""Multiple of the mean that one measured time counts for at most: a process that was frozen
-measures its own standstill."""
-USUAL_DEVIATIONS = 2.0
-"""Deviations above the mean that most measured times do not exceed."""
+MAX_STEP_FACTOR = 10.0
+"""Factor of the mean that one duration counts as at most, which limits the effect of a duration
+that includes a pause of the process."""
+DEVIATIONS_ABOVE_MEAN = 2.0
+"""Deviations added to the mean for a value that most durations do not exceed."""
 
 
 class ServiceRate:
-    """The running mean of the time that one statement holds a slot."""
+    """A running mean of the time for which a statement occupies a slot."""
 
     def __init__(self, initial_time: float, smoothing: float) -> None:
         self._mean = initial_time
@@ -19,16 +16,16 @@
 
     @property
     def service_time(self) -> float:
-        """Seconds for one statement."""
+        """Mean seconds for one statement."""
         return self._mean
 
     def note(self, duration: float) -> None:
-        """Takes in one measured time, seconds.
+        """Adds one duration in seconds, limited to MAX_STEP_FACTOR times the mean.
 
-        One of a process that was frozen meanwhile says nothing, so a single one counts as at most
-        `LARGEST_STEP` times the mean; a database that did become slow soon shows all the same.
+        The limit ignores the pause of a frozen process; a database that became slow still raises
+        the mean soon.
         """
-        bounded = min(duration, LARGEST_STEP * self._mean)
+        bounded = min(duration, MAX_STEP_FACTOR * self._mean)
         self._mean += self._smoothing * (bounded - self._mean)
 
     def expected_wait(self, ahead: float, slots: int) -> float:
@@ -37,7 +34,7 @@
 
 
 class UsualTime:
-    """A time that most measured ones do not exceed: the running mean and some mean deviations."""
+    """An upper estimate of a duration: the running mean plus some mean deviations."""
 
     def __init__(self, smoothing: float) -> None:
         self._smoothing = smoothing
@@ -46,11 +43,11 @@
 
     @property
     def seconds(self) -> float:
-        """The estimate; 0 until a time was measured."""
-        return 0.0 if self._mean is None else self._mean + USUAL_DEVIATIONS * self._deviation
+        """The estimate in seconds; 0 before the first duration."""
+        return 0.0 if self._mean is None else self._mean + DEVIATIONS_ABOVE_MEAN * self._deviation
 
     def note(self, duration: float) -> None:
-        """Takes in one measured time, seconds."""
+        """Adds one duration in seconds."""
         if self._mean is None:
             self._mean = duration
             return
