--- a/src/dewledge/core/pooler/sharing/channel_proofs.py
+++ b/src/dewledge/core/pooler/sharing/channel_proofs.py
@@ -38,7 +38,7 @@
         """
         code = None if reply.failure is None else reply.failure.code
         if code is None and statement is not None and reply.position is not None:
-            proves = self._primary_proof.proves(statement.kind, writes)
+            proves = self._primary_proof.record_success(statement.kind, writes)
             if proves and self._group.may_lead(connection.database_id):
                 self._group.record_proof(sent_at, reply.position)
         if code is ErrorCode.NOT_PRIMARY:
--- a/src/dewledge/core/pooler/sharing/primary_proof.py
+++ b/src/dewledge/core/pooler/sharing/primary_proof.py
@@ -14,7 +14,7 @@
         self._is_plain = False
         self._wrote = False
 
-    def proves(self, kind: StatementKind, writes: bool) -> bool:
+    def record_success(self, kind: StatementKind, writes: bool) -> bool:
         """Records a successful statement; returns whether its success proves the primary role."""
         if kind is StatementKind.BEGIN:
             self._is_plain, self._wrote = True, False
