--- a/src/dewledge/core/pooler/load/__init__.py
+++ b/src/dewledge/core/pooler/load/__init__.py
@@ -1,1 +1,2 @@
-"""Decisions under load: what is known of waits, who waits, who is refused and until when."""
+"""Load decisions: wait estimates, queue order, refusals and the times at which clients may
+retry."""
--- a/src/dewledge/core/pooler/load/choice.py
+++ b/src/dewledge/core/pooler/load/choice.py
@@ -1,11 +1,11 @@
-"""The order in which databases are tried for a read: by expected completion, without a herd.
-
-Inputs: for each candidate the parts of its expected completion (`Completion`, seconds, with the age
-of the load report on which they rest), and random numbers.
-Decision: two candidates are drawn, near and fast ones more often; the one with the least expected
-completion comes first, unless another is better in round trip, wait and work; the others follow by
-completion. Reason: processes that heard the same report must not all go to the same database before
-the next report comes (the power of two choices, Mitzenmacher 2001; Prequal does so too).
+"""Orders the databases that can serve a read by expected completion time.
+
+Two candidates are drawn at random, weighted towards those that are near and fast, and the better
+one is tried first (the power of two choices, Mitzenmacher 2001; Prequal does the same). Always
+trying the candidate with the lowest expected completion would send every process that has received
+the same load report to the same database until the next report. A candidate that is dominated by
+another one (`Completion.dominates`) is never tried first. The remaining candidates follow by
+expected completion.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,18 +13,22 @@
 import msgspec
 
 CLOSENESS_POWER = 4
-"""Exponent; the chance to be drawn falls with this power of what is certain of the completion: ones
-that are alike share, one at a distance of three times the work is drawn first once in eighty
-times."""
+"""Exponent of the draw weights: a candidate with three times the load-independent time of the
+fastest one has 1/81 of its weight."""
 
 
 class Completion(msgspec.Struct, frozen=True):
-    """When an answer is expected, by what it takes; seconds.
-
-    round_trip: to the database. wait: for a slot. service: the work. position: until the
-    database's log has the position. opening: of a connection. displacing: what is taken from
-    statements that only this database can serve. detour: what failures there are expected to cost.
-    age_seconds: of the report that the wait rests on.
+    """The expected completion time of a read at one database, split into its parts, in seconds.
+
+    Attributes:
+        round_trip: Network round trip to the database.
+        wait: Wait for a free slot.
+        service: Execution of the statement.
+        position: Wait until the database has replayed the required log position.
+        opening: Opening of a connection.
+        displacing: Delay that the read causes to statements that only this database can serve.
+        detour: Expected cost of failures at the database.
+        age_seconds: Age of the load report from which `wait` is derived.
     """
 
     round_trip: float = 0.0
@@ -38,16 +42,17 @@
 
     @property
     def seconds(self) -> float:
-        """All of it."""
+        """The total of all parts."""
         return self.certain + self.wait + self.position
 
     @property
     def certain(self) -> float:
-        """The part that does not depend on the load of this moment."""
+        """The part that does not depend on the current load or replication lag."""
         return self.round_trip + self.service + self.opening + self.displacing + self.detour
 
     def is_better_in_all(self, other: "Completion") -> bool:
-        """Tells whether round trip, wait and work are each less, and nothing else is more."""
+        """Tells whether this completion has a shorter round trip, wait and execution, and no longer
+        part."""
         is_nearer = self.round_trip < other.round_trip
         is_sooner = self.wait < other.wait and self.service < other.service
         return (
@@ -61,16 +66,18 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A database that may serve, and when it is expected to have done so."""
+    """A database that can serve the read, and its expected completion time."""
 
     database_id: str
     completion: Completion
 
 
 def order(candidates: Sequence[Candidate], draw: Callable[[], float]) -> Sequence[Candidate]:
-    """Returns all candidates, the one to try first at the head, the others by completion.
+    """Returns all candidates, the one to try first at the head and the others by completion.
 
-    draw: returns a number from 0 up to 1, at random.
+    Args:
+        candidates: The databases that can serve the read.
+        draw: Returns a random number in [0, 1).
     """
     ranked = sorted(candidates, key=_rank)
     if len(ranked) < 2:
@@ -89,7 +96,10 @@
 
 
 def _drawn(candidates: Sequence[Candidate], drawn: float) -> Candidate:
-    """Returns one by weights. Those that lack the position by far are no alternative to others."""
+    """Draws a candidate at random, weighted by its load-independent time and its replication lag.
+
+    The lag counts, so that replicas far behind the required position are rarely drawn.
+    """
     least = min(_settled(candidate) for candidate in candidates)
     weights = [(least / _settled(candidate)) ** CLOSENESS_POWER for candidate in candidates]
     left = drawn * sum(weights)
@@ -101,10 +111,10 @@
 
 
 LEAST_SETTLED_SECONDS = 0.001
-"""Seconds; below this differences say nothing, and weights stay finite. A timer is no more
-exact."""
+"""Lower bound of the time that weights a candidate; keeps the weights finite."""
 
 
 def _settled(candidate: Candidate) -> float:
+    """Returns the time that weights a candidate in the draw."""
     completion = candidate.completion
     return max(completion.certain + completion.position, LEAST_SETTLED_SECONDS)
--- a/src/dewledge/core/pooler/load/failed_login_throttle.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -1,35 +1,34 @@
-"""When a client is told that no caller has its API key, so that coming back at once costs little.
-
-Inputs: the refusals of sessions of this process, the steady clock in seconds.
-Decision: `ANSWERS_PER_SECOND` are told at once; of more each is told after `PAUSE_SECONDS`; beyond
-`MOST_HELD` that wait, connections are closed untold. Reason: a client whose key was taken may come
-back as soon as it is told, so the cost is to be bounded by the clients there are and not by how
-fast they try. Clients with a valid key never wait, and the pause tells nothing that the answer
-doesn't.
+"""Delays the answers to failed logins, so that clients that retry at once cost little.
+
+A token bucket lets `ANSWERS_PER_SECOND` refusals be answered immediately. Further refusals are
+answered after `PAUSE_SECONDS`; beyond `MAX_DELAYED_REFUSALS` pending answers, connections are
+closed without an answer. The load of clients with a revoked key is therefore bounded by their
+number, and not by how fast they retry. Clients with a valid key are never delayed, and the delay
+reveals nothing that the answer does not.
 """
 
 ANSWERS_PER_SECOND = 20.0
-"""Refusals a second, and as many saved up, that are told at once: more than operators' own mistakes
-need."""
+"""Refusals per second that are answered immediately, and the size of the bucket."""
 PAUSE_SECONDS = 1.0
-"""Seconds; clients wait for two at least until their session stands."""
+"""Delay of an answer. Shorter than the two seconds that clients allow for opening a session."""
 MOST_HELD = 200
-"""Connections that wait to be told: few of the thousands that a process may have open."""
+"""Connections that may wait for a delayed answer; few of the thousands that a process can have
+open."""
 
 
 class FailedLoginThrottle:
-    """Decides for each refusal of a session; `now` is the steady clock in seconds."""
+    """Decides when each refused session is answered; `now` is the steady clock in seconds."""
 
     def __init__(self) -> None:
         self._available = ANSWERS_PER_SECOND
         self._filled_at = 0.0
         self.held = 0
-        """The refusals that wait to be told."""
+        """The refusals whose answer is being delayed."""
 
     def pause(self, now: float) -> float | None:
-        """Returns the seconds to wait before telling, None to close at once without an answer.
+        """Returns the delay before the answer in seconds, None to close without an answer.
 
-        A refusal that waits is to be reported by `told` in the end.
+        The caller must call `on_delay_ended` once for each delayed refusal.
         """
         gained = max(now - self._filled_at, 0.0) * ANSWERS_PER_SECOND
         self._available = min(self._available + gained, ANSWERS_PER_SECOND)
@@ -43,5 +42,6 @@
         return PAUSE_SECONDS
 
     def told(self) -> None:
-        """A refusal that waited has been told, or its client is gone."""
+        """Releases the place of a delayed refusal that was answered, or whose client
+        disconnected."""
         self.held -= 1
--- a/src/dewledge/core/pooler/load/flow_queue.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -1,8 +1,8 @@
-"""What waits of one level, in flows: the part of `wait_queue` that knows fair shares.
+"""The waiters of a queue level, grouped into flows for fair queueing; a part of `wait_queue`.
 
-A level is what has the same urgency and queue priority. A flow is what fair queueing serves as one:
-here a caller. Inputs: ranks, and the usual cost of one, in seconds of a slot for pools. Decision:
-between flows the least start tag comes first (`core/shared/fair_share`), within a flow the rank.
+A level holds the waiters with the same urgency and queue priority. A flow is the unit of fairness:
+the waiters of one caller. Between flows, the lowest start tag is served first
+(`core/shared/fair_share`); within a flow, the lowest rank.
 """
 
 import bisect
@@ -13,43 +13,50 @@
 from dewledge.core.shared.fair_share import FairShares
 
 Rank = tuple[float, ...]
-"""Urgency, queue priority, then what decides within a flow: the lower comes first."""
+"""Urgency, queue priority, then the order within a flow; the lowest rank is served first."""
 Key = tuple[float, Rank]
-"""Where one stands among several flows: the start tag of its share, then its rank."""
+"""The position of a waiter among several flows: its start tag, then its rank."""
 
 Waiter = TypeVar("Waiter")
 
 
 class FlowQueue(Generic[Waiter]):
-    """A list sorted by rank. The n-th one starts n steps after the tag of its flow."""
+    """The waiters of a flow, sorted by rank. The start tag of waiter n is n steps after the
+    first."""
 
     def __init__(self) -> None:
         self.ranks: list[Rank] = []
         self.waiters: list[Waiter] = []
 
     def add(self, rank: Rank, waiter: Waiter) -> None:
-        """Takes in a waiter."""
+        """Inserts a waiter by its rank."""
         position = bisect.bisect_left(self.ranks, rank)
         self.ranks.insert(position, rank)
         self.waiters.insert(position, waiter)
 
     def remove(self, position: int) -> None:
-        """Forgets the one at a position."""
+        """Removes the waiter at a position."""
         del self.ranks[position]
         del self.waiters[position]
 
     def before(self, rank: Rank) -> int:
-        """Returns how many come before a rank."""
+        """Returns the number of waiters with a lower rank."""
         return bisect.bisect_left(self.ranks, rank)
 
     def position(self, rank: Rank, waiter: Waiter) -> int | None:
-        """Returns where a waiter stands, None if it is not here."""
+        """Returns the position of a waiter, None if it is not in the flow."""
         position = self.before(rank)
         is_here = position < len(self.waiters) and self.waiters[position] is waiter
         return position if is_here else None
 
     def ahead_of(self, key: Key, tag: float, step: float) -> int:
-        """Returns how many come before a key, where the first one starts at a tag."""
+        """Returns the number of waiters that are served before a key.
+
+        Args:
+            key: The start tag and rank to compare with.
+            tag: The start tag of the first waiter of this flow.
+            step: The difference between the start tags of successive waiters.
+        """
         if (tag, self.ranks[0]) > key:
             return 0
         if (tag + (len(self.ranks) - 1) * step, self.ranks[-1]) < key:
@@ -63,22 +70,23 @@
 
 
 class QueueLevel(Generic[Waiter]):
-    """Those of one urgency and queue priority. `cost`: what one usually costs."""
+    """The waiters with the same urgency and queue priority, by flow."""
 
     def __init__(self, cost: Callable[[], float]) -> None:
+        """Creates an empty level. `cost` returns the usual cost of serving a waiter."""
         self.shares = FairShares()
         self.flows: dict[str, FlowQueue[Waiter]] = {}
         self.size = 0
         self._cost = cost
 
     def add(self, name: str, rank: Rank, waiter: Waiter) -> None:
-        """Takes a waiter into a flow."""
+        """Adds a waiter to a flow."""
         self.flows.setdefault(name, FlowQueue()).add(rank, waiter)
         self.size += 1
         self.shares.join(name)
 
     def remove(self, name: str, position: int) -> None:
-        """Forgets the one at a position of a flow."""
+        """Removes the waiter at a position of a flow."""
         flow = self.flows[name]
         flow.remove(position)
         self.size -= 1
@@ -103,7 +111,7 @@
                 heapq.heappop(heads)
 
     def before(self, name: str, rank: Rank) -> int:
-        """Returns how many come before one of a flow with a rank."""
+        """Returns the number of waiters served before a waiter of a flow with the given rank."""
         own = self.flows.get(name)
         position = 0 if own is None else own.before(rank)
         if self.size == (0 if own is None else len(own.waiters)):
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -1,18 +1,14 @@
-"""Whether a process that holds connections to databases answers, judged by its link alone.
-
-Inputs: the moments at which bytes came from it, at which an answer, a ping or a dial became due
-(steady clock, seconds), and its usual round trip, measured by pings and dials of this process.
-Decision: any byte is a sign of life. While an answer is due and nothing came for `ping_after`, a
-ping goes out; without an answer in time the holder is doubted, later silent, after
-`LOST_AFTER_SECONDS` the link is given up. A look that comes late, because this process itself stood
-still, judges nothing.
-What follows: while it is doubted or silent nothing new goes there but a probe (the ping that is
-due, or a dial after the link was lost), and only a probe, never a client's statement, finds out
-that it is there again. The event is `HolderJudged`. One verdict serves all statements on the link.
-
-A late answer of a database says nothing here, since the holder answers a ping meanwhile: databases
-are judged by `databases/database_silence` in the process that holds the connections, and by
-`databases/answer_watch`. Switched off by `[load] silent_holders` (`WITHOUT_PROBES`).
+"""Judges by its link whether a connection holder, a process with database connections, is alive.
+
+Any byte received is a sign of life. While a reply is outstanding and nothing has arrived for
+`ping_after`, a ping is sent. If no sign of life follows in time, the holder is first suspected and
+then silent; after `LOST_AFTER_SECONDS` of silence the link is closed. A health check that runs
+late, because this process itself was stalled, draws no conclusion.
+
+No new statement is sent to a holder that is suspected or silent. Only a probe (the pending ping, or
+a dial after the link was lost) can find that it is usable again, never a client's statement. A slow
+database is not a silent holder, because its holder still answers pings; databases are judged by
+`databases/database_silence` and `databases/answer_watch`.
 """
 
 import math
@@ -24,40 +20,43 @@
 from dewledge.core.shared.service_rate import UsualTime
 
 HELD_UP_SECONDS = 0.4
-"""Seconds; a look that comes so late shows that this process itself stood still: silence counts
-anew."""
+"""A check that is later than this shows that this process was stalled: the measurement of silence
+restarts."""
 LATE_SECONDS = 0.03
-"""Seconds; a look that comes later than this judges nothing, since what came meanwhile may not be
-read yet; the time by which it is late does not count as silence."""
+"""A check that is later than this draws no conclusion, since received bytes may still be unread;
+the delay does not count as silence."""
 LATE_LOOK_SECONDS = 0.05
-"""Seconds until the look after a late one: time to read what has come."""
+"""Delay until the check after a late one: time to read what has arrived."""
 LOST_AFTER_SECONDS = 1.2
-"""Seconds; a link that is silent for so long is given up, and what is on it is in doubt. Longer
-than the doubt and silence of any rules."""
+"""A link that is silent for this time is closed, and the results of its statements are unknown.
+Must be longer than the time after which any rules judge a holder silent."""
 LEAST_LOOK_SECONDS = 0.001
-"""Seconds between two looks at least: a timer is no more exact."""
+"""Minimum delay between two checks: the resolution of timers."""
 LEAST_PAUSE_SHARE = 0.75
-"""Ratio; share of a pause between two dials that is kept at least, so that processes spread their
-dials."""
+"""Minimum part of the pause between two dials that remains after jitter."""
 PAUSE_SPREAD = 0.5
-"""Ratio; share of a pause by which it varies at random: a quarter either way."""
+"""Width of the jitter as a part of the pause, so that processes spread their dials."""
 SMOOTHING = 0.2
-"""Ratio; share of each measured round trip in the usual one: half of the mean is of the last
-three."""
+"""Weight of each round-trip sample in the moving average."""
 
 
 class HolderRules(msgspec.Struct, frozen=True):
-    """When a holder is doubted, and how it is tried again; times in seconds.
-
-    ping_after: quiet while an answer is due, then a ping goes out: longer than most statements.
-    round_trips: usual ones that a sign of life may take. least_timeout, longest_timeout: bounds
-    of that: the least for the scheduling of slow machines, the longest so that a statement with a
-    timeout of 0.8 s, or a target of 0.6 s, has most of its time left for another holder.
-    silent_timeouts: so many of them without a sign of life make a doubted holder a silent one.
-    is_probed: whether a lost holder must answer a dial before a statement goes there.
-    first_pause, longest_pause: between dials that fail; the longest is half of what most callers
-    have for an operation, and 850 processes that miss one then dial it 400 times a second in all.
-    pause_growth: the factor by which pauses grow; 0 has them grow by `first_pause` each time.
+    """When a holder is judged silent and how it is probed; times in seconds.
+
+    Attributes:
+        ping_after: Silence with a reply outstanding after which a ping is sent; longer than most
+            statements.
+        round_trips: Timeout of a ping or dial, in multiples of the usual round trip.
+        least_timeout: Lower bound of that timeout, for scheduling delays of slow machines.
+        longest_timeout: Upper bound of that timeout, so that a statement with a timeout of 0.8 s
+            has most of it left for another holder.
+        silent_timeouts: Timeouts without a sign of life after which a suspected holder is silent.
+        is_probed: Whether a lost holder must answer a dial before a statement is sent to it.
+        first_pause: Pause after the first failed dial.
+        longest_pause: Upper bound of the pause; half of what most callers allow for an operation,
+            and long enough that 850 processes dial a lost holder 400 times a second in total.
+        pause_growth: Factor by which the pause grows with each failure; 0 adds `first_pause` each
+            time.
     """
 
     ping_after: float = 0.1
@@ -72,12 +71,12 @@
 
 
 WITHOUT_PROBES = HolderRules(0.25, 0.0, 0.25, 0.25, 1.0, False, 0.5, 4.0, 0.0)
-"""Times in seconds, as they were before holders were judged by probes: silent after half a second,
-and lost ones are tried again by the next statement after a pause."""
+"""Rules for `[load] silent_holders = false`: a holder is silent after half a second, and a lost one
+is tried again by the next statement after a pause."""
 
 
 class HolderState(StrEnum):
-    """USABLE: takes what is new. DOUBTED: its sign of life is late. SILENT: far too late."""
+    """USABLE: accepts new statements. DOUBTED: its sign of life is late. SILENT: it is overdue."""
 
     USABLE = "usable"
     DOUBTED = "doubted"
@@ -85,7 +84,13 @@
 
 
 class Look(msgspec.Struct, frozen=True):
-    """What follows from a look. again: seconds until the next one, None if nothing is due."""
+    """What to do after a health check.
+
+    Attributes:
+        sends_ping: Whether to send a ping now.
+        is_lost: Whether to close the link.
+        again: Seconds until the next check, None if no reply is outstanding.
+    """
 
     sends_ping: bool = False
     is_lost: bool = False
@@ -93,39 +98,41 @@
 
 
 class HolderHealth:
-    """What all statements on one link know of its other end; times of the steady clock, seconds."""
+    """The health of the process at the other end of a link; times of the steady clock in
+    seconds."""
 
     def __init__(self, rules: HolderRules, jitter: Callable[[], float]) -> None:
-        """`jitter`: numbers from 0 to 1 that spread the probes of many processes."""
+        """Starts as usable. `jitter` returns numbers in [0, 1] that spread the probes of many
+        processes."""
         self._rules = rules
         self._jitter = jitter
         self._round_trip = UsualTime(SMOOTHING)
         self.state = HolderState.USABLE
         self.since = 0.0
-        """When the state began."""
+        """When the current state began."""
         self.due = 0
-        """The answers that are awaited."""
+        """The number of replies that are outstanding."""
         self._due_since = 0.0
         self._heard_at = -math.inf
         self._asked_at: float | None = None
-        """When the ping or dial went out that has no answer."""
+        """When the ping or dial that is still unanswered was sent."""
         self._next_look: float | None = None
         self._failures = 0
         self._not_before = -math.inf
 
     @property
     def heard_at(self) -> float:
-        """When the last sign of life came."""
+        """When the last sign of life was received."""
         return self._heard_at
 
     @property
     def usual_round_trip(self) -> float:
-        """The usual time of a sign of life, 0 while none was measured."""
+        """The usual time until a sign of life, 0 before the first sample."""
         return self._round_trip.seconds
 
     @property
     def sign_timeout(self) -> float:
-        """How long a sign of life may take that was asked for."""
+        """The time that the answer to a ping or dial may take."""
         rules = self._rules
         usual = self._round_trip.seconds
         if usual == 0.0:
@@ -133,7 +140,7 @@
         return min(max(rules.round_trips * usual, rules.least_timeout), rules.longest_timeout)
 
     def silence(self, now: float) -> float:
-        """Returns the seconds without a sign of life while one is due, 0 if none is."""
+        """Returns the seconds without a sign of life while one is outstanding, otherwise 0."""
         if not self._is_awaiting:
             return 0.0
         asked = math.inf if self._asked_at is None else self._asked_at
@@ -141,25 +148,26 @@
         return max(now - max(self._heard_at, min(asked, due)), 0.0)
 
     def is_usable(self, now: float) -> bool:
-        """Whether something new may begin."""
+        """Tells whether new statements may be sent."""
         if self._rules.is_probed:
             return self.state is HolderState.USABLE
         return self.state is HolderState.USABLE and now >= self._not_before
 
     def may_probe(self, now: float) -> bool:
-        """Whether a dial may be made only to see whether the holder is there."""
+        """Tells whether to dial the holder only to find out whether it answers."""
         is_silent = self.state is not HolderState.USABLE
         return self._rules.is_probed and is_silent and now >= self._not_before
 
     def dialled(self, now: float) -> float | None:
-        """A dial goes out; returns the seconds until the next look, None if its limit is enough."""
+        """Records that a dial began; returns the delay until the first check, None if the dial's
+        own timeout is enough."""
         if not self._rules.is_probed:
             return None
         self._asked_at = now
         return self._plan(now, self.sign_timeout)
 
     def opened(self, now: float) -> None:
-        """The link stands: a sign of life."""
+        """Records that the link was opened, which is a sign of life."""
         if self._asked_at is not None:
             self._round_trip.note(max(now - self._asked_at, 0.0))
         self._asked_at = None
@@ -170,7 +178,8 @@
         self.heard(now)
 
     def ended(self, now: float, is_dial: bool) -> None:
-        """The link was lost, or a dial failed; after a loss the first probe need not wait."""
+        """Records that the link was lost or a dial failed. After a loss, the first probe may follow
+        at once."""
         self.due = 0
         self._asked_at = None
         self._next_look = None
@@ -180,7 +189,7 @@
         self._enter(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
 
     def sent(self, now: float) -> float | None:
-        """An answer is due from now on; returns the seconds to the first look, None if planned."""
+        """Records a request; returns the delay until the first check, None if one is scheduled."""
         if self.due == 0:
             self._due_since = now
         self.due += 1
@@ -189,16 +198,16 @@
         return self._plan(now, self._rules.ping_after)
 
     def answered(self, count: int = 1) -> None:
-        """So many answers have come, or are not awaited any more."""
+        """Records replies that arrived or are no longer awaited."""
         self.due = max(self.due - count, 0)
 
     def heard(self, now: float) -> None:
-        """Bytes came: the holder is there."""
+        """Records that bytes arrived."""
         self._heard_at = now
         self._enter(HolderState.USABLE, now)
 
     def ponged(self, now: float) -> None:
-        """The answer to the ping came."""
+        """Records the answer to a ping."""
         if self._asked_at is not None:
             self._round_trip.note(max(now - self._asked_at, 0.0))
             self._asked_at = None
@@ -224,7 +233,8 @@
         return Look(again=self._plan(now, self._judge(now, self._asked_at)))
 
     def _judge(self, now: float, asked_at: float) -> float:
-        """Judges by a ping or dial without an answer; returns the seconds until the next look."""
+        """Judges the holder by an unanswered ping or dial; returns the delay until the next
+        check."""
         waited = now - max(asked_at, self._heard_at)
         until_doubt = self.sign_timeout - waited
         until_silence = self.sign_timeout * self._rules.silent_timeouts - waited
@@ -247,7 +257,7 @@
         return delay
 
     def _forgive(self, now: float, late: float) -> None:
-        """This process stood still for a while, which is no silence of the other."""
+        """Deducts a stall of this process from the silence of the holder."""
         if late > HELD_UP_SECONDS:
             self._due_since = self._heard_at = now
             self._asked_at = None if self._asked_at is None else now
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -1,35 +1,34 @@
-"""When a holder reports the load before a database along with an answer: if it has changed.
+"""Decides when a connection holder attaches a load report to a reply: only if the load has changed.
 
-Inputs: the load now, what this peer was told last and when (steady clock, seconds).
-Decision: the report goes along if a number differs by more than `COUNT_CHANGE` and `SHARE_CHANGE`,
-or if the last one is as old as its half-life, when it counts half. So a peer that gets answers at
-any rate gets at most two reports a second while nothing changes. Reason: bytes on the links; an
-entry pays at most 14 bytes an answer.
+A report is sent if a number differs by more than `MIN_COUNT_CHANGE` and `MIN_CHANGE_RATIO`, or if
+the last report is as old as its half-life, after which the receiver gives it half the weight. At
+constant load a peer receives at most two reports a second, at any rate of replies.
 """
 
 from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
 COUNT_CHANGE = 1
-"""Statements or connections; counts that differ by no more say the same: one came or went."""
+"""Statements or connections; a difference up to this number is not reported."""
 SHARE_CHANGE = 0.25
-"""Ratio; nor do larger counts that differ by no more than this, nor service times."""
+"""Relative difference of a count or a service time up to which it is not reported."""
 MOST_COUNT = 255
-"""Statements or connections; what is more is told as this: two bytes of the message. A queue of so
-many is far beyond any deadline."""
+"""Statements or connections; larger numbers are reported as this one, which fits into two bytes. A
+queue of this length exceeds any deadline."""
 MOST_SERVICE_MS = 65535
-"""Milliseconds; the longest time told, three bytes of the message."""
+"""The longest service time that is reported; it fits into three bytes."""
 
 
 class LoadReporter:
-    """What one process was told of one database."""
+    """Remembers the last report on one database that was sent to one process."""
 
     def __init__(self) -> None:
         self._told: LoadReport | None = None
         self._told_at = 0.0
 
     def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
-        """Returns the report to go along with an answer now, None for none. `now`: steady clock."""
+        """Returns the report to attach to a reply now, None for none. `now`: steady clock in
+        seconds."""
         told = self._told
         is_old = now >= self._told_at + REPORT_HALF_LIFE_SECONDS
         if told is not None and not is_old and not _differs(told, report):
@@ -46,7 +45,7 @@
     openings: int,
     service_ms: int,
 ) -> LoadReport:
-    """Returns the report with each number within the bytes that it may take."""
+    """Returns a report with each number limited to the range that can be sent."""
     return LoadReport(
         min(waiting, MOST_COUNT),
         min(urgent_waiting, MOST_COUNT),
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -1,11 +1,9 @@
-"""What holders reported of the load before databases, kept with its age by each process.
-
-Inputs: load reports, with the moment at which they came (steady clock, seconds), and this process's
-own statements sent to the database.
-Decision: the expected wait and service time of a database that this process does not hold. A report
-counts less the older it is, and the own statements take its place. Reason: the report of a queue is
-soon out of date. The ideas are those of Prequal (probes that are reused and age) and C3 (queue and
-service time told with each answer, own statements added).
+"""Holds the load reports on databases that other processes hold connections to.
+
+The table estimates the wait and the service time at such a database. The weight of a report
+decreases with its age, since a queue soon changes; the count of this process's own statements takes
+its place. The design follows Prequal (probe results that are reused and age) and C3 (queue length
+and service time sent with each reply, own statements added).
 """
 
 from statistics import median
@@ -17,33 +15,34 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 REPORT_HALF_LIFE_SECONDS = 0.5
-"""Seconds; half-life of the report of a queue. A statement waits for a quarter of its target or
-more, 0.1 to 0.25 s on the routes seen, so that all that stood in a queue has left it within about
-twice that."""
+"""Half-life of a reported queue length. Statements wait 0.1 to 0.25 s, so that a reported queue is
+gone after about twice that."""
 SERVICE_HALF_LIFE_SECONDS = 4.0
-"""Seconds; half-life of the report of a service time: machines stay slow for seconds. A database
-that was slow is tried again after some of these, which is how it shows that it is well."""
+"""Half-life of a reported service time: machines stay slow for seconds. As the report ages, a
+database that was slow is tried again."""
 MOST_DATABASES = 64
-"""Databases of one group that are remembered; a group has fewer, so only what left is dropped.
-Bounds memory."""
+"""Databases of a group in the table; bounds its memory. A group has fewer, so that only databases
+that have left are dropped."""
 MOST_HOLDERS = 8
-"""Holders of one database that are remembered: a process goes to the same few for its callers.
-Bounds memory."""
+"""Holders of a database in the table; bounds its memory."""
 USUAL_SERVICE_SECONDS = 0.01
-"""Seconds; reckoned with until a service time was told or measured."""
+"""Default service time, used until one is reported."""
 NO_CONNECTION_SECONDS = 1.0
-"""Seconds; added while a holder can open no connection: more than any queue that is worth its
-wait."""
+"""Extra wait while a holder can open no connection: more than any wait that a statement accepts."""
 LEAST_WINDOW = 0.5
-"""Connections, the mean over holders; below this most of those that reported can open none."""
+"""Connections, as the mean over the holders; below it most holders can open no connection."""
 
 
 class KnownLoad(msgspec.Struct, frozen=True):
-    """The load before one database, for one holder.
-
-    waiting, running: statements. window: how many may run; 0 while no connection can be opened.
-    service_seconds: how long one holds a slot. weight: of the report, from 1 down to 0 as it ages.
-    age_seconds: of the newest report; 0 for the process's own count.
+    """The estimated load of a database.
+
+    Attributes:
+        waiting: Statements in the queue.
+        running: Statements that the database executes.
+        window: Statements that may run concurrently, 0 while no connection can be opened.
+        service_seconds: How long a statement holds a slot.
+        weight: Weight of the report, from 1 down to 0 as it ages.
+        age_seconds: Age of the newest report; 0 for the process's own count.
     """
 
     waiting: float
@@ -54,10 +53,13 @@
     age_seconds: float = 0.0
 
     def expected_wait(self, sent_since: int, in_flight: int) -> ExpectedWait:
-        """Returns the time until a slot is free for one more statement.
+        """Returns the expected time until a slot is free for one more statement.
 
-        While some wait, no more can run than those that do, whatever the window is.
-        sent_since: own statements sent that the report does not count. in_flight: all own ones.
+        While statements wait, no more can run than those that run now, whatever the window is.
+
+        Args:
+            sent_since: Statements that this process has sent since the report.
+            in_flight: All statements of this process that are waiting or running there.
         """
         window = max(self.window, 1.0)
         slots = window if self.waiting < 1.0 else min(window, max(self.running, 1.0))
@@ -74,12 +76,15 @@
 
 
 class _Heard(msgspec.Struct, frozen=True):
+    """A load report and the time at which it arrived."""
+
     report: LoadReport
     heard_at: float
 
 
 class _Entry:
-    """One database: the last report of each holder, and what was sent since the newest."""
+    """The last report of each holder of a database, and the statements sent since the newest
+    one."""
 
     def __init__(self) -> None:
         self.reports: dict[str, _Heard] = {}
@@ -96,41 +101,42 @@
 
 
 class LoadTable:
-    """The databases of one group. Times: the steady clock, seconds. Bounded in size."""
+    """The load reports on the databases of a group, bounded in size; times of the steady clock in
+    seconds."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _Entry] = {}
         self._usual_service: float | None = None
-        """Kept until the next report: reads are ordered more often than reports come."""
+        """Cached until the next report, since it is read more often than reports arrive."""
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def take(self, database_id: str, holder: str, report: LoadReport, now: float) -> None:
-        """Takes what `holder` reported with an answer that came at `now`."""
+        """Stores a report of `holder` that arrived at `now`."""
         self._usual_service = None
         entry = self._entries.pop(database_id, None) or _Entry()
         if len(self._entries) >= MOST_DATABASES:
             del self._entries[next(iter(self._entries))]
-        # The newest report stands last, so that what is dropped is the oldest.
+        # Reinserted at the end, so that the least recently updated entry is dropped first.
         self._entries[database_id] = entry
         entry.take(holder, _Heard(report, now))
 
     def note_sent(self, database_id: str) -> None:
-        """A statement of this process goes to a database: no report counts it yet."""
+        """Counts a statement sent by this process that no report includes yet."""
         entry = self._entries.get(database_id)
         if entry is not None:
             entry.sent_since += 1
 
     def sent_since(self, database_id: str) -> int:
-        """Returns how many statements went to a database since its newest report."""
+        """Returns the number of statements sent to a database since its newest report."""
         entry = self._entries.get(database_id)
         return 0 if entry is None else entry.sent_since
 
     def known(self, database_id: str, now: float) -> KnownLoad | None:
-        """Returns what is known of a database, None if nobody reported it.
+        """Returns the estimated load of a database, None without a report.
 
-        Where several holders reported, the newer report counts more, by the same half-life.
+        If several holders have reported, their reports are weighted by age.
         """
         entry = self._entries.get(database_id)
         if entry is None:
@@ -138,7 +144,7 @@
         newest = max(now - entry.heard_at, 0.0)
         waiting = running = window = service = total = 0.0
         for heard in entry.reports.values():
-            # Relative to the newest, so that the sum is never next to nothing.
+            # Relative to the newest report, so that the total is at least 1.
             share = _halved(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
             total += share
             waiting += share * heard.report.waiting
@@ -156,7 +162,7 @@
         )
 
     def usual_service(self) -> float:
-        """Returns the service time, seconds, that is reckoned with where none was told."""
+        """Returns the median of the reported service times, in seconds."""
         if self._usual_service is None:
             told = [
                 heard.report.service_ms
--- a/src/dewledge/core/pooler/load/policy.py
+++ b/src/dewledge/core/pooler/load/policy.py
@@ -1,22 +1,24 @@
-"""Which decisions under load a process makes: the `[load]` settings as one immutable value.
+"""The load decisions that are enabled: the `[load]` settings as one immutable value.
 
-Each can be switched off, to measure what it buys; what each one decides is said at its field.
+Each can be disabled, so that its effect can be compared.
 """
 
 import msgspec
 
 
 class LoadPolicy(msgspec.Struct, frozen=True):
-    """The parts in force.
+    """The load decisions that are enabled.
 
-    useful_waits: a statement waits while it can be served in its time, and is refused as soon as
-    it can't; else a fixed time is the limit. kept_tokens: a caller told when to
-    come back finds the token of that moment. urgent_tokens: a caller at its limit has its most
-    urgent operations admitted first. told_load: databases are chosen by what holders tell.
-    silent_holders: nothing but a probe goes to a holder that leaves statements without an answer.
-    silent_databases: nothing waits before a database that leaves all without an answer.
-    fair_callers: callers get fair shares of a database's slots and connections within an urgency;
-    else who comes first is first.
+    Attributes:
+        useful_waits: A statement waits only while it can still finish in time; otherwise it waits
+            up to a fixed limit.
+        kept_tokens: The rate-limit token at the retry time of a refused caller is reserved for it.
+        urgent_tokens: A caller at its rate limit has its most urgent operations admitted first.
+        told_load: Databases for reads are ordered by the load that their holders report.
+        silent_holders: Only probes are sent to a connection holder that does not reply.
+        silent_databases: Statements do not queue for a database that answers none of them.
+        fair_callers: Callers get fair shares of a database's slots and connections at equal
+            urgency; otherwise statements are served in order of arrival.
     """
 
     useful_waits: bool = True
--- a/src/dewledge/core/pooler/load/report.py
+++ b/src/dewledge/core/pooler/load/report.py
@@ -1,20 +1,21 @@
-"""The load before one database, as a process that holds connections tells it with its answers.
+"""The load report on one database, which a connection holder attaches to its replies.
 
-One message type; when it is sent is decided in `load_reporter`, what follows from it in
-`load_table`.
+`load_reporter` decides when it is sent, `load_table` evaluates it.
 """
 
 import msgspec
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """The load before one database, as the sender counts it.
+    """The load of a database, as counted by the sender. At most 16 bytes in CBOR.
 
-    waiting: statements that wait for a slot or a connection; urgent_waiting: those of the highest
-    priority among them. running: statements at the database. window: how many may be there, 0
-    while no connection can be opened.
-    openings: connections being opened. service_ms: usual time that a statement holds a slot.
-    Small whole numbers: at most 16 bytes of cbor2.
+    Attributes:
+        waiting: Statements that wait for a slot or a connection.
+        urgent_waiting: Those among them with the highest priority.
+        running: Statements at the database.
+        window: Statements that may be at the database, 0 while no connection can be opened.
+        openings: Connections that are being opened.
+        service_ms: Usual time for which a statement holds a slot.
     """
 
     waiting: int
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/shown_failures.py
@@ -1,43 +1,45 @@
-"""Which share of statements a database has failed lately, by what its answers to this process show.
+"""Estimates what recent failures of a database cost a read that is sent to it.
 
-Inputs: the outcome of each statement sent there, with the seconds until it showed, and the steady
-clock in seconds; a failure counts half after `HALF_LIFE_SECONDS`.
-Decision: the seconds that a failure there is expected to cost a read (`detour`): the odds of
-failing times what one failure costs. What follows: reads prefer other databases (`load/choice`),
-for as long as the share is not forgotten. Reason: a database may report a short queue and fail what
-it is given.
+Each outcome of a statement updates an exponential average of the failure ratio, which decays with
+`HALF_LIFE_SECONDS`. The expected cost is the odds of a failure times the cost of one failure. Reads
+prefer other databases accordingly (`load/choice`): a database that fails statements may still
+report a short queue.
 
-This judgement refuses nobody, tests no address and writes no log line; it weighs only in the order
-of databases for reads. The others: `databases/answer_watch`, `databases/database_silence`.
+The estimate affects only the order of databases for reads. It refuses no statement, triggers no
+health check and is not logged. Whether a database answers at all is judged by
+`databases/answer_watch` and `databases/database_silence`.
 """
 
 import msgspec
 
 SMOOTHING = 0.2
-"""Ratio; share of each outcome: some five statements show what a database does now."""
+"""Weight of each outcome in the average: about five statements determine it."""
 HALF_LIFE_SECONDS = 2.0
-"""Seconds; a failure counts half after so long, so that the database soon gets one statement to
-show that it is well; longer than the retries of one statement last."""
+"""Half-life of a failure. Longer than the retries of one statement, and short enough that the
+database soon gets another statement."""
 DETOUR_SECONDS = 0.05
-"""Seconds that one failure costs beside the time until it shows: a pause of 30 ms, and another
-round trip."""
+"""Cost of a failure beyond the time until it is detected: a retry pause of 30 ms and another round
+trip."""
 MOST_SHARE = 0.9
-"""Ratio; share of failures that is reckoned with at most: keeps the odds finite, nine to one."""
+"""Upper bound of the failure ratio, which limits the odds to nine to one."""
 MOST_DATABASES = 64
-"""Databases of one group that are remembered. Bounds memory."""
+"""Databases of a group that are tracked; bounds memory."""
 
 
 class _Shown(msgspec.Struct):
+    """The failure ratio of a database, and the average time until a failure was detected."""
+
     share: float
     noted_at: float
     lost_seconds: float = 0.0
 
     def at(self, now: float) -> float:
+        """Returns the failure ratio, decayed until `now`."""
         return float(self.share * 0.5 ** (max(now - self.noted_at, 0.0) / HALF_LIFE_SECONDS))
 
 
 class ShownFailures:
-    """The databases of one group, by what their answers to this process show. Bounded in size."""
+    """Recent failures of the databases of a group, bounded in size."""
 
     def __init__(self) -> None:
         self._shown: dict[str, _Shown] = {}
@@ -46,7 +48,8 @@
         return len(self._shown)
 
     def note(self, database_id: str, has_failed: bool, now: float, seconds: float = 0.0) -> None:
-        """Takes one outcome, `seconds` after the statement was sent. `now`: steady clock."""
+        """Records an outcome, `seconds` after the statement was sent. `now`: steady clock in
+        seconds."""
         shown = self._shown.get(database_id)
         if shown is None:
             if not has_failed:
@@ -61,7 +64,7 @@
             shown.lost_seconds += SMOOTHING * (seconds - shown.lost_seconds)
 
     def detour(self, database_id: str, now: float) -> float:
-        """Returns the seconds that failures there are expected to cost a statement."""
+        """Returns the expected cost of failures at a database, in seconds for each statement."""
         shown = self._shown.get(database_id)
         if shown is None:
             return 0.0
--- a/src/dewledge/core/pooler/load/slot_use.py
+++ b/src/dewledge/core/pooler/load/slot_use.py
@@ -1,12 +1,13 @@
-"""How much slot time of one database went to which caller, for metrics; bounded in memory."""
+"""Slot time of a database by caller, for metrics; bounded in memory."""
 
 MOST_CALLERS = 64
-"""Callers counted one by one; of more, the one with least makes room and its time is another's:
-what is told of the largest is too much by at most a 64th of all."""
+"""Callers that are counted separately. The largest total is overestimated by at most 1/64 of all
+slot time."""
 
 
 class SlotUse:
-    """Seconds since the pool began. The space-saving summary of Metwally et al."""
+    """Slot time since the pool was created, in seconds: the space-saving summary of Metwally et
+    al."""
 
     def __init__(self) -> None:
         self.total_seconds = 0.0
@@ -14,11 +15,11 @@
 
     @property
     def largest_seconds(self) -> float:
-        """Of the caller that used most, at most."""
+        """Upper bound of the slot time of the caller that used most."""
         return max(self._by_caller.values(), default=0.0)
 
     def note(self, caller: str, seconds: float) -> None:
-        """A statement of a caller held a slot for so long."""
+        """Adds the time for which a statement of a caller held a slot."""
         self.total_seconds += seconds
         known = self._by_caller.get(caller)
         if known is None and len(self._by_caller) >= MOST_CALLERS:
--- a/src/dewledge/core/pooler/load/ticket.py
+++ b/src/dewledge/core/pooler/load/ticket.py
@@ -1,24 +1,25 @@
-"""The arrival time that a refused caller keeps in its session until it comes back.
+"""The ticket that preserves the arrival time of a refused operation until its client retries.
 
-Inputs: the ticket of the session, the priority of the operation that comes now, the steady clock in
-seconds. Decision (`arrival_of`): an operation that comes back as it was told keeps the arrival of
-its first try, and so its position in queues. Reason: who was refused has waited already.
+A retry at the promised time keeps the arrival time of the first attempt, and thereby its position
+in queues, because the operation has already waited.
 """
 
 import msgspec
 
 LIFETIME_SECONDS = 12.0
-"""Seconds since the operation first came: the longest time that clients give an operation."""
+"""Maximum age of an operation since its first attempt: the longest timeout that clients use."""
 LATE_SECONDS = 1.0
-"""Seconds; one who comes later than told by more than this counts as new: it may be another
-operation. One who comes sooner stands by its arrival as if it had stayed, so nobody gains by it."""
+"""A retry that is later than promised by more than this counts as a new operation. An early retry
+keeps its arrival time, as if it had stayed in the queue, and gains nothing by it."""
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """Kept in the session that was refused; times of this process's steady clock, in seconds.
+    """Stored in the session of a refused client; times of this process's steady clock in seconds.
 
-    arrived: when the operation first came. return_at: the moment it was told to come back.
-    priority: of its route when it came, 0 the most urgent.
+    Attributes:
+        arrived: When the operation was first attempted.
+        return_at: The promised retry time.
+        priority: Priority of its route at the first attempt, 0 is the most urgent.
     """
 
     arrived: float
@@ -27,7 +28,7 @@
 
 
 def arrival_of(ticket: Ticket | None, priority: int, now: float) -> float:
-    """Returns when the operation that comes now first came, by the ticket of its session."""
+    """Returns the arrival time of an operation: that of its ticket if it applies, otherwise now."""
     if ticket is None or ticket.priority != priority:
         return now
     is_punctual = now <= ticket.return_at + LATE_SECONDS
--- a/src/dewledge/core/pooler/load/verdict.py
+++ b/src/dewledge/core/pooler/load/verdict.py
@@ -1,4 +1,4 @@
-"""What is decided of a statement or an operation under load: serve, wait or refuse."""
+"""The possible decisions on a statement or an operation under load: serve, wait or refuse."""
 
 from enum import StrEnum
 
@@ -6,13 +6,16 @@
 
 
 class RefusalCause(StrEnum):
-    """Why something was refused; the same words stand in the log and in `dewledge explain`.
-
-    NO_ROOM_IN_TIME: it would get no slot in the time that it has.
-    NO_CONNECTION: the database has no connection left for its caller in that time.
-    NO_PRIMARY: nobody leads the group. OVER_LIMIT: the caller's rate limit is used up.
-    NO_GRANTOR: no process that grants the caller's tokens was reached.
-    HOLDER_SILENT: no process that holds connections to the database answers.
+    """Why a statement or operation was refused; the log and `dewledge explain` show the same
+    values.
+
+    Attributes:
+        NO_ROOM_IN_TIME: No slot is expected to be free before its deadline.
+        NO_CONNECTION: No connection of its caller is available before its deadline.
+        NO_PRIMARY: The group has no primary.
+        OVER_LIMIT: The rate limit of the caller is used up.
+        NO_GRANTOR: The process that grants the caller's rate-limit tokens is unreachable.
+        HOLDER_SILENT: No connection holder of the database answers.
     """
 
     NO_ROOM_IN_TIME = "no_room_in_time"
@@ -24,17 +27,23 @@
 
 
 class Serve(msgspec.Struct, frozen=True):
-    """It may begin now."""
+    """The statement may start now."""
 
 
 class WaitUntil(msgspec.Struct, frozen=True):
-    """It may wait, and is judged anew at `at` at the latest (steady clock, seconds)."""
+    """The statement may wait, and is checked again at `at` at the latest (steady clock,
+    seconds)."""
 
     at: float
 
 
 class Refuse(msgspec.Struct, frozen=True):
-    """It can't be served in its time; come_back_seconds: from now, when there will be room."""
+    """The statement can't be served before its deadline.
+
+    Attributes:
+        cause: Why it is refused.
+        come_back_seconds: Seconds from now until the client may retry.
+    """
 
     cause: RefusalCause
     come_back_seconds: float
--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -1,6 +1,7 @@
-"""How good the expected waits of one queue were, and whom it refused without need.
+"""Counts how accurate the expected waits of a queue were, and which refusals were unnecessary.
 
-Counted for metrics and the log line `WaitsCounted`. It decides nothing and is bounded in memory.
+The counts are exported as metrics and logged as `WaitsCounted`. No decision depends on them, and
+their memory is bounded.
 """
 
 from collections import deque
@@ -8,23 +9,25 @@
 import msgspec
 
 LEAST_COUNTED_SECONDS = 0.01
-"""Seconds; shorter waits, expected and real, are of one kind: they are served at once."""
+"""Shorter waits, expected or actual, are not distinguished: such a statement is served at once."""
 QUARTER = 0.25
-"""Ratio; share of the expected wait; a real wait that differs by no more counts as within a
-quarter."""
+"""Relative error of the expected wait up to which it counts as within a quarter."""
 DOUBLE = 2.0
-"""Factor; a real wait within it of the expected one, either way, counts as within double."""
+"""Factor between the expected and the actual wait, either way, up to which they count as within
+double."""
 MAX_REFUSED_KEPT = 256
-"""Statements that were refused and are remembered until their time is over. Bounds memory."""
+"""Statements that were refused and are remembered until their deadline; bounds memory."""
 
 
 class WaitCounts(msgspec.Struct):
-    """Counts since the queue began.
+    """Counters since the queue was created.
 
-    served: waits that were expected and then known. within_quarter, within_double: the real wait
-    was within a quarter, within a factor of two of what was expected on arrival.
-    refused: told that there is no room in their time. refused_with_room: of those, how many could
-    have had a slot that was free within their time.
+    Attributes:
+        served: Statements that were served after an expected wait.
+        within_quarter: Those whose actual wait was within a quarter of the expected one.
+        within_double: Those whose actual wait was within a factor of two of the expected one.
+        refused: Statements that were refused because no slot was expected to be free in time.
+        refused_with_room: Those for which a slot was free before their deadline after all.
     """
 
     served: int = 0
@@ -35,14 +38,14 @@
 
 
 class WaitRecord:
-    """Keeps the counts of one queue."""
+    """Maintains the counters of a queue."""
 
     def __init__(self) -> None:
         self.counts = WaitCounts()
         self._refused_until: deque[float] = deque(maxlen=MAX_REFUSED_KEPT)
 
     def note_served(self, expected_seconds: float, real_seconds: float) -> None:
-        """A statement was served whose wait was expected when it came."""
+        """Counts a served statement with its expected and its actual wait."""
         if max(expected_seconds, real_seconds) < LEAST_COUNTED_SECONDS:
             return
         expected = max(expected_seconds, LEAST_COUNTED_SECONDS)
@@ -52,12 +55,13 @@
         self.counts.within_double += expected / DOUBLE <= real <= expected * DOUBLE
 
     def note_refused(self, latest_start: float) -> None:
-        """One was refused that would have had to start by `latest_start` (steady clock)."""
+        """Counts a refused statement whose latest start was `latest_start` (steady clock,
+        seconds)."""
         self.counts.refused += 1
         self._refused_until.append(latest_start)
 
     def note_free(self, now: float, places: int) -> None:
-        """So many slots are free while nobody waits for them."""
+        """Counts refused statements that could have used slots which are now free."""
         while self._refused_until and places > 0:
             if self._refused_until.popleft() >= now:
                 self.counts.refused_with_room += 1
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -1,13 +1,11 @@
-"""Until when a statement may wait in a queue, and its queue priority meanwhile. Pure functions.
-
-Inputs, steady clock in seconds: when the operation came first and when the statement came here,
-until when it is in time, its latest start, and the expected wait from `wait_estimate`.
-Decision: it may wait while it can still be served in its time, and is refused as soon as the
-expected wait says that it can't (`may_wait`). What is late already, and could only be answered
-after its latency target, stands behind what can still be in time; near its latest start it is back
-in the order of arrival. One that was refused and has come back is never passed over for being late.
-Reason: worth is in what is answered in time, and what is late is passed over for most of its time
-but never until that is over.
+"""Deadlines of a waiting statement and the queue priority that follows from them. Pure functions.
+
+A statement may wait while it can still be served before its latest start; it is refused as soon as
+the expected wait (`wait_estimate`) is too long (`may_wait`). A statement that can no longer meet
+its latency target is queued behind those that can, so that slots go to statements that are still
+useful in time. Shortly before its latest start it returns to the order of arrival, so that it is
+not passed over until its deadline. A retried operation is never passed over for being late. Times
+are of the steady clock, in seconds.
 """
 
 import math
@@ -18,34 +16,36 @@
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
 BACK_IN_ORDER_SHARE = 0.25
-"""Ratio; share of the time between being late and the latest start: in that last part a late one
-stands by its arrival again. Too small, and many are back in order with too little time for all of
-them."""
+"""The last part of the time between missing the latency target and the latest start, in which a
+late statement is in order of arrival again. Too small a part leaves too little time to serve all
+late statements."""
 LEAST_JUDGING_SECONDS = 0.02
-"""Seconds; what waits is judged anew no more often: some times the work of a statement."""
+"""Minimum interval between two checks of a waiting statement."""
 EXHAUSTED_SECONDS = 0.4
-"""Seconds; a database that has had a statement wait for so long and then refused it, or has run
-nothing of this process meanwhile, isn't asked again: statements have 0.8 s and more, so that half
-is left for another database, and nobody is held to the end of its time before one that serves
-nobody."""
+"""A database that kept a statement waiting for this time and then refused it, or executed nothing
+of this process for as long, is not tried again. Statements have timeouts of 0.8 s and more, so that
+half is left for another database."""
 TIMER_SECONDS = 0.001
-"""Seconds; what is so near its latest start is judged as at it: a timer is no more exact."""
+"""Resolution of timers; a statement this close to its latest start is treated as having reached
+it."""
 
 
 class QueuePriority(IntEnum):
-    """Who comes first within one urgency: the lower."""
+    """Order within one urgency; the lower value is served first."""
 
     IN_TIME = 0
     LATE = 1
 
 
 class WaitDeadlines(msgspec.Struct, frozen=True):
-    """When one statement has to start; times of the process's steady clock, in seconds.
-
-    arrived: when its operation first came, refusals included. came: when it came here.
-    in_time_until: starting until then it is answered within its latency target; infinite where
-    that is not told. latest_start: starting until then it is answered in its time; infinite for
-    what may always wait.
+    """When a statement has to start; times of the process's steady clock in seconds.
+
+    Attributes:
+        arrived: First attempt of its operation, before any refusal.
+        came: Arrival of the statement in this queue.
+        in_time_until: Latest start that meets the latency target; infinite without a target.
+        latest_start: Latest start that meets the timeout; infinite for a statement that may always
+            wait.
     """
 
     arrived: float
@@ -55,12 +55,12 @@
 
     @property
     def has_come_back(self) -> bool:
-        """Whether its operation was refused before and has come back."""
+        """Whether the operation was refused before and has been retried."""
         return self.arrived < self.came
 
     @property
     def back_in_order_at(self) -> float:
-        """From then on it is in the order of arrival again, though it is late."""
+        """The time from which a late statement is in order of arrival again."""
         if self.has_come_back:
             return self.in_time_until
         late_since = max(self.in_time_until, self.came)
@@ -68,7 +68,8 @@
         return self.latest_start - BACK_IN_ORDER_SHARE * span
 
     def started_after(self, service_seconds: float) -> "WaitDeadlines":
-        """Returns the same for a statement that takes so long once it has started."""
+        """Returns deadlines that are earlier by the time that the statement takes once it has
+        started."""
         return WaitDeadlines(
             self.arrived,
             self.came,
@@ -77,16 +78,16 @@
         )
 
     def is_urgent_by_time(self, now: float) -> bool:
-        """Tells whether it is late and near its latest start."""
+        """Tells whether the statement is late and near its latest start."""
         return self.in_time_until < now and self.back_in_order_at <= now
 
     def queue_priority(self, now: float) -> QueuePriority:
-        """Returns its queue priority at a time."""
+        """Returns the queue priority at a time."""
         is_late = self.in_time_until < now < self.back_in_order_at
         return QueuePriority.LATE if is_late else QueuePriority.IN_TIME
 
     def next_change(self, now: float) -> float:
-        """Returns when its rank will change; infinite if it stays as it is."""
+        """Returns when the rank changes next, infinite if it does not."""
         if self.in_time_until >= self.latest_start:
             return math.inf
         if self.has_come_back:
@@ -97,16 +98,18 @@
 
 
 def may_wait(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
-    """Tells whether a statement can be served in its time; it may wait where nothing is known."""
+    """Tells whether a statement can start in time; without an expected wait, until its latest
+    start."""
     if now + TIMER_SECONDS >= deadlines.latest_start:
         return False
     return expected is None or now + expected.seconds <= deadlines.latest_start
 
 
 def judged_again_at(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
-    """Returns when one that waits is judged anew: after half of what it has to spare.
+    """Returns when to check a waiting statement again: after half of its spare time.
 
-    So one that is pushed back is refused with half of that left, after few judgements.
+    A statement whose expected wait grows is thus refused with half of its spare time left, after
+    few checks.
     """
     if math.isinf(deadlines.latest_start):
         return math.inf
--- a/src/dewledge/core/pooler/load/wait_estimate.py
+++ b/src/dewledge/core/pooler/load/wait_estimate.py
@@ -1,17 +1,12 @@
-"""How long a statement waits in the queue before one database.
+"""Estimates how long a statement waits in the queue for one database.
 
-Inputs, times of the steady clock in seconds: how many come before it; while the queue drains, the
-time between two that leave it, not older than `FRESH_SECONDS`; else the usual time of statements,
-connections and openings (running means of this process's own measurements, whose age is told with
-the estimate) and what the pool has to give now.
+While the queue drains, the estimate is the smoothed interval between departures times the number of
+statements ahead. It reflects what the slot count cannot: slots used by other processes, refused
+attempts, connections that are opened first. Otherwise the wait is computed from the usual times of
+statements, loans and openings, and from the current capacity of the pool. Without samples there is
+no estimate, and no statement is refused by it.
 
-Decision: the measured drain if there is one, else the reckoned wait, else nothing is known and
-nobody is refused by it. Reason: the drain holds all that a slot's time and the number of slots do
-not tell, namely slots that other processes use, tries without one, connections that are opened
-first; but it is known only while some wait.
-
-Who is refused by the estimate is decided in `wait_deadlines`, when it may come back in
-`return_moments`.
+`wait_deadlines` decides which statements are refused by the estimate.
 """
 
 import math
@@ -22,25 +17,26 @@
 from dewledge.core.shared.service_rate import ServiceRate
 
 DRAIN_SMOOTHING = 0.15
-"""Ratio; share of each measured interval between two that leave the queue: half of the mean is of
-the last four or five, so that a queue that stands still is known as such within some times the work
-of a statement."""
+"""Weight of each departure interval in the moving average, low enough to smooth single statements
+and high enough to notice a stalled queue soon."""
 FRESH_SECONDS = 1.0
-"""Seconds; what was measured longer ago says nothing of a queue that stands now."""
+"""Maximum age of the last departure for the drain rate to describe the current queue."""
 TIME_SMOOTHING = 0.1
-"""Ratio; share of each measured time of a statement, connection or opening: half of the mean is of
-the last seven, a fraction of a second of a busy database, so that one that turns slow or fast is
-soon known as such."""
+"""Weight of each sample in the moving averages of service, loan and opening times: a busy database
+that becomes slow or fast is noticed in a fraction of a second."""
 FIRST_SERVICE_SECONDS = 0.01
-"""Seconds; told as the usual time of a statement until one was measured. Nobody is refused by
-it."""
+"""Default for the reported service time. No statement is refused by it."""
 _UNMEASURED = ServiceRate(FIRST_SERVICE_SECONDS, TIME_SMOOTHING)
-"""Never noted to: what is told until a time was measured."""
+"""Reported until there is a sample; it must not be updated."""
 
 
 class ExpectedWait(msgspec.Struct, frozen=True):
-    """seconds: until a slot is free for the statement. age_seconds: of the measurement or report on
-    which it rests; 0 for the process's own count.
+    """An expected wait for a slot.
+
+    Attributes:
+        seconds: Time until a slot is free for the statement.
+        age_seconds: Age of the sample or report on which the estimate rests; 0 for the process's
+            own count.
     """
 
     seconds: float
@@ -48,10 +44,14 @@
 
 
 class Capacity(msgspec.Struct, frozen=True):
-    """What a pool has to give now.
-
-    running: statements at the database, of `places`. lent: connections in use, of `connections`.
-    is_opening: whether one that waits needs a connection that has to be opened first.
+    """The current capacity of a pool.
+
+    Attributes:
+        running: Statements at the database.
+        places: Statements that may be at the database.
+        lent: Connections in use.
+        connections: Limit of connections.
+        is_opening: Whether a waiting statement needs a connection to be opened first.
     """
 
     running: int
@@ -62,7 +62,7 @@
 
 
 class DrainRate:
-    """The measured time between two that leave a queue while others wait."""
+    """The smoothed interval between departures from a queue while others wait."""
 
     def __init__(self) -> None:
         self._interval: float | None = None
@@ -70,7 +70,7 @@
         self._is_backlog = False
 
     def note_left(self, now: float, waiting: int) -> None:
-        """One left the queue for a slot; so many wait still."""
+        """Records that a statement left the queue for a slot, with `waiting` others behind it."""
         if self._is_backlog:
             interval = now - self._left_at
             known = interval if self._interval is None else self._interval
@@ -79,11 +79,11 @@
         self._is_backlog = waiting > 0
 
     def note_empty(self) -> None:
-        """Nobody waits: the time until the next one leaves measures nothing."""
+        """Records that the queue is empty: the time until the next departure is not a sample."""
         self._is_backlog = False
 
     def expected_wait(self, ahead: int, now: float) -> ExpectedWait | None:
-        """Returns the wait behind `ahead` others; None where nothing was measured lately."""
+        """Returns the wait behind `ahead` others, None without a recent sample."""
         age = now - self._left_at
         if self._interval is None or not self._is_backlog or age > FRESH_SECONDS:
             return None
@@ -91,7 +91,7 @@
 
 
 class SlotRates:
-    """Running means of one pool; nothing is known until something was measured."""
+    """Moving averages of the times of a pool; None until there are samples."""
 
     def __init__(self) -> None:
         self._slot: ServiceRate | None = None
@@ -101,35 +101,36 @@
 
     @property
     def service(self) -> ServiceRate:
-        """How long a statement usually holds a slot, as it is told."""
+        """The usual time for which a statement holds a slot, with a default for reports."""
         return self._slot or _UNMEASURED
 
     @property
     def slot_seconds(self) -> float:
-        """Usual seconds that a statement holds a slot; 0 until one was measured."""
+        """The usual time for which a statement holds a slot, 0 until there is a sample."""
         return 0.0 if self._slot is None else self._slot.service_time
 
     def note_slot(self, seconds: float, now: float) -> None:
-        """A statement held a slot for so long."""
+        """Records for how many seconds a statement held a slot."""
         self._measured_at = now
         self._slot = _noted(self._slot, seconds)
 
     def note_lent(self, seconds: float) -> None:
-        """A connection came back after so long."""
+        """Records for how many seconds a connection was on loan."""
         self._lent = _noted(self._lent, seconds)
 
     def note_opening(self, seconds: float) -> None:
-        """A connection was opened within so long."""
+        """Records in how many seconds a connection was opened."""
         self._opening = _noted(self._opening, seconds)
 
     def spacing(self, places: int) -> float:
-        """Returns the seconds in which the queue serves one."""
+        """Returns the average interval in which the queue serves one statement."""
         return self.slot_seconds / max(places, 1)
 
     def expected_wait(self, ahead: int, capacity: Capacity, now: float) -> ExpectedWait | None:
-        """Returns the wait of a statement behind `ahead` others; None where nothing was measured.
+        """Returns the wait behind `ahead` others, None until there is a sample of the service time.
 
-        The longest of three: until a slot is free, until a connection is, until one is opened.
+        The wait is the longest of the times until a slot is free, until a connection is free, and
+        until a connection is opened.
         """
         if self._slot is None:
             return None
@@ -144,16 +145,18 @@
 
 
 class WaitEstimate:
-    """The wait in one queue: measured while it drains, else reckoned."""
+    """The expected wait in one queue: by its drain rate while it drains, otherwise by usual
+    times."""
 
     def __init__(self, capacity: Callable[[], Capacity]) -> None:
-        """`capacity`: called where the wait has to be reckoned."""
+        """Creates an estimate without samples. `capacity` returns the current capacity of the
+        pool."""
         self._capacity = capacity
         self.rates = SlotRates()
         self.drain = DrainRate()
 
     def behind(self, ahead: int, now: float) -> ExpectedWait | None:
-        """Returns the wait behind `ahead` others, None where nothing is known."""
+        """Returns the expected wait behind `ahead` others, None without samples."""
         measured = self.drain.expected_wait(ahead, now)
         if measured is not None:
             return measured
@@ -161,7 +164,7 @@
 
 
 def _turns(ahead: int, taken: int, places: int) -> float:
-    """Returns how many service times pass until `ahead` others and one more have begun."""
+    """Returns after how many service times `ahead` others and one more have started."""
     beyond = ahead + taken + 1 - places
     return max(beyond, 0) / max(places, 1)
 
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -1,11 +1,9 @@
-"""What waits for one thing, in the order in which it is served: weighted fair queueing by levels.
+"""Weighted fair queue with priority levels.
 
-Ranks decide between levels (urgency, then queue priority: in time or late). Within one level flows,
-one for each caller, are served by their fair shares (`core/shared/fair_share`), and within a flow
-the rank decides. With one flow for all the order is that of the ranks alone.
-
-Inputs: the rank of each waiter and the moment at which it changes, and the usual cost of one, in
-seconds of a slot for pools. It owns the order only: what a rank means is decided by the waiters.
+Levels (urgency, then queue priority) are served in strict order. Within a level there is a flow for
+each caller; flows are served by fair shares (`core/shared/fair_share`), and the waiters of a flow
+by rank. With a single flow the queue is ordered by rank alone. The queue only keeps the order;
+waiters define their rank and when it changes.
 """
 
 import bisect
@@ -19,29 +17,29 @@
 from dewledge.core.pooler.load.flow_queue import QueueLevel, Rank
 
 LEVEL_PARTS = 2
-"""Parts of a rank that name its level: urgency and queue priority."""
+"""Parts of a rank that identify its level: urgency and queue priority."""
 ONE_FLOW = ""
-"""The flow of all where there is but one."""
+"""The name of the flow if all waiters share one."""
 
 
 class Waiting(Protocol):
-    """Something that waits."""
+    """An item that can wait in the queue."""
 
     queued_rank: Rank | None
     """Its rank while it is in a queue; set by the queue."""
 
     def rank(self, now: float) -> Rank:
-        """Returns its rank at a time (steady clock, seconds); no two in a queue have the same."""
+        """Returns the rank at a time (steady clock, seconds); unique within a queue."""
 
     def next_change(self, now: float) -> float:
-        """Returns when its rank will be another; infinite if it stays."""
+        """Returns when the rank changes next, infinite if it does not."""
 
 
 Waiter = TypeVar("Waiter", bound=Waiting)
 
 
 class Charge(msgspec.Struct):
-    """What was charged for one that was served, to be settled when its real cost is known."""
+    """The estimated cost charged to a flow for a served waiter, until its actual cost is known."""
 
     level: Rank
     flow: str
@@ -49,25 +47,33 @@
 
 
 def one_flow(_waiter: object) -> str:
-    """Has all wait in one flow."""
+    """Assigns every waiter to the same flow."""
     return ONE_FLOW
 
 
 def equal_cost() -> float:
-    """Has each cost the same."""
+    """Returns the same cost for every waiter."""
     return 1.0
 
 
 class WaitQueue(Generic[Waiter]):
-    """Each waiter moves when its own rank changes, twice in all; the order of flows with each one
-    that is served. A level is kept while something waits there."""
+    """A queue of waiters by level, flow and rank.
+
+    A waiter moves when its own rank changes, at most twice; the order among flows changes with each
+    served waiter. An empty level is dropped with its shares.
+    """
 
     def __init__(
         self,
         flow_of: Callable[[Waiter], str] = one_flow,
         cost: Callable[[], float] = equal_cost,
     ) -> None:
-        """`flow_of`: the flow of a waiter, always the same. cost: what one usually costs, not 0."""
+        """Creates an empty queue.
+
+        Args:
+            flow_of: Returns the flow of a waiter, which must not change.
+            cost: Returns the usual cost of serving a waiter, greater than 0.
+        """
         self._flow_of = flow_of
         self._cost = cost
         self._levels: dict[Rank, QueueLevel[Waiter]] = {}
@@ -84,7 +90,7 @@
 
     @property
     def most_urgent(self) -> int:
-        """How many wait that are as urgent as the first."""
+        """The number of waiters with the urgency of the first one."""
         if not self._order:
             return 0
         urgency = self._order[0][0]
@@ -92,11 +98,11 @@
 
     @property
     def remembered(self) -> int:
-        """How many flows are remembered, over all levels."""
+        """The number of flows that have a share, over all levels."""
         return sum(len(level.shares) for level in self._levels.values())
 
     def add(self, waiter: Waiter, now: float) -> None:
-        """Takes in a waiter."""
+        """Adds a waiter."""
         rank = waiter.rank(now)
         level = self._levels.get(rank[:LEVEL_PARTS])
         if level is None:
@@ -109,55 +115,56 @@
             heapq.heappush(self._changes, (change, next(self._numbers), waiter))
 
     def remove(self, waiter: Waiter) -> None:
-        """Forgets a waiter that was not served; one that is not here is no error."""
+        """Removes a waiter that was not served; does nothing if it is not in the queue."""
         level = self._take_out(waiter)
         if level is not None:
             level.shares.leave(self._flow_of(waiter))
 
     def serve(self, waiter: Waiter) -> Charge:
-        """Takes out a waiter that is served, and charges its flow for it. It has to be here."""
+        """Removes a waiter that is served and charges its flow; it must be in the queue."""
         rank, cost = waiter.queued_rank, self._cost()
         level = self._take_out(waiter)
         if level is None or rank is None:
-            raise ValueError("what is not in the queue is served")
+            raise ValueError("cannot serve a waiter that is not in the queue")
         flow = self._flow_of(waiter)
         level.shares.serve(flow, cost)
         return Charge(rank[:LEVEL_PARTS], flow, cost)
 
     def settle(self, charge: Charge, real_cost: float) -> None:
-        """What was served had cost so much; where nobody waits any more nothing is kept."""
+        """Corrects a charge by the actual cost, unless its level is empty."""
         level = self._levels.get(charge.level)
         if level is not None:
             level.shares.settle(charge.flow, real_cost - charge.cost)
 
     def ahead(self, waiter: Waiter) -> int | None:
-        """Returns how many come before a waiter, None if it is not here."""
+        """Returns the number of waiters before a waiter, None if it is not in the queue."""
         rank = waiter.queued_rank
         if rank is None or self._position(waiter) is None:
             return None
         return self.before(waiter, rank)
 
     def everyone(self) -> Iterator[Waiter]:
-        """Returns all in no order."""
+        """Returns all waiters in no particular order."""
         for level in self._levels.values():
             for flow in level.flows.values():
                 yield from flow.waiters
 
     def before(self, waiter: Waiter, rank: Rank) -> int:
-        """Returns how many come before a waiter, if it has a rank."""
+        """Returns the number of waiters before a waiter, if it had the given rank."""
         key = rank[:LEVEL_PARTS]
         ahead = sum(level.size for other, level in self._levels.items() if other < key)
         level = self._levels.get(key)
         return ahead if level is None else ahead + level.before(self._flow_of(waiter), rank)
 
     def is_first(self, waiter: Waiter, now: float) -> bool:
-        """Tells whether one that is not in the queue comes before all that are."""
+        """Tells whether a waiter that is not in the queue would be the first."""
         return not self._order or self.before(waiter, waiter.rank(now)) == 0
 
     def longest_flow(self, charge: Charge) -> tuple[Waiter, int] | None:
-        """Returns the first of the longest flow that stands behind a served one, and how many.
+        """Returns the first waiter and the length of the longest flow behind a served one.
 
-        It has had more than the served one's flow; one passed as it can't be served has not.
+        Only flows that have received more than their fair share so far are considered. A flow that
+        was skipped because it can't be served at the moment is not one of them.
         """
         level = self._levels.get(charge.level)
         if level is None:
@@ -171,7 +178,7 @@
         return longest.waiters[0], len(longest.waiters)
 
     def refresh(self, now: float) -> None:
-        """Moves those whose rank has changed."""
+        """Moves the waiters whose rank has changed."""
         while self._changes and self._changes[0][0] < now:
             _, _, waiter = heapq.heappop(self._changes)
             if self._position(waiter) is not None:
@@ -179,7 +186,7 @@
                 self.add(waiter, now)
 
     def drain(self) -> list[Waiter]:
-        """Forgets all and returns them in order."""
+        """Removes all waiters and returns them in order."""
         waiters = list(self)
         self._levels, self._order, self._changes = {}, [], []
         for waiter in waiters:
@@ -187,7 +194,7 @@
         return waiters
 
     def _position(self, waiter: Waiter) -> int | None:
-        """Returns where a waiter stands in its flow, None if it is not here."""
+        """Returns the position of a waiter in its flow, None if it is not in the queue."""
         if waiter.queued_rank is None:
             return None
         level = self._levels.get(waiter.queued_rank[:LEVEL_PARTS])
@@ -195,6 +202,7 @@
         return None if flow is None else flow.position(waiter.queued_rank, waiter)
 
     def _take_out(self, waiter: Waiter) -> QueueLevel[Waiter] | None:
+        """Removes a waiter and returns its level, None if it is not in the queue."""
         position, rank = self._position(waiter), waiter.queued_rank
         if position is None or rank is None:
             return None
--- a/src/dewledge/core/pooler/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -1,7 +1,7 @@
-"""The log line on the waits before each database: what was counted since the last one.
+"""Summaries of the waits for each database, logged periodically.
 
-Inputs: the counts of all queues of this process now. It remembers what was told of each, forgets
-queues that are gone, and leaves out those that counted nothing.
+Each summary holds the difference to the last one. Queues that counted nothing are left out, and
+removed queues are forgotten.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,21 +11,19 @@
 from dewledge.core.pooler.load.wait_counts import WaitCounts
 
 SUMMARY_SECONDS = 5.0
-"""Seconds between two lines of one database: as often as a collector of metrics usually asks."""
+"""Interval between two summaries of a database, as often as metrics are usually collected."""
 
 
 class QueueName(msgspec.Struct, frozen=True):
-    """The queue of this process before one database."""
+    """Identifies the queue of this process for one database."""
 
     group: str
     database: str
 
 
 class WaitsCounted(msgspec.Struct, frozen=True):
-    """What the queue before a database counted since its last line; the counts of `WaitCounts`.
-
-    Logged as it is. served: waits that were expected and then known.
-    """
+    """What the queue for a database counted since its last summary; see `WaitCounts`. Logged as it
+    is."""
 
     group: str
     database: str
@@ -37,13 +35,13 @@
 
 
 class WaitSummaries:
-    """Remembers what was told of each queue; those that are gone are forgotten."""
+    """Remembers the counters of each queue at its last summary."""
 
     def __init__(self) -> None:
         self._told: dict[QueueName, WaitCounts] = {}
 
     def collect(self, counts: Mapping[QueueName, WaitCounts]) -> Sequence[WaitsCounted]:
-        """Returns what has been counted since the last call, of queues that counted anything."""
+        """Returns what was counted since the last call, for queues that counted anything."""
         found = [self._since_told(name, now) for name, now in counts.items()]
         self._told = {name: msgspec.structs.replace(now) for name, now in counts.items()}
         return [summary for summary in found if summary.served or summary.refused]
@@ -51,7 +49,7 @@
     def _since_told(self, name: QueueName, now: WaitCounts) -> WaitsCounted:
         told = self._told.get(name, WaitCounts())
         if told.served > now.served or told.refused > now.refused:
-            # Another queue before the same database: it began anew.
+            # The queue was replaced, and its counters restarted at zero.
             told = WaitCounts()
         return WaitsCounted(
             group=name.group,
