--- a/src/dewledge/core/pooler/load/choice.py
+++ b/src/dewledge/core/pooler/load/choice.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-CLOSENESS_POWER = 4
+CLOSENESS_EXPONENT = 4
 """Exponent of the draw weights: a candidate with three times the load-independent time of the
 fastest one has 1/81 of its weight."""
 
@@ -43,14 +43,14 @@
     @property
     def seconds(self) -> float:
         """The total of all parts."""
-        return self.certain + self.wait + self.position
+        return self.load_independent_seconds + self.wait + self.position
 
     @property
-    def certain(self) -> float:
+    def load_independent_seconds(self) -> float:
         """The part that does not depend on the current load or replication lag."""
         return self.round_trip + self.service + self.opening + self.displacing + self.detour
 
-    def is_better_in_all(self, other: "Completion") -> bool:
+    def dominates(self, other: "Completion") -> bool:
         """Tells whether this completion has a shorter round trip, wait and execution, and no longer
         part."""
         is_nearer = self.round_trip < other.round_trip
@@ -82,12 +82,10 @@
     ranked = sorted(candidates, key=_rank)
     if len(ranked) < 2:
         return ranked
-    first = _drawn(ranked, draw())
+    first = _draw_candidate(ranked, draw())
     rest = [candidate for candidate in ranked if candidate is not first]
-    head = min(first, _drawn(rest, draw()), key=_rank)
-    head = next(
-        (other for other in ranked if other.completion.is_better_in_all(head.completion)), head
-    )
+    head = min(first, _draw_candidate(rest, draw()), key=_rank)
+    head = next((other for other in ranked if other.completion.dominates(head.completion)), head)
     return [head, *(candidate for candidate in ranked if candidate is not head)]
 
 
@@ -95,14 +93,16 @@
     return (candidate.completion.seconds, candidate.database_id)
 
 
-def _drawn(candidates: Sequence[Candidate], drawn: float) -> Candidate:
+def _draw_candidate(candidates: Sequence[Candidate], random_fraction: float) -> Candidate:
     """Draws a candidate at random, weighted by its load-independent time and its replication lag.
 
     The lag counts, so that replicas far behind the required position are rarely drawn.
     """
-    least = min(_settled(candidate) for candidate in candidates)
-    weights = [(least / _settled(candidate)) ** CLOSENESS_POWER for candidate in candidates]
-    left = drawn * sum(weights)
+    least = min(_weighting_seconds(candidate) for candidate in candidates)
+    weights = [
+        (least / _weighting_seconds(candidate)) ** CLOSENESS_EXPONENT for candidate in candidates
+    ]
+    left = random_fraction * sum(weights)
     for candidate, weight in zip(candidates, weights, strict=True):
         left -= weight
         if left < 0:
@@ -110,11 +110,11 @@
     return candidates[-1]
 
 
-LEAST_SETTLED_SECONDS = 0.001
+MIN_WEIGHTING_SECONDS = 0.001
 """Lower bound of the time that weights a candidate; keeps the weights finite."""
 
 
-def _settled(candidate: Candidate) -> float:
+def _weighting_seconds(candidate: Candidate) -> float:
     """Returns the time that weights a candidate in the draw."""
     completion = candidate.completion
-    return max(completion.certain + completion.position, LEAST_SETTLED_SECONDS)
+    return max(completion.load_independent_seconds + completion.position, MIN_WEIGHTING_SECONDS)
--- a/src/dewledge/core/pooler/load/failed_login_throttle.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -11,7 +11,7 @@
 """Refusals per second that are answered immediately, and the size of the bucket."""
 PAUSE_SECONDS = 1.0
 """Delay of an answer. Shorter than the two seconds that clients allow for opening a session."""
-MOST_HELD = 200
+MAX_DELAYED_REFUSALS = 200
 """Connections that may wait for a delayed answer; few of the thousands that a process can have
 open."""
 
@@ -20,8 +20,8 @@
     """Decides when each refused session is answered; `now` is the steady clock in seconds."""
 
     def __init__(self) -> None:
-        self._available = ANSWERS_PER_SECOND
-        self._filled_at = 0.0
+        self._available_answers = ANSWERS_PER_SECOND
+        self._refilled_at = 0.0
         self.held = 0
         """The refusals whose answer is being delayed."""
 
@@ -30,13 +30,13 @@
 
         The caller must call `on_delay_ended` once for each delayed refusal.
         """
-        gained = max(now - self._filled_at, 0.0) * ANSWERS_PER_SECOND
-        self._available = min(self._available + gained, ANSWERS_PER_SECOND)
-        self._filled_at = now
-        if self._available >= 1.0:
-            self._available -= 1.0
+        gained = max(now - self._refilled_at, 0.0) * ANSWERS_PER_SECOND
+        self._available_answers = min(self._available_answers + gained, ANSWERS_PER_SECOND)
+        self._refilled_at = now
+        if self._available_answers >= 1.0:
+            self._available_answers -= 1.0
             return 0.0
-        if self.held >= MOST_HELD:
+        if self.held >= MAX_DELAYED_REFUSALS:
             return None
         self.held += 1
         return PAUSE_SECONDS
--- a/src/dewledge/core/pooler/load/flow_queue.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -14,7 +14,7 @@
 
 Rank = tuple[float, ...]
 """Urgency, queue priority, then the order within a flow; the lowest rank is served first."""
-Key = tuple[float, Rank]
+FlowKey = tuple[float, Rank]
 """The position of a waiter among several flows: its start tag, then its rank."""
 
 Waiter = TypeVar("Waiter")
@@ -39,17 +39,17 @@
         del self.ranks[position]
         del self.waiters[position]
 
-    def before(self, rank: Rank) -> int:
+    def count_before(self, rank: Rank) -> int:
         """Returns the number of waiters with a lower rank."""
         return bisect.bisect_left(self.ranks, rank)
 
-    def position(self, rank: Rank, waiter: Waiter) -> int | None:
+    def find_position(self, rank: Rank, waiter: Waiter) -> int | None:
         """Returns the position of a waiter, None if it is not in the flow."""
-        position = self.before(rank)
+        position = self.count_before(rank)
         is_here = position < len(self.waiters) and self.waiters[position] is waiter
         return position if is_here else None
 
-    def ahead_of(self, key: Key, tag: float, step: float) -> int:
+    def count_ahead_of(self, key: FlowKey, tag: float, step: float) -> int:
         """Returns the number of waiters that are served before a key.
 
         Args:
@@ -110,10 +110,10 @@
             else:
                 heapq.heappop(heads)
 
-    def before(self, name: str, rank: Rank) -> int:
+    def count_before(self, name: str, rank: Rank) -> int:
         """Returns the number of waiters served before a waiter of a flow with the given rank."""
         own = self.flows.get(name)
-        position = 0 if own is None else own.before(rank)
+        position = 0 if own is None else own.count_before(rank)
         if self.size == (0 if own is None else len(own.waiters)):
             return position
         cost = self._cost()
@@ -123,9 +123,9 @@
         for other, flow in self.flows.items():
             if other != name:
                 tag, step = self.shares.tag(other), self.shares.step(other, cost)
-                ahead += flow.ahead_of(key, tag, step)
+                ahead += flow.count_ahead_of(key, tag, step)
         return ahead
 
-    def _key(self, name: str, position: int) -> Key:
+    def _key(self, name: str, position: int) -> FlowKey:
         step = self.shares.step(name, self._cost())
         return (self.shares.tag(name) + position * step, self.flows[name].ranks[position])
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -19,24 +19,24 @@
 
 from dewledge.core.shared.service_rate import UsualTime
 
-HELD_UP_SECONDS = 0.4
+MIN_LONG_STALL_SECONDS = 0.4
 """A check that is later than this shows that this process was stalled: the measurement of silence
 restarts."""
-LATE_SECONDS = 0.03
+MAX_CHECK_DELAY_SECONDS = 0.03
 """A check that is later than this draws no conclusion, since received bytes may still be unread;
 the delay does not count as silence."""
-LATE_LOOK_SECONDS = 0.05
+RECHECK_DELAY_SECONDS = 0.05
 """Delay until the check after a late one: time to read what has arrived."""
 LOST_AFTER_SECONDS = 1.2
 """A link that is silent for this time is closed, and the results of its statements are unknown.
 Must be longer than the time after which any rules judge a holder silent."""
-LEAST_LOOK_SECONDS = 0.001
+MIN_CHECK_INTERVAL_SECONDS = 0.001
 """Minimum delay between two checks: the resolution of timers."""
-LEAST_PAUSE_SHARE = 0.75
+MIN_PAUSE_RATIO = 0.75
 """Minimum part of the pause between two dials that remains after jitter."""
-PAUSE_SPREAD = 0.5
+PAUSE_JITTER_RATIO = 0.5
 """Width of the jitter as a part of the pause, so that processes spread their dials."""
-SMOOTHING = 0.2
+ROUND_TRIP_SMOOTHING_RATIO = 0.2
 """Weight of each round-trip sample in the moving average."""
 
 
@@ -83,7 +83,7 @@
     SILENT = "silent"
 
 
-class Look(msgspec.Struct, frozen=True):
+class HealthCheck(msgspec.Struct, frozen=True):
     """What to do after a health check.
 
     Attributes:
@@ -106,24 +106,24 @@
         processes."""
         self._rules = rules
         self._jitter = jitter
-        self._round_trip = UsualTime(SMOOTHING)
+        self._round_trip = UsualTime(ROUND_TRIP_SMOOTHING_RATIO)
         self.state = HolderState.USABLE
-        self.since = 0.0
+        self.state_since = 0.0
         """When the current state began."""
         self.due = 0
         """The number of replies that are outstanding."""
-        self._due_since = 0.0
-        self._heard_at = -math.inf
-        self._asked_at: float | None = None
+        self._outstanding_since = 0.0
+        self._last_received_at = -math.inf
+        self._probe_sent_at: float | None = None
         """When the ping or dial that is still unanswered was sent."""
-        self._next_look: float | None = None
+        self._next_check_at: float | None = None
         self._failures = 0
-        self._not_before = -math.inf
+        self._next_dial_at = -math.inf
 
     @property
     def heard_at(self) -> float:
         """When the last sign of life was received."""
-        return self._heard_at
+        return self._last_received_at
 
     @property
     def usual_round_trip(self) -> float:
@@ -131,7 +131,7 @@
         return self._round_trip.seconds
 
     @property
-    def sign_timeout(self) -> float:
+    def probe_timeout(self) -> float:
         """The time that the answer to a ping or dial may take."""
         rules = self._rules
         usual = self._round_trip.seconds
@@ -141,61 +141,61 @@
 
     def silence(self, now: float) -> float:
         """Returns the seconds without a sign of life while one is outstanding, otherwise 0."""
-        if not self._is_awaiting:
+        if not self._awaits_reply:
             return 0.0
-        asked = math.inf if self._asked_at is None else self._asked_at
-        due = self._due_since if self.due else math.inf
-        return max(now - max(self._heard_at, min(asked, due)), 0.0)
+        asked = math.inf if self._probe_sent_at is None else self._probe_sent_at
+        due = self._outstanding_since if self.due else math.inf
+        return max(now - max(self._last_received_at, min(asked, due)), 0.0)
 
     def is_usable(self, now: float) -> bool:
         """Tells whether new statements may be sent."""
         if self._rules.is_probed:
             return self.state is HolderState.USABLE
-        return self.state is HolderState.USABLE and now >= self._not_before
+        return self.state is HolderState.USABLE and now >= self._next_dial_at
 
     def may_probe(self, now: float) -> bool:
         """Tells whether to dial the holder only to find out whether it answers."""
         is_silent = self.state is not HolderState.USABLE
-        return self._rules.is_probed and is_silent and now >= self._not_before
+        return self._rules.is_probed and is_silent and now >= self._next_dial_at
 
     def dialled(self, now: float) -> float | None:
         """Records that a dial began; returns the delay until the first check, None if the dial's
         own timeout is enough."""
         if not self._rules.is_probed:
             return None
-        self._asked_at = now
-        return self._plan(now, self.sign_timeout)
+        self._probe_sent_at = now
+        return self._schedule_check(now, self.probe_timeout)
 
     def opened(self, now: float) -> None:
         """Records that the link was opened, which is a sign of life."""
-        if self._asked_at is not None:
-            self._round_trip.note(max(now - self._asked_at, 0.0))
-        self._asked_at = None
-        self._next_look = None
+        if self._probe_sent_at is not None:
+            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+        self._probe_sent_at = None
+        self._next_check_at = None
         self.due = 0
         self._failures = 0
-        self._not_before = -math.inf
+        self._next_dial_at = -math.inf
         self.heard(now)
 
     def ended(self, now: float, is_dial: bool) -> None:
         """Records that the link was lost or a dial failed. After a loss, the first probe may follow
         at once."""
         self.due = 0
-        self._asked_at = None
-        self._next_look = None
+        self._probe_sent_at = None
+        self._next_check_at = None
         if is_dial or not self._rules.is_probed:
-            self._not_before = now + self._pause()
+            self._next_dial_at = now + self._dial_pause()
             self._failures += 1
-        self._enter(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
+        self._set_state(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
 
     def sent(self, now: float) -> float | None:
         """Records a request; returns the delay until the first check, None if one is scheduled."""
         if self.due == 0:
-            self._due_since = now
+            self._outstanding_since = now
         self.due += 1
-        if self._next_look is not None:
+        if self._next_check_at is not None:
             return None
-        return self._plan(now, self._rules.ping_after)
+        return self._schedule_check(now, self._rules.ping_after)
 
     def answered(self, count: int = 1) -> None:
         """Records replies that arrived or are no longer awaited."""
@@ -203,79 +203,81 @@
 
     def heard(self, now: float) -> None:
         """Records that bytes arrived."""
-        self._heard_at = now
-        self._enter(HolderState.USABLE, now)
+        self._last_received_at = now
+        self._set_state(HolderState.USABLE, now)
 
     def ponged(self, now: float) -> None:
         """Records the answer to a ping."""
-        if self._asked_at is not None:
-            self._round_trip.note(max(now - self._asked_at, 0.0))
-            self._asked_at = None
+        if self._probe_sent_at is not None:
+            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+            self._probe_sent_at = None
 
-    def look(self, now: float) -> Look:
+    def look(self, now: float) -> HealthCheck:
         """Judges the holder now."""
-        late = 0.0 if self._next_look is None else now - self._next_look
-        self._next_look = None
-        if not self._is_awaiting:
-            return Look()
-        if late > LATE_SECONDS:
-            self._forgive(now, late)
-            return Look(again=self._plan(now, LATE_LOOK_SECONDS))
+        late = 0.0 if self._next_check_at is None else now - self._next_check_at
+        self._next_check_at = None
+        if not self._awaits_reply:
+            return HealthCheck()
+        if late > MAX_CHECK_DELAY_SECONDS:
+            self._discount_stall(now, late)
+            return HealthCheck(again=self._schedule_check(now, RECHECK_DELAY_SECONDS))
         silence = self.silence(now)
         if silence >= LOST_AFTER_SECONDS:
-            return Look(is_lost=True)
-        if self._asked_at is None:
+            return HealthCheck(is_lost=True)
+        if self._probe_sent_at is None:
             remaining = self._rules.ping_after - silence
             if remaining > 0:
-                return Look(again=self._plan(now, remaining))
-            self._asked_at = now
-            return Look(sends_ping=True, again=self._plan(now, self.sign_timeout))
-        return Look(again=self._plan(now, self._judge(now, self._asked_at)))
-
-    def _judge(self, now: float, asked_at: float) -> float:
+                return HealthCheck(again=self._schedule_check(now, remaining))
+            self._probe_sent_at = now
+            return HealthCheck(sends_ping=True, again=self._schedule_check(now, self.probe_timeout))
+        return HealthCheck(
+            again=self._schedule_check(now, self._judge_by_probe(now, self._probe_sent_at))
+        )
+
+    def _judge_by_probe(self, now: float, probe_sent_at: float) -> float:
         """Judges the holder by an unanswered ping or dial; returns the delay until the next
         check."""
-        waited = now - max(asked_at, self._heard_at)
-        until_doubt = self.sign_timeout - waited
-        until_silence = self.sign_timeout * self._rules.silent_timeouts - waited
+        waited = now - max(probe_sent_at, self._last_received_at)
+        until_doubt = self.probe_timeout - waited
+        until_silence = self.probe_timeout * self._rules.silent_timeouts - waited
         if until_silence <= 0:
-            self._enter(HolderState.SILENT, now)
+            self._set_state(HolderState.SILENT, now)
             return LOST_AFTER_SECONDS - self.silence(now)
         if until_doubt <= 0:
             if self.state is HolderState.USABLE:
-                self._enter(HolderState.DOUBTED, now)
+                self._set_state(HolderState.DOUBTED, now)
             return until_silence
         return until_doubt
 
     @property
-    def _is_awaiting(self) -> bool:
-        return self.due > 0 or self._asked_at is not None
+    def _awaits_reply(self) -> bool:
+        return self.due > 0 or self._probe_sent_at is not None
 
-    def _plan(self, now: float, seconds: float) -> float:
-        delay = max(seconds, LEAST_LOOK_SECONDS)
-        self._next_look = now + delay
+    def _schedule_check(self, now: float, seconds: float) -> float:
+        delay = max(seconds, MIN_CHECK_INTERVAL_SECONDS)
+        self._next_check_at = now + delay
         return delay
 
-    def _forgive(self, now: float, late: float) -> None:
+    def _discount_stall(self, now: float, delay: float) -> None:
         """Deducts a stall of this process from the silence of the holder."""
-        if late > HELD_UP_SECONDS:
-            self._due_since = self._heard_at = now
-            self._asked_at = None if self._asked_at is None else now
+        if delay > MIN_LONG_STALL_SECONDS:
+            self._outstanding_since = self._last_received_at = now
+            self._probe_sent_at = None if self._probe_sent_at is None else now
             return
-        self._due_since = min(self._due_since + late, now)
-        self._heard_at = min(self._heard_at + late, now)
-        if self._asked_at is not None:
-            self._asked_at = min(self._asked_at + late, now)
+        self._outstanding_since = min(self._outstanding_since + delay, now)
+        self._last_received_at = min(self._last_received_at + delay, now)
+        if self._probe_sent_at is not None:
+            self._probe_sent_at = min(self._probe_sent_at + delay, now)
 
-    def _enter(self, state: HolderState, now: float) -> None:
+    def _set_state(self, state: HolderState, now: float) -> None:
         if state is not self.state:
             self.state = state
-            self.since = now
+            self.state_since = now
 
-    def _pause(self) -> float:
+    def _dial_pause(self) -> float:
         rules = self._rules
         if rules.pause_growth == 0.0:
             return min(rules.first_pause * (self._failures + 1), rules.longest_pause)
         longest = math.log(rules.longest_pause / rules.first_pause, rules.pause_growth)
         pause: float = rules.first_pause * rules.pause_growth ** min(self._failures, longest)
-        return pause * (LEAST_PAUSE_SHARE + PAUSE_SPREAD * self._jitter())
+        return pause * (MIN_PAUSE_RATIO + PAUSE_JITTER_RATIO * self._jitter())
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -8,14 +8,14 @@
 from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
-COUNT_CHANGE = 1
+MIN_COUNT_CHANGE = 1
 """Statements or connections; a difference up to this number is not reported."""
-SHARE_CHANGE = 0.25
+MIN_CHANGE_RATIO = 0.25
 """Relative difference of a count or a service time up to which it is not reported."""
-MOST_COUNT = 255
+MAX_REPORTED_COUNT = 255
 """Statements or connections; larger numbers are reported as this one, which fits into two bytes. A
 queue of this length exceeds any deadline."""
-MOST_SERVICE_MS = 65535
+MAX_REPORTED_SERVICE_MS = 65535
 """The longest service time that is reported; it fits into three bytes."""
 
 
@@ -23,17 +23,17 @@
     """Remembers the last report on one database that was sent to one process."""
 
     def __init__(self) -> None:
-        self._told: LoadReport | None = None
-        self._told_at = 0.0
+        self._last_report: LoadReport | None = None
+        self._last_report_at = 0.0
 
     def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
         """Returns the report to attach to a reply now, None for none. `now`: steady clock in
         seconds."""
-        told = self._told
-        is_old = now >= self._told_at + REPORT_HALF_LIFE_SECONDS
+        told = self._last_report
+        is_old = now >= self._last_report_at + REPORT_HALF_LIFE_SECONDS
         if told is not None and not is_old and not _differs(told, report):
             return None
-        self._told, self._told_at = report, now
+        self._last_report, self._last_report_at = report, now
         return report
 
 
@@ -47,21 +47,21 @@
 ) -> LoadReport:
     """Returns a report with each number limited to the range that can be sent."""
     return LoadReport(
-        min(waiting, MOST_COUNT),
-        min(urgent_waiting, MOST_COUNT),
-        min(running, MOST_COUNT),
-        min(window, MOST_COUNT),
-        min(openings, MOST_COUNT),
-        min(service_ms, MOST_SERVICE_MS),
+        min(waiting, MAX_REPORTED_COUNT),
+        min(urgent_waiting, MAX_REPORTED_COUNT),
+        min(running, MAX_REPORTED_COUNT),
+        min(window, MAX_REPORTED_COUNT),
+        min(openings, MAX_REPORTED_COUNT),
+        min(service_ms, MAX_REPORTED_SERVICE_MS),
     )
 
 
-def _differs(told: LoadReport, report: LoadReport) -> bool:
+def _differs(last_report: LoadReport, report: LoadReport) -> bool:
     pairs = (
-        (told.waiting, report.waiting),
-        (told.running, report.running),
-        (told.window, report.window),
-        (told.openings, report.openings),
-        (told.service_ms, report.service_ms),
+        (last_report.waiting, report.waiting),
+        (last_report.running, report.running),
+        (last_report.window, report.window),
+        (last_report.openings, report.openings),
+        (last_report.service_ms, report.service_ms),
     )
-    return any(abs(new - old) > max(COUNT_CHANGE, SHARE_CHANGE * old) for old, new in pairs)
+    return any(abs(new - old) > max(MIN_COUNT_CHANGE, MIN_CHANGE_RATIO * old) for old, new in pairs)
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -20,16 +20,16 @@
 SERVICE_HALF_LIFE_SECONDS = 4.0
 """Half-life of a reported service time: machines stay slow for seconds. As the report ages, a
 database that was slow is tried again."""
-MOST_DATABASES = 64
+MAX_DATABASES = 64
 """Databases of a group in the table; bounds its memory. A group has fewer, so that only databases
 that have left are dropped."""
-MOST_HOLDERS = 8
+MAX_HOLDERS = 8
 """Holders of a database in the table; bounds its memory."""
-USUAL_SERVICE_SECONDS = 0.01
+DEFAULT_SERVICE_SECONDS = 0.01
 """Default service time, used until one is reported."""
-NO_CONNECTION_SECONDS = 1.0
+NO_CONNECTION_WAIT_SECONDS = 1.0
 """Extra wait while a holder can open no connection: more than any wait that a statement accepts."""
-LEAST_WINDOW = 0.5
+MIN_WINDOW = 0.5
 """Connections, as the mean over the holders; below it most holders can open no connection."""
 
 
@@ -63,41 +63,43 @@
         """
         window = max(self.window, 1.0)
         slots = window if self.waiting < 1.0 else min(window, max(self.running, 1.0))
-        told = _wait(self.waiting + self.running + sent_since, slots, self.service_seconds)
-        if self.window < LEAST_WINDOW:
-            told += NO_CONNECTION_SECONDS
-        own = _wait(in_flight, window, self.service_seconds)
+        told = _queueing_seconds(
+            self.waiting + self.running + sent_since, slots, self.service_seconds
+        )
+        if self.window < MIN_WINDOW:
+            told += NO_CONNECTION_WAIT_SECONDS
+        own = _queueing_seconds(in_flight, window, self.service_seconds)
         seconds = self.weight * told + (1.0 - self.weight) * own
         return ExpectedWait(seconds, self.age_seconds)
 
 
-def _wait(ahead: float, slots: float, service_seconds: float) -> float:
+def _queueing_seconds(ahead: float, slots: float, service_seconds: float) -> float:
     return max(ahead + 1.0 - slots, 0.0) * service_seconds / slots
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _ReceivedReport(msgspec.Struct, frozen=True):
     """A load report and the time at which it arrived."""
 
     report: LoadReport
     heard_at: float
 
 
-class _Entry:
+class _DatabaseEntry:
     """The last report of each holder of a database, and the statements sent since the newest
     one."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, _Heard] = {}
+        self.reports: dict[str, _ReceivedReport] = {}
         self.sent_since = 0
-        self.heard_at = 0.0
+        self.newest_at = 0.0
 
-    def take(self, holder: str, heard: _Heard) -> None:
+    def update(self, holder: str, received: _ReceivedReport) -> None:
         self.reports.pop(holder, None)
-        if len(self.reports) >= MOST_HOLDERS:
+        if len(self.reports) >= MAX_HOLDERS:
             del self.reports[next(iter(self.reports))]
-        self.reports[holder] = heard
+        self.reports[holder] = received
         self.sent_since = 0
-        self.heard_at = heard.heard_at
+        self.newest_at = received.heard_at
 
 
 class LoadTable:
@@ -105,8 +107,8 @@
     seconds."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, _Entry] = {}
-        self._usual_service: float | None = None
+        self._entries: dict[str, _DatabaseEntry] = {}
+        self._usual_service_seconds: float | None = None
         """Cached until the next report, since it is read more often than reports arrive."""
 
     def __len__(self) -> int:
@@ -114,13 +116,13 @@
 
     def take(self, database_id: str, holder: str, report: LoadReport, now: float) -> None:
         """Stores a report of `holder` that arrived at `now`."""
-        self._usual_service = None
-        entry = self._entries.pop(database_id, None) or _Entry()
-        if len(self._entries) >= MOST_DATABASES:
+        self._usual_service_seconds = None
+        entry = self._entries.pop(database_id, None) or _DatabaseEntry()
+        if len(self._entries) >= MAX_DATABASES:
             del self._entries[next(iter(self._entries))]
         # Reinserted at the end, so that the least recently updated entry is dropped first.
         self._entries[database_id] = entry
-        entry.take(holder, _Heard(report, now))
+        entry.update(holder, _ReceivedReport(report, now))
 
     def note_sent(self, database_id: str) -> None:
         """Counts a statement sent by this process that no report includes yet."""
@@ -141,37 +143,39 @@
         entry = self._entries.get(database_id)
         if entry is None:
             return None
-        newest = max(now - entry.heard_at, 0.0)
+        newest = max(now - entry.newest_at, 0.0)
         waiting = running = window = service = total = 0.0
         for heard in entry.reports.values():
             # Relative to the newest report, so that the total is at least 1.
-            share = _halved(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
+            share = _decay(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
             total += share
             waiting += share * heard.report.waiting
             running += share * heard.report.running
             window += share * heard.report.window
             service += share * heard.report.service_ms / MILLISECONDS
-        kept = _halved(newest, SERVICE_HALF_LIFE_SECONDS)
+        kept = _decay(newest, SERVICE_HALF_LIFE_SECONDS)
         return KnownLoad(
             waiting / total,
             running / total,
             window / total,
             kept * service / total + (1.0 - kept) * self.usual_service(),
-            _halved(newest, REPORT_HALF_LIFE_SECONDS),
+            _decay(newest, REPORT_HALF_LIFE_SECONDS),
             newest,
         )
 
     def usual_service(self) -> float:
         """Returns the median of the reported service times, in seconds."""
-        if self._usual_service is None:
+        if self._usual_service_seconds is None:
             told = [
                 heard.report.service_ms
                 for entry in self._entries.values()
                 for heard in entry.reports.values()
             ]
-            self._usual_service = median(told) / MILLISECONDS if told else USUAL_SERVICE_SECONDS
-        return self._usual_service
+            self._usual_service_seconds = (
+                median(told) / MILLISECONDS if told else DEFAULT_SERVICE_SECONDS
+            )
+        return self._usual_service_seconds
 
 
-def _halved(age: float, half_life: float) -> float:
+def _decay(age: float, half_life: float) -> float:
     return float(0.5 ** (max(age, 0.0) / half_life))
--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/return_moments.py
@@ -13,14 +13,14 @@
 
 import math
 
-LONGEST_RETURN_SECONDS = 3.0
+MAX_RETRY_SECONDS = 3.0
 """Latest retry time: no statement has a longer deadline, and a longer forecast would rest on an
 outdated service rate."""
-LEAST_RETURN_SECONDS = 0.03
+MIN_RETRY_SECONDS = 0.03
 """Earliest retry time: a round trip between regions."""
-LEAST_SPACING_SECONDS = 0.002
+MIN_RETRY_SPACING_SECONDS = 0.002
 """Minimum distance of two retry times, also used if the service rate of the queue is unknown."""
-UNKNOWN_RETURN_SECONDS = 0.1
+DEFAULT_RETRY_SECONDS = 0.1
 """Earliest retry time if the state of the queue is unknown."""
 
 
@@ -28,7 +28,7 @@
     """The retry times of a queue; no time is reserved twice while later ones are available."""
 
     def __init__(self) -> None:
-        self._last = -math.inf
+        self._last_reserved_at = -math.inf
 
     def promise(self, now: float, room_in: float | None, spacing: float = 0.0) -> float:
         """Reserves the next free retry time and returns it in seconds from now.
@@ -38,12 +38,12 @@
             room_in: Seconds until the current queue has drained, None if unknown.
             spacing: Seconds in which the queue serves one statement.
         """
-        latest = now + LONGEST_RETURN_SECONDS
-        spacing = max(spacing, LEAST_SPACING_SECONDS)
-        soonest = UNKNOWN_RETURN_SECONDS if room_in is None else room_in
-        first = now + min(max(soonest, LEAST_RETURN_SECONDS), LONGEST_RETURN_SECONDS)
-        moment = max(first, self._last + spacing)
+        latest = now + MAX_RETRY_SECONDS
+        spacing = max(spacing, MIN_RETRY_SPACING_SECONDS)
+        soonest = DEFAULT_RETRY_SECONDS if room_in is None else room_in
+        first = now + min(max(soonest, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
+        moment = max(first, self._last_reserved_at + spacing)
         if moment > latest:
             moment = min(first + spacing / 2, latest)
-        self._last = moment
+        self._last_reserved_at = moment
         return moment - now
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/shown_failures.py
@@ -12,28 +12,28 @@
 
 import msgspec
 
-SMOOTHING = 0.2
+FAILURE_SMOOTHING_RATIO = 0.2
 """Weight of each outcome in the average: about five statements determine it."""
 HALF_LIFE_SECONDS = 2.0
 """Half-life of a failure. Longer than the retries of one statement, and short enough that the
 database soon gets another statement."""
-DETOUR_SECONDS = 0.05
+FAILURE_COST_SECONDS = 0.05
 """Cost of a failure beyond the time until it is detected: a retry pause of 30 ms and another round
 trip."""
-MOST_SHARE = 0.9
+MAX_FAILURE_RATIO = 0.9
 """Upper bound of the failure ratio, which limits the odds to nine to one."""
-MOST_DATABASES = 64
+MAX_DATABASES = 64
 """Databases of a group that are tracked; bounds memory."""
 
 
-class _Shown(msgspec.Struct):
+class _FailureRecord(msgspec.Struct):
     """The failure ratio of a database, and the average time until a failure was detected."""
 
     share: float
     noted_at: float
     lost_seconds: float = 0.0
 
-    def at(self, now: float) -> float:
+    def ratio_at(self, now: float) -> float:
         """Returns the failure ratio, decayed until `now`."""
         return float(self.share * 0.5 ** (max(now - self.noted_at, 0.0) / HALF_LIFE_SECONDS))
 
@@ -42,31 +42,31 @@
     """Recent failures of the databases of a group, bounded in size."""
 
     def __init__(self) -> None:
-        self._shown: dict[str, _Shown] = {}
+        self._records: dict[str, _FailureRecord] = {}
 
     def __len__(self) -> int:
-        return len(self._shown)
+        return len(self._records)
 
     def note(self, database_id: str, has_failed: bool, now: float, seconds: float = 0.0) -> None:
         """Records an outcome, `seconds` after the statement was sent. `now`: steady clock in
         seconds."""
-        shown = self._shown.get(database_id)
+        shown = self._records.get(database_id)
         if shown is None:
             if not has_failed:
                 return
-            if len(self._shown) >= MOST_DATABASES:
-                del self._shown[next(iter(self._shown))]
-            shown = self._shown[database_id] = _Shown(0.0, now)
-        share = shown.at(now)
-        shown.share = share + SMOOTHING * (float(has_failed) - share)
+            if len(self._records) >= MAX_DATABASES:
+                del self._records[next(iter(self._records))]
+            shown = self._records[database_id] = _FailureRecord(0.0, now)
+        share = shown.ratio_at(now)
+        shown.share = share + FAILURE_SMOOTHING_RATIO * (float(has_failed) - share)
         shown.noted_at = now
         if has_failed:
-            shown.lost_seconds += SMOOTHING * (seconds - shown.lost_seconds)
+            shown.lost_seconds += FAILURE_SMOOTHING_RATIO * (seconds - shown.lost_seconds)
 
     def detour(self, database_id: str, now: float) -> float:
         """Returns the expected cost of failures at a database, in seconds for each statement."""
-        shown = self._shown.get(database_id)
+        shown = self._records.get(database_id)
         if shown is None:
             return 0.0
-        share = min(shown.at(now), MOST_SHARE)
-        return (DETOUR_SECONDS + shown.lost_seconds) * share / (1.0 - share)
+        share = min(shown.ratio_at(now), MAX_FAILURE_RATIO)
+        return (FAILURE_COST_SECONDS + shown.lost_seconds) * share / (1.0 - share)
--- a/src/dewledge/core/pooler/load/slot_use.py
+++ b/src/dewledge/core/pooler/load/slot_use.py
@@ -1,6 +1,6 @@
 """Slot time of a database by caller, for metrics; bounded in memory."""
 
-MOST_CALLERS = 64
+MAX_CALLERS = 64
 """Callers that are counted separately. The largest total is overestimated by at most 1/64 of all
 slot time."""
 
@@ -18,11 +18,11 @@
         """Upper bound of the slot time of the caller that used most."""
         return max(self._by_caller.values(), default=0.0)
 
-    def note(self, caller: str, seconds: float) -> None:
+    def record(self, caller: str, seconds: float) -> None:
         """Adds the time for which a statement of a caller held a slot."""
         self.total_seconds += seconds
         known = self._by_caller.get(caller)
-        if known is None and len(self._by_caller) >= MOST_CALLERS:
+        if known is None and len(self._by_caller) >= MAX_CALLERS:
             least = min(self._by_caller, key=lambda name: self._by_caller[name])
             known = self._by_caller.pop(least)
         self._by_caller[caller] = (known or 0.0) + seconds
--- a/src/dewledge/core/pooler/load/ticket.py
+++ b/src/dewledge/core/pooler/load/ticket.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-LIFETIME_SECONDS = 12.0
+MAX_OPERATION_AGE_SECONDS = 12.0
 """Maximum age of an operation since its first attempt: the longest timeout that clients use."""
-LATE_SECONDS = 1.0
+MAX_RETRY_DELAY_SECONDS = 1.0
 """A retry that is later than promised by more than this counts as a new operation. An early retry
 keeps its arrival time, as if it had stayed in the queue, and gains nothing by it."""
 
@@ -31,6 +31,6 @@
     """Returns the arrival time of an operation: that of its ticket if it applies, otherwise now."""
     if ticket is None or ticket.priority != priority:
         return now
-    is_punctual = now <= ticket.return_at + LATE_SECONDS
-    is_young = now - ticket.arrived <= LIFETIME_SECONDS
+    is_punctual = now <= ticket.return_at + MAX_RETRY_DELAY_SECONDS
+    is_young = now - ticket.arrived <= MAX_OPERATION_AGE_SECONDS
     return ticket.arrived if is_punctual and is_young else now
--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-LEAST_COUNTED_SECONDS = 0.01
+MIN_COUNTED_SECONDS = 0.01
 """Shorter waits, expected or actual, are not distinguished: such a statement is served at once."""
-QUARTER = 0.25
+QUARTER_RATIO = 0.25
 """Relative error of the expected wait up to which it counts as within a quarter."""
-DOUBLE = 2.0
+DOUBLE_FACTOR = 2.0
 """Factor between the expected and the actual wait, either way, up to which they count as within
 double."""
-MAX_REFUSED_KEPT = 256
+MAX_REMEMBERED_REFUSALS = 256
 """Statements that were refused and are remembered until their deadline; bounds memory."""
 
 
@@ -42,27 +42,27 @@
 
     def __init__(self) -> None:
         self.counts = WaitCounts()
-        self._refused_until: deque[float] = deque(maxlen=MAX_REFUSED_KEPT)
+        self._refused_latest_starts: deque[float] = deque(maxlen=MAX_REMEMBERED_REFUSALS)
 
-    def note_served(self, expected_seconds: float, real_seconds: float) -> None:
+    def record_served(self, expected_seconds: float, real_seconds: float) -> None:
         """Counts a served statement with its expected and its actual wait."""
-        if max(expected_seconds, real_seconds) < LEAST_COUNTED_SECONDS:
+        if max(expected_seconds, real_seconds) < MIN_COUNTED_SECONDS:
             return
-        expected = max(expected_seconds, LEAST_COUNTED_SECONDS)
-        real = max(real_seconds, LEAST_COUNTED_SECONDS)
+        expected = max(expected_seconds, MIN_COUNTED_SECONDS)
+        real = max(real_seconds, MIN_COUNTED_SECONDS)
         self.counts.served += 1
-        self.counts.within_quarter += abs(real - expected) <= QUARTER * expected
-        self.counts.within_double += expected / DOUBLE <= real <= expected * DOUBLE
+        self.counts.within_quarter += abs(real - expected) <= QUARTER_RATIO * expected
+        self.counts.within_double += expected / DOUBLE_FACTOR <= real <= expected * DOUBLE_FACTOR
 
-    def note_refused(self, latest_start: float) -> None:
+    def record_refused(self, latest_start: float) -> None:
         """Counts a refused statement whose latest start was `latest_start` (steady clock,
         seconds)."""
         self.counts.refused += 1
-        self._refused_until.append(latest_start)
+        self._refused_latest_starts.append(latest_start)
 
-    def note_free(self, now: float, places: int) -> None:
+    def record_free_slots(self, now: float, free_slots: int) -> None:
         """Counts refused statements that could have used slots which are now free."""
-        while self._refused_until and places > 0:
-            if self._refused_until.popleft() >= now:
+        while self._refused_latest_starts and free_slots > 0:
+            if self._refused_latest_starts.popleft() >= now:
                 self.counts.refused_with_room += 1
-                places -= 1
+                free_slots -= 1
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -15,17 +15,17 @@
 
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
-BACK_IN_ORDER_SHARE = 0.25
+ARRIVAL_ORDER_RATIO = 0.25
 """The last part of the time between missing the latency target and the latest start, in which a
 late statement is in order of arrival again. Too small a part leaves too little time to serve all
 late statements."""
-LEAST_JUDGING_SECONDS = 0.02
+MIN_CHECK_INTERVAL_SECONDS = 0.02
 """Minimum interval between two checks of a waiting statement."""
 EXHAUSTED_SECONDS = 0.4
 """A database that kept a statement waiting for this time and then refused it, or executed nothing
 of this process for as long, is not tried again. Statements have timeouts of 0.8 s and more, so that
 half is left for another database."""
-TIMER_SECONDS = 0.001
+TIMER_RESOLUTION_SECONDS = 0.001
 """Resolution of timers; a statement this close to its latest start is treated as having reached
 it."""
 
@@ -54,20 +54,20 @@
     latest_start: float = math.inf
 
     @property
-    def has_come_back(self) -> bool:
+    def is_retry(self) -> bool:
         """Whether the operation was refused before and has been retried."""
         return self.arrived < self.came
 
     @property
-    def back_in_order_at(self) -> float:
+    def arrival_order_from(self) -> float:
         """The time from which a late statement is in order of arrival again."""
-        if self.has_come_back:
+        if self.is_retry:
             return self.in_time_until
         late_since = max(self.in_time_until, self.came)
         span = max(self.latest_start - late_since, 0.0)
-        return self.latest_start - BACK_IN_ORDER_SHARE * span
+        return self.latest_start - ARRIVAL_ORDER_RATIO * span
 
-    def started_after(self, service_seconds: float) -> "WaitDeadlines":
+    def less_service_time(self, service_seconds: float) -> "WaitDeadlines":
         """Returns deadlines that are earlier by the time that the statement takes once it has
         started."""
         return WaitDeadlines(
@@ -77,35 +77,35 @@
             self.latest_start - service_seconds,
         )
 
-    def is_urgent_by_time(self, now: float) -> bool:
+    def is_near_latest_start(self, now: float) -> bool:
         """Tells whether the statement is late and near its latest start."""
-        return self.in_time_until < now and self.back_in_order_at <= now
+        return self.in_time_until < now and self.arrival_order_from <= now
 
     def queue_priority(self, now: float) -> QueuePriority:
         """Returns the queue priority at a time."""
-        is_late = self.in_time_until < now < self.back_in_order_at
+        is_late = self.in_time_until < now < self.arrival_order_from
         return QueuePriority.LATE if is_late else QueuePriority.IN_TIME
 
     def next_change(self, now: float) -> float:
         """Returns when the rank changes next, infinite if it does not."""
         if self.in_time_until >= self.latest_start:
             return math.inf
-        if self.has_come_back:
+        if self.is_retry:
             return self.in_time_until if now <= self.in_time_until else math.inf
         if now <= self.in_time_until:
             return self.in_time_until
-        return self.back_in_order_at if now < self.back_in_order_at else math.inf
+        return self.arrival_order_from if now < self.arrival_order_from else math.inf
 
 
 def may_wait(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
     """Tells whether a statement can start in time; without an expected wait, until its latest
     start."""
-    if now + TIMER_SECONDS >= deadlines.latest_start:
+    if now + TIMER_RESOLUTION_SECONDS >= deadlines.latest_start:
         return False
     return expected is None or now + expected.seconds <= deadlines.latest_start
 
 
-def judged_again_at(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
+def next_check_at(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> float:
     """Returns when to check a waiting statement again: after half of its spare time.
 
     A statement whose expected wait grows is thus refused with half of its spare time left, after
@@ -115,4 +115,4 @@
         return math.inf
     known = 0.0 if expected is None else expected.seconds
     spare = deadlines.latest_start - now - known
-    return min(now + max(spare / 2, LEAST_JUDGING_SECONDS), deadlines.latest_start)
+    return min(now + max(spare / 2, MIN_CHECK_INTERVAL_SECONDS), deadlines.latest_start)
--- a/src/dewledge/core/pooler/load/wait_estimate.py
+++ b/src/dewledge/core/pooler/load/wait_estimate.py
@@ -16,17 +16,17 @@
 
 from dewledge.core.shared.service_rate import ServiceRate
 
-DRAIN_SMOOTHING = 0.15
+DRAIN_SMOOTHING_RATIO = 0.15
 """Weight of each departure interval in the moving average, low enough to smooth single statements
 and high enough to notice a stalled queue soon."""
-FRESH_SECONDS = 1.0
+MAX_DRAIN_AGE_SECONDS = 1.0
 """Maximum age of the last departure for the drain rate to describe the current queue."""
-TIME_SMOOTHING = 0.1
+TIME_SMOOTHING_RATIO = 0.1
 """Weight of each sample in the moving averages of service, loan and opening times: a busy database
 that becomes slow or fast is noticed in a fraction of a second."""
-FIRST_SERVICE_SECONDS = 0.01
+DEFAULT_SERVICE_SECONDS = 0.01
 """Default for the reported service time. No statement is refused by it."""
-_UNMEASURED = ServiceRate(FIRST_SERVICE_SECONDS, TIME_SMOOTHING)
+_DEFAULT_RATE = ServiceRate(DEFAULT_SERVICE_SECONDS, TIME_SMOOTHING_RATIO)
 """Reported until there is a sample; it must not be updated."""
 
 
@@ -66,26 +66,26 @@
 
     def __init__(self) -> None:
         self._interval: float | None = None
-        self._left_at = -math.inf
-        self._is_backlog = False
+        self._departed_at = -math.inf
+        self._has_backlog = False
 
-    def note_left(self, now: float, waiting: int) -> None:
+    def record_departure(self, now: float, waiting: int) -> None:
         """Records that a statement left the queue for a slot, with `waiting` others behind it."""
-        if self._is_backlog:
-            interval = now - self._left_at
+        if self._has_backlog:
+            interval = now - self._departed_at
             known = interval if self._interval is None else self._interval
-            self._interval = known + DRAIN_SMOOTHING * (interval - known)
-        self._left_at = now
-        self._is_backlog = waiting > 0
+            self._interval = known + DRAIN_SMOOTHING_RATIO * (interval - known)
+        self._departed_at = now
+        self._has_backlog = waiting > 0
 
-    def note_empty(self) -> None:
+    def record_empty(self) -> None:
         """Records that the queue is empty: the time until the next departure is not a sample."""
-        self._is_backlog = False
+        self._has_backlog = False
 
     def expected_wait(self, ahead: int, now: float) -> ExpectedWait | None:
         """Returns the wait behind `ahead` others, None without a recent sample."""
-        age = now - self._left_at
-        if self._interval is None or not self._is_backlog or age > FRESH_SECONDS:
+        age = now - self._departed_at
+        if self._interval is None or not self._has_backlog or age > MAX_DRAIN_AGE_SECONDS:
             return None
         return ExpectedWait(max((ahead + 1) * self._interval - age, 0.0), age)
 
@@ -95,34 +95,34 @@
 
     def __init__(self) -> None:
         self._slot: ServiceRate | None = None
-        self._lent: ServiceRate | None = None
+        self._loan: ServiceRate | None = None
         self._opening: ServiceRate | None = None
         self._measured_at = 0.0
 
     @property
     def service(self) -> ServiceRate:
         """The usual time for which a statement holds a slot, with a default for reports."""
-        return self._slot or _UNMEASURED
+        return self._slot or _DEFAULT_RATE
 
     @property
     def slot_seconds(self) -> float:
         """The usual time for which a statement holds a slot, 0 until there is a sample."""
         return 0.0 if self._slot is None else self._slot.service_time
 
-    def note_slot(self, seconds: float, now: float) -> None:
+    def record_slot_time(self, seconds: float, now: float) -> None:
         """Records for how many seconds a statement held a slot."""
         self._measured_at = now
-        self._slot = _noted(self._slot, seconds)
+        self._slot = _updated(self._slot, seconds)
 
-    def note_lent(self, seconds: float) -> None:
+    def record_loan_time(self, seconds: float) -> None:
         """Records for how many seconds a connection was on loan."""
-        self._lent = _noted(self._lent, seconds)
+        self._loan = _updated(self._loan, seconds)
 
-    def note_opening(self, seconds: float) -> None:
+    def record_opening_time(self, seconds: float) -> None:
         """Records in how many seconds a connection was opened."""
-        self._opening = _noted(self._opening, seconds)
+        self._opening = _updated(self._opening, seconds)
 
-    def spacing(self, places: int) -> float:
+    def service_interval(self, places: int) -> float:
         """Returns the average interval in which the queue serves one statement."""
         return self.slot_seconds / max(places, 1)
 
@@ -134,11 +134,11 @@
         """
         if self._slot is None:
             return None
-        slots = _turns(ahead, capacity.running, capacity.places)
+        slots = _service_rounds(ahead, capacity.running, capacity.places)
         seconds = slots * self._slot.service_time
-        if self._lent is not None:
-            connections = _turns(ahead, capacity.lent, capacity.connections)
-            seconds = max(seconds, connections * self._lent.service_time)
+        if self._loan is not None:
+            connections = _service_rounds(ahead, capacity.lent, capacity.connections)
+            seconds = max(seconds, connections * self._loan.service_time)
         if capacity.is_opening and self._opening is not None:
             seconds = max(seconds, self._opening.service_time)
         return ExpectedWait(seconds, now - self._measured_at)
@@ -155,7 +155,7 @@
         self.rates = SlotRates()
         self.drain = DrainRate()
 
-    def behind(self, ahead: int, now: float) -> ExpectedWait | None:
+    def expected_wait(self, ahead: int, now: float) -> ExpectedWait | None:
         """Returns the expected wait behind `ahead` others, None without samples."""
         measured = self.drain.expected_wait(ahead, now)
         if measured is not None:
@@ -163,14 +163,14 @@
         return self.rates.expected_wait(ahead, self._capacity(), now)
 
 
-def _turns(ahead: int, taken: int, places: int) -> float:
+def _service_rounds(ahead: int, in_use: int, places: int) -> float:
     """Returns after how many service times `ahead` others and one more have started."""
-    beyond = ahead + taken + 1 - places
+    beyond = ahead + in_use + 1 - places
     return max(beyond, 0) / max(places, 1)
 
 
-def _noted(rate: ServiceRate | None, seconds: float) -> ServiceRate:
+def _updated(rate: ServiceRate | None, seconds: float) -> ServiceRate:
     if rate is None:
-        return ServiceRate(seconds, TIME_SMOOTHING)
+        return ServiceRate(seconds, TIME_SMOOTHING_RATIO)
     rate.note(seconds)
     return rate
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -18,11 +18,11 @@
 
 LEVEL_PARTS = 2
 """Parts of a rank that identify its level: urgency and queue priority."""
-ONE_FLOW = ""
+SINGLE_FLOW = ""
 """The name of the flow if all waiters share one."""
 
 
-class Waiting(Protocol):
+class QueueItem(Protocol):
     """An item that can wait in the queue."""
 
     queued_rank: Rank | None
@@ -35,7 +35,7 @@
         """Returns when the rank changes next, infinite if it does not."""
 
 
-Waiter = TypeVar("Waiter", bound=Waiting)
+Waiter = TypeVar("Waiter", bound=QueueItem)
 
 
 class Charge(msgspec.Struct):
@@ -46,12 +46,12 @@
     cost: float
 
 
-def one_flow(_waiter: object) -> str:
+def single_flow(_waiter: object) -> str:
     """Assigns every waiter to the same flow."""
-    return ONE_FLOW
+    return SINGLE_FLOW
 
 
-def equal_cost() -> float:
+def unit_cost() -> float:
     """Returns the same cost for every waiter."""
     return 1.0
 
@@ -65,8 +65,8 @@
 
     def __init__(
         self,
-        flow_of: Callable[[Waiter], str] = one_flow,
-        cost: Callable[[], float] = equal_cost,
+        flow_of: Callable[[Waiter], str] = single_flow,
+        cost: Callable[[], float] = unit_cost,
     ) -> None:
         """Creates an empty queue.
 
@@ -89,7 +89,7 @@
             yield from self._levels[key]
 
     @property
-    def most_urgent(self) -> int:
+    def most_urgent_count(self) -> int:
         """The number of waiters with the urgency of the first one."""
         if not self._order:
             return 0
@@ -97,7 +97,7 @@
         return sum(self._levels[key].size for key in self._order if key[0] == urgency)
 
     @property
-    def remembered(self) -> int:
+    def tracked_flow_count(self) -> int:
         """The number of flows that have a share, over all levels."""
         return sum(len(level.shares) for level in self._levels.values())
 
@@ -116,14 +116,14 @@
 
     def remove(self, waiter: Waiter) -> None:
         """Removes a waiter that was not served; does nothing if it is not in the queue."""
-        level = self._take_out(waiter)
+        level = self._extract(waiter)
         if level is not None:
             level.shares.leave(self._flow_of(waiter))
 
     def serve(self, waiter: Waiter) -> Charge:
         """Removes a waiter that is served and charges its flow; it must be in the queue."""
         rank, cost = waiter.queued_rank, self._cost()
-        level = self._take_out(waiter)
+        level = self._extract(waiter)
         if level is None or rank is None:
             raise ValueError("cannot serve a waiter that is not in the queue")
         flow = self._flow_of(waiter)
@@ -136,31 +136,31 @@
         if level is not None:
             level.shares.settle(charge.flow, real_cost - charge.cost)
 
-    def ahead(self, waiter: Waiter) -> int | None:
+    def count_ahead(self, waiter: Waiter) -> int | None:
         """Returns the number of waiters before a waiter, None if it is not in the queue."""
         rank = waiter.queued_rank
         if rank is None or self._position(waiter) is None:
             return None
-        return self.before(waiter, rank)
+        return self.count_before(waiter, rank)
 
-    def everyone(self) -> Iterator[Waiter]:
+    def unordered(self) -> Iterator[Waiter]:
         """Returns all waiters in no particular order."""
         for level in self._levels.values():
             for flow in level.flows.values():
                 yield from flow.waiters
 
-    def before(self, waiter: Waiter, rank: Rank) -> int:
+    def count_before(self, waiter: Waiter, rank: Rank) -> int:
         """Returns the number of waiters before a waiter, if it had the given rank."""
         key = rank[:LEVEL_PARTS]
         ahead = sum(level.size for other, level in self._levels.items() if other < key)
         level = self._levels.get(key)
-        return ahead if level is None else ahead + level.before(self._flow_of(waiter), rank)
+        return ahead if level is None else ahead + level.count_before(self._flow_of(waiter), rank)
 
-    def is_first(self, waiter: Waiter, now: float) -> bool:
+    def would_be_first(self, waiter: Waiter, now: float) -> bool:
         """Tells whether a waiter that is not in the queue would be the first."""
-        return not self._order or self.before(waiter, waiter.rank(now)) == 0
+        return not self._order or self.count_before(waiter, waiter.rank(now)) == 0
 
-    def longest_flow(self, charge: Charge) -> tuple[Waiter, int] | None:
+    def longest_flow_behind(self, charge: Charge) -> tuple[Waiter, int] | None:
         """Returns the first waiter and the length of the longest flow behind a served one.
 
         Only flows that have received more than their fair share so far are considered. A flow that
@@ -199,9 +199,9 @@
             return None
         level = self._levels.get(waiter.queued_rank[:LEVEL_PARTS])
         flow = None if level is None else level.flows.get(self._flow_of(waiter))
-        return None if flow is None else flow.position(waiter.queued_rank, waiter)
+        return None if flow is None else flow.find_position(waiter.queued_rank, waiter)
 
-    def _take_out(self, waiter: Waiter) -> QueueLevel[Waiter] | None:
+    def _extract(self, waiter: Waiter) -> QueueLevel[Waiter] | None:
         """Removes a waiter and returns its level, None if it is not in the queue."""
         position, rank = self._position(waiter), waiter.queued_rank
         if position is None or rank is None:
--- a/src/dewledge/core/pooler/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -38,25 +38,25 @@
     """Remembers the counters of each queue at its last summary."""
 
     def __init__(self) -> None:
-        self._told: dict[QueueName, WaitCounts] = {}
+        self._last_counts: dict[QueueName, WaitCounts] = {}
 
     def collect(self, counts: Mapping[QueueName, WaitCounts]) -> Sequence[WaitsCounted]:
         """Returns what was counted since the last call, for queues that counted anything."""
-        found = [self._since_told(name, now) for name, now in counts.items()]
-        self._told = {name: msgspec.structs.replace(now) for name, now in counts.items()}
+        found = [self._since_last(name, now) for name, now in counts.items()]
+        self._last_counts = {name: msgspec.structs.replace(now) for name, now in counts.items()}
         return [summary for summary in found if summary.served or summary.refused]
 
-    def _since_told(self, name: QueueName, now: WaitCounts) -> WaitsCounted:
-        told = self._told.get(name, WaitCounts())
-        if told.served > now.served or told.refused > now.refused:
+    def _since_last(self, name: QueueName, current: WaitCounts) -> WaitsCounted:
+        told = self._last_counts.get(name, WaitCounts())
+        if told.served > current.served or told.refused > current.refused:
             # The queue was replaced, and its counters restarted at zero.
             told = WaitCounts()
         return WaitsCounted(
             group=name.group,
             database=name.database,
-            served=now.served - told.served,
-            within_quarter=now.within_quarter - told.within_quarter,
-            within_double=now.within_double - told.within_double,
-            refused=now.refused - told.refused,
-            refused_with_room=max(now.refused_with_room - told.refused_with_room, 0),
+            served=current.served - told.served,
+            within_quarter=current.within_quarter - told.within_quarter,
+            within_double=current.within_double - told.within_double,
+            refused=current.refused - told.refused,
+            refused_with_room=max(current.refused_with_room - told.refused_with_room, 0),
         )
--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -73,7 +73,7 @@
 
     def _shares(self) -> ConnectionShares:
         held = self._held
-        waiting = {waiter.caller for waiter in self._waiters.everyone()}
+        waiting = {waiter.caller for waiter in self._waiters.unordered()}
         opening = held.openings.by_caller
         return ConnectionShares(held.limit, held.idle, held.lent, opening, waiting)
 
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -101,7 +101,7 @@
     @property
     def urgent_waiting(self) -> int:
         """Those of them that are as urgent as the most urgent one."""
-        return self._waits.queue.most_urgent
+        return self._waits.queue.most_urgent_count
 
     @property
     def running(self) -> int:
@@ -209,7 +209,7 @@
         if is_served:
             self.served_at = self._clock()
             if held_seconds is not None:
-                self._waits.rates.note_slot(held_seconds, self._clock())
+                self._waits.rates.record_slot_time(held_seconds, self._clock())
                 self._settle(connection, held_seconds)
         if not self._slots.is_bounded:
             return
@@ -222,7 +222,7 @@
     def release(self, connection: DatabaseConnection) -> None:
         """Takes a connection back; one of unknown state is closed, never given out again."""
         self._held.take_back(connection)
-        self._waits.rates.note_lent(self._clock() - connection.lent_at)
+        self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
         connection.end_loan()
         is_kept = not self.retired and self._held.is_below_limit
         if is_kept and self._held.is_reusable(connection):
@@ -272,10 +272,10 @@
     def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
         if connection is not None and connection.charge is not None:
             self._waits.settle(connection.charge, held_seconds)
-            self.slot_use.note(connection.caller, held_seconds)
+            self.slot_use.record(connection.caller, held_seconds)
 
     def _opened(self, connection: DatabaseConnection, seconds: float) -> None:
-        self._waits.rates.note_opening(seconds)
+        self._waits.rates.record_opening_time(seconds)
         if self.retired or connection.generation != self._openings.generation:
             connection.close()
             self._more.open_if_useful()
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -45,7 +45,7 @@
         """A statement was served from the queue for a charge."""
         if now < self._told_at + TELL_SPACING_SECONDS:
             return
-        longest = self._queue.longest_flow(charge)
+        longest = self._queue.longest_flow_behind(charge)
         if longest is None:
             return
         first, waiting = longest
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -11,9 +11,9 @@
 from dewledge.core.pooler.load.return_moments import ReturnMoments
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitRecord
-from dewledge.core.pooler.load.wait_deadlines import QueuePriority, judged_again_at, may_wait
+from dewledge.core.pooler.load.wait_deadlines import QueuePriority, may_wait, next_check_at
 from dewledge.core.pooler.load.wait_estimate import Capacity, ExpectedWait, SlotRates, WaitEstimate
-from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, one_flow
+from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, single_flow
 from dewledge.core.pooler.pool.held_to_share import HeldToShare, HeldToShareWatch
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
@@ -38,7 +38,7 @@
         self._capacity = capacity
         self._returns = ReturnMoments()
         self._estimate = WaitEstimate(capacity)
-        self._flow_of = caller_of if is_fair else one_flow
+        self._flow_of = caller_of if is_fair else single_flow
         self.queue: WaitQueue[Waiter] = WaitQueue(self._flow_of, self._usual_cost)
         self._held = HeldToShareWatch(self.queue)
         self.record = WaitRecord()
@@ -60,7 +60,7 @@
 
     def is_first(self, waiter: Waiter) -> bool:
         """Tells whether one that is not in the queue comes before all that are."""
-        return self.queue.is_first(waiter, self._clock())
+        return self.queue.would_be_first(waiter, self._clock())
 
     def add(self, waiter: Waiter) -> Verdict:
         """Has one wait, or refuses it at once."""
@@ -81,7 +81,7 @@
         expected: its wait here, None where it is not known.
         """
         room_in = None if expected is None else expected.seconds
-        spacing = self.rates.spacing(self._capacity().places)
+        spacing = self.rates.service_interval(self._capacity().places)
         return self._returns.promise(self._clock(), room_in, spacing)
 
     def give(self, waiter: Waiter) -> Charge:
@@ -96,9 +96,9 @@
         else:
             charge = self.queue.serve(waiter)
             self._held.note_served(waiter, charge, self._clock())
-        self._estimate.drain.note_left(now, len(self.queue))
+        self._estimate.drain.record_departure(now, len(self.queue))
         if waiter.expected is not None:
-            self.record.note_served(waiter.expected.seconds, now - waiter.deadlines.came)
+            self.record.record_served(waiter.expected.seconds, now - waiter.deadlines.came)
         return charge
 
     def settle(self, charge: Charge, held_seconds: float) -> None:
@@ -109,10 +109,10 @@
 
     def note_room(self) -> None:
         """Nobody waits, and there may be room."""
-        self._estimate.drain.note_empty()
+        self._estimate.drain.record_empty()
         capacity = self._capacity()
         free = min(capacity.places - capacity.running, capacity.connections - capacity.lent)
-        self.record.note_free(self._clock(), max(free, 0))
+        self.record.record_free_slots(self._clock(), max(free, 0))
 
     def deny_all(self, denial: Denial) -> None:
         """Denies a connection to all that wait."""
@@ -122,9 +122,9 @@
     def _judge(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
         now = self._clock()
         if may_wait(waiter.deadlines, now, expected):
-            return WaitUntil(judged_again_at(waiter.deadlines, now, expected))
+            return WaitUntil(next_check_at(waiter.deadlines, now, expected))
         self.queue.remove(waiter)
-        self.record.note_refused(waiter.deadlines.latest_start)
+        self.record.record_refused(waiter.deadlines.latest_start)
         refusal = Refuse(RefusalCause.NO_ROOM_IN_TIME, self.promise_return(expected))
         waiter.deny(Denial.NO_ROOM, refusal, expected)
         return refusal
@@ -137,16 +137,16 @@
 
         A late one is passed over until it is back in the order of arrival, and waits from there.
         """
-        ahead = self.queue.ahead(waiter)
+        ahead = self.queue.count_ahead(waiter)
         if ahead is None or waiter.demand is Demand.OWN:
             return None
         now = self._clock()
-        expected = self._estimate.behind(ahead, now)
+        expected = self._estimate.expected_wait(ahead, now)
         if expected is None or waiter.deadlines.queue_priority(now) is QueuePriority.IN_TIME:
             return expected
-        passed = max(waiter.deadlines.back_in_order_at - now, 0.0)
-        ahead_then = self.queue.before(waiter, waiter.rank_near_latest_start)
-        then = self._estimate.behind(ahead_then, now)
+        passed = max(waiter.deadlines.arrival_order_from - now, 0.0)
+        ahead_then = self.queue.count_before(waiter, waiter.rank_near_latest_start)
+        then = self._estimate.expected_wait(ahead_then, now)
         if then is None:
             return expected
         return ExpectedWait(min(expected.seconds, passed + then.seconds), then.age_seconds)
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -112,7 +112,7 @@
             self.deadlines = WaitDeadlines(now, now)
         else:
             left = max(self._deadlines.latest_start - now, 0.0)
-            self.deadlines = self._deadlines.started_after(
+            self.deadlines = self._deadlines.less_service_time(
                 min(service_seconds, left * MOST_WORK_SHARE)
             )
 
@@ -137,7 +137,7 @@
 
         One that is late and near its latest start comes by its arrival among the single ones.
         """
-        if self.deadlines.is_urgent_by_time(now):
+        if self.deadlines.is_near_latest_start(now):
             return self.rank_near_latest_start
         queue_priority = self.deadlines.queue_priority(now)
         return (self.priority, queue_priority, self.demand, self.deadlines.arrived, self._number)
--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.load.choice import Candidate, Completion, order
 from dewledge.core.pooler.load.load_table import LoadTable
 from dewledge.core.pooler.load.report import LoadReport
-from dewledge.core.pooler.load.shown_failures import MOST_DATABASES, ShownFailures
+from dewledge.core.pooler.load.shown_failures import MAX_DATABASES, ShownFailures
 
 WORK = 0.01
 NEAR = 0.001
@@ -168,7 +168,7 @@
         self.assertEqual(len(failures), 0)
         for number in range(1400):
             failures.note(f"ill{number}", has_failed=True, now=0.0)
-        self.assertEqual(len(failures), MOST_DATABASES)
+        self.assertEqual(len(failures), MAX_DATABASES)
 
 
 seconds = st.floats(0.0, 10.0)
@@ -187,7 +187,7 @@
         ordered = order(candidates, iter(drawn).__next__)
         self.assertEqual(sorted(ordered, key=lambda each: each.database_id), candidates)
         for earlier, later in itertools.combinations(ordered, 2):
-            self.assertFalse(later.completion.is_better_in_all(earlier.completion))
+            self.assertFalse(later.completion.dominates(earlier.completion))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/load/test_drain_rate.py
+++ b/tests/core/pooler/load/test_drain_rate.py
@@ -5,14 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.wait_estimate import FRESH_SECONDS, DrainRate
+from dewledge.core.pooler.load.wait_estimate import MAX_DRAIN_AGE_SECONDS, DrainRate
 
 
 def drained(interval: float, count: int) -> DrainRate:
     """One leaves every `interval` seconds from 10.0 on, while others wait."""
     rate = DrainRate()
     for place in range(count):
-        rate.note_left(10.0 + place * interval, waiting=5)
+        rate.record_departure(10.0 + place * interval, waiting=5)
     return rate
 
 
@@ -34,15 +34,15 @@
     def test_nothing_is_known_without_a_backlog_or_of_long_ago(self) -> None:
         self.assertIsNone(DrainRate().expected_wait(0, 10.0))
         self.assertIsNone(drained(0.05, 1).expected_wait(0, 10.0))
-        self.assertIsNone(drained(0.05, 5).expected_wait(0, 12.0 + FRESH_SECONDS))
+        self.assertIsNone(drained(0.05, 5).expected_wait(0, 12.0 + MAX_DRAIN_AGE_SECONDS))
         empty = drained(0.05, 5)
-        empty.note_empty()
+        empty.record_empty()
         self.assertIsNone(empty.expected_wait(0, 10.21))
 
     def test_the_time_in_which_nobody_waited_measures_nothing(self) -> None:
         rate = drained(0.05, 20)
-        rate.note_empty()
-        rate.note_left(20.0, waiting=3)
+        rate.record_empty()
+        rate.record_departure(20.0, waiting=3)
         found = rate.expected_wait(0, 20.0)
         assert found is not None
         self.assertAlmostEqual(found.seconds, 0.05)
@@ -52,7 +52,7 @@
         now = 10.49
         for _ in range(10):
             now += 0.2
-            rate.note_left(now, waiting=5)
+            rate.record_departure(now, waiting=5)
         found = rate.expected_wait(0, now)
         assert found is not None
         self.assertGreater(found.seconds, 0.14)
@@ -62,7 +62,7 @@
         rate, now = DrainRate(), 10.0
         for interval in intervals:
             now += interval
-            rate.note_left(now, waiting=1)
+            rate.record_departure(now, waiting=1)
         found = rate.expected_wait(ahead, now)
         assert found is not None
         self.assertLessEqual(found.seconds, (ahead + 1) * max(intervals[1:]) + 1e-9)
--- a/tests/core/pooler/load/test_failed_login_throttle.py
+++ b/tests/core/pooler/load/test_failed_login_throttle.py
@@ -4,7 +4,7 @@
 
 from dewledge.core.pooler.load.failed_login_throttle import (
     ANSWERS_PER_SECOND,
-    MOST_HELD,
+    MAX_DELAYED_REFUSALS,
     PAUSE_SECONDS,
     FailedLoginThrottle,
 )
@@ -17,7 +17,12 @@
             ("a mistaken client", 1, 0, 0),
             ("as many as are told at once", first, 0, 0),
             ("more are told after a pause", first + 50, 50, 0),
-            ("very many are closed untold", first + MOST_HELD + 700, MOST_HELD, 700),
+            (
+                "very many are closed untold",
+                first + MAX_DELAYED_REFUSALS + 700,
+                MAX_DELAYED_REFUSALS,
+                700,
+            ),
         ]
         for name, tries, held, closed in rows:
             with self.subTest(name):
@@ -29,7 +34,7 @@
 
     def test_told_ones_make_room_and_time_fills_up(self) -> None:
         pace = FailedLoginThrottle()
-        for _ in range(int(ANSWERS_PER_SECOND) + MOST_HELD):
+        for _ in range(int(ANSWERS_PER_SECOND) + MAX_DELAYED_REFUSALS):
             pace.pause(100.0)
         self.assertIsNone(pace.pause(100.0))
         pace.told()
--- a/tests/core/pooler/load/test_load_table.py
+++ b/tests/core/pooler/load/test_load_table.py
@@ -9,11 +9,11 @@
 
 from dewledge.core.pooler.load.load_reporter import LoadReporter, bounded_report
 from dewledge.core.pooler.load.load_table import (
-    MOST_DATABASES,
-    MOST_HOLDERS,
+    DEFAULT_SERVICE_SECONDS,
+    MAX_DATABASES,
+    MAX_HOLDERS,
     REPORT_HALF_LIFE_SECONDS,
     SERVICE_HALF_LIFE_SECONDS,
-    USUAL_SERVICE_SECONDS,
     KnownLoad,
     LoadTable,
 )
@@ -142,7 +142,7 @@
         self.assertAlmostEqual(times[1], 0.025)
         self.assertAlmostEqual(times[2], 0.01, places=4)
         self.assertEqual(SERVICE_HALF_LIFE_SECONDS, 4.0)
-        self.assertEqual(LoadTable().usual_service(), USUAL_SERVICE_SECONDS)
+        self.assertEqual(LoadTable().usual_service(), DEFAULT_SERVICE_SECONDS)
 
     def test_a_process_that_wakes_takes_its_word_for_old(self) -> None:
         book = LoadTable()
@@ -156,14 +156,14 @@
         for number, (database, holder, waiting) in enumerate(words):
             book.take(f"d{database}", f"h{holder}", report(waiting=waiting), NOW + number)
             book.note_sent(f"d{database}")
-        self.assertLessEqual(len(book), MOST_DATABASES)
+        self.assertLessEqual(len(book), MAX_DATABASES)
 
     def test_many_databases_and_holders_leave_the_newest(self) -> None:
         book = LoadTable()
         for number in range(1400):
-            for holder in range(2 * MOST_HOLDERS):
+            for holder in range(2 * MAX_HOLDERS):
                 book.take(f"d{number}", f"h{holder}", report(), NOW + number)
-        self.assertEqual(len(book), MOST_DATABASES)
+        self.assertEqual(len(book), MAX_DATABASES)
         self.assertIsNone(book.known("d0", NOW))
         self.assertIsNotNone(book.known("d1399", NOW))
 
--- a/tests/core/pooler/load/test_slot_use.py
+++ b/tests/core/pooler/load/test_slot_use.py
@@ -2,19 +2,19 @@
 
 import unittest
 
-from dewledge.core.pooler.load.slot_use import MOST_CALLERS, SlotUse
+from dewledge.core.pooler.load.slot_use import MAX_CALLERS, SlotUse
 
 
 class SlotUseTest(unittest.TestCase):
     def test_the_largest_is_found_among_more_callers_than_are_kept(self) -> None:
         use = SlotUse()
-        for number in range(10 * MOST_CALLERS):
-            use.note(f"caller {number}", 0.01)
-            use.note("hot", 0.05)
-        hot = 10 * MOST_CALLERS * 0.05
+        for number in range(10 * MAX_CALLERS):
+            use.record(f"caller {number}", 0.01)
+            use.record("hot", 0.05)
+        hot = 10 * MAX_CALLERS * 0.05
         self.assertAlmostEqual(use.total_seconds, hot * 1.2)
         self.assertGreaterEqual(use.largest_seconds, hot - 1e-6)
-        self.assertLessEqual(use.largest_seconds, hot + use.total_seconds / MOST_CALLERS)
+        self.assertLessEqual(use.largest_seconds, hot + use.total_seconds / MAX_CALLERS)
 
     def test_nothing_was_used(self) -> None:
         self.assertEqual((SlotUse().total_seconds, SlotUse().largest_seconds), (0.0, 0.0))
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.load.return_moments import (
-    LEAST_RETURN_SECONDS,
-    LONGEST_RETURN_SECONDS,
+    MAX_RETRY_SECONDS,
+    MIN_RETRY_SECONDS,
     ReturnMoments,
 )
 from dewledge.core.pooler.load.ticket import Ticket, arrival_of
@@ -16,8 +16,8 @@
 from dewledge.core.pooler.load.wait_deadlines import (
     QueuePriority,
     WaitDeadlines,
-    judged_again_at,
     may_wait,
+    next_check_at,
 )
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
@@ -48,14 +48,14 @@
         returned = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
         for now in (10.0, 11.4, 11.6):
             self.assertEqual(returned.queue_priority(now), QueuePriority.IN_TIME, now)
-            self.assertTrue(returned.is_urgent_by_time(now))
+            self.assertTrue(returned.is_near_latest_start(now))
 
     def test_without_a_target_or_a_time_nothing_is_late(self) -> None:
         endless = WaitDeadlines(1.0, 1.0)
         self.assertTrue(may_wait(endless, 1e9, ExpectedWait(1e9)))
         self.assertEqual(endless.queue_priority(1e9), QueuePriority.IN_TIME)
         self.assertEqual(endless.next_change(5.0), math.inf)
-        self.assertEqual(judged_again_at(endless, 5.0, None), math.inf)
+        self.assertEqual(next_check_at(endless, 5.0, None), math.inf)
 
     @given(SECONDS, SECONDS, SECONDS, SECONDS)
     def test_its_standing_changes_when_it_says_so_and_at_most_twice(
@@ -79,7 +79,7 @@
         wait = None if expected is None else ExpectedWait(expected)
         now, judgements = 0.0, 0
         while may_wait(deadlines, now, wait):
-            again = judged_again_at(deadlines, now, wait)
+            again = next_check_at(deadlines, now, wait)
             self.assertGreater(again, now)
             self.assertLessEqual(again, latest)
             now = again
@@ -97,8 +97,8 @@
         for pause, room_in in refusals:
             now += pause
             told = returns.promise(now, room_in, spacing)
-            self.assertGreaterEqual(told, LEAST_RETURN_SECONDS - 1e-6)
-            self.assertLessEqual(told, LONGEST_RETURN_SECONDS + 1e-6)
+            self.assertGreaterEqual(told, MIN_RETRY_SECONDS - 1e-6)
+            self.assertLessEqual(told, MAX_RETRY_SECONDS + 1e-6)
             moments.append(now + told)
         near = [b - a for a, b in zip(moments, moments[1:], strict=False) if b >= a]
         self.assertTrue(all(gap >= spacing - 1e-9 for gap in near))
@@ -130,17 +130,17 @@
     def test_how_good_the_expected_waits_were(self) -> None:
         record = WaitRecord()
         for expected, real in ((0.1, 0.11), (0.1, 0.15), (0.1, 0.3), (0.001, 0.002)):
-            record.note_served(expected, real)
+            record.record_served(expected, real)
         counts = record.counts
         self.assertEqual((counts.served, counts.within_quarter, counts.within_double), (3, 1, 2))
 
     def test_a_place_that_stands_free_counts_for_one_refused_whose_time_is_not_over(self) -> None:
         record = WaitRecord()
         for latest in (1.0, 3.0, 3.0):
-            record.note_refused(latest)
-        record.note_free(2.0, 1)
+            record.record_refused(latest)
+        record.record_free_slots(2.0, 1)
         self.assertEqual((record.counts.refused, record.counts.refused_with_room), (3, 1))
-        record.note_free(4.0, 5)
+        record.record_free_slots(4.0, 5)
         self.assertEqual(record.counts.refused_with_room, 1)
 
 
--- a/tests/core/pooler/load/test_wait_queue.py
+++ b/tests/core/pooler/load/test_wait_queue.py
@@ -81,12 +81,12 @@
         queue: WaitQueue[Waits] = WaitQueue(flow_of)
         gone = played(queue, steps)
         order = list(queue)
-        self.assertEqual([queue.ahead(each) for each in order], list(range(len(order))))
+        self.assertEqual([queue.count_ahead(each) for each in order], list(range(len(order))))
         self.assertEqual(len(queue), len(order))
-        self.assertEqual({queue.ahead(each) for each in gone} - {None}, set())
+        self.assertEqual({queue.count_ahead(each) for each in gone} - {None}, set())
         self.assertEqual(len({*map(id, gone), *map(id, order)}), len(gone) + len(order))
         self.assertEqual(queue.drain(), order)
-        self.assertEqual((len(queue), queue.remembered), (0, 0))
+        self.assertEqual((len(queue), queue.tracked_flow_count), (0, 0))
 
     @settings(max_examples=200, deadline=None)
     @given(STEPS)
@@ -99,9 +99,9 @@
         queue.refresh(now)
         for caller in "ae":
             newcomer = Waits(caller, (1, 0, 3, 999), (1, 0, 3, 999), FOREVER)
-            is_first = queue.is_first(newcomer, now)
+            is_first = queue.would_be_first(newcomer, now)
             queue.add(newcomer, now)
-            self.assertEqual(is_first, queue.ahead(newcomer) == 0)
+            self.assertEqual(is_first, queue.count_ahead(newcomer) == 0)
             queue.remove(newcomer)
 
     @settings(max_examples=200, deadline=None)
