--- a/src/dewledge/core/pooler/load/choice.py
+++ b/src/dewledge/core/pooler/load/choice.py
@@ -83,8 +83,8 @@
     if len(ranked) < 2:
         return ranked
     first = _draw_candidate(ranked, draw())
-    rest = [candidate for candidate in ranked if candidate is not first]
-    head = min(first, _draw_candidate(rest, draw()), key=_rank)
+    remaining = [candidate for candidate in ranked if candidate is not first]
+    head = min(first, _draw_candidate(remaining, draw()), key=_rank)
     head = next((other for other in ranked if other.completion.dominates(head.completion)), head)
     return [head, *(candidate for candidate in ranked if candidate is not head)]
 
@@ -98,14 +98,14 @@
 
     The lag counts, so that replicas far behind the required position are rarely drawn.
     """
-    least = min(_weighting_seconds(candidate) for candidate in candidates)
+    shortest = min(_weighting_seconds(candidate) for candidate in candidates)
     weights = [
-        (least / _weighting_seconds(candidate)) ** CLOSENESS_EXPONENT for candidate in candidates
+        (shortest / _weighting_seconds(candidate)) ** CLOSENESS_EXPONENT for candidate in candidates
     ]
-    left = random_fraction * sum(weights)
+    remaining = random_fraction * sum(weights)
     for candidate, weight in zip(candidates, weights, strict=True):
-        left -= weight
-        if left < 0:
+        remaining -= weight
+        if remaining < 0:
             return candidate
     return candidates[-1]
 
--- a/src/dewledge/core/pooler/load/flow_queue.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -21,8 +21,7 @@
 
 
 class FlowQueue(Generic[Waiter]):
-    """The waiters of a flow, sorted by rank. The start tag of waiter n is n steps after the
-    first."""
+    """The waiters of a flow, sorted by rank; their start tags are equally spaced."""
 
     def __init__(self) -> None:
         self.ranks: list[Rank] = []
@@ -112,12 +111,12 @@
 
     def count_before(self, name: str, rank: Rank) -> int:
         """Returns the number of waiters served before a waiter of a flow with the given rank."""
-        own = self.flows.get(name)
-        position = 0 if own is None else own.count_before(rank)
-        if self.size == (0 if own is None else len(own.waiters)):
+        waiter_flow = self.flows.get(name)
+        position = 0 if waiter_flow is None else waiter_flow.count_before(rank)
+        if self.size == (0 if waiter_flow is None else len(waiter_flow.waiters)):
             return position
         cost = self._cost()
-        behind = position * self.shares.step(name, cost) if own is not None else 0.0
+        behind = position * self.shares.step(name, cost) if waiter_flow is not None else 0.0
         key = (self.shares.tag(name) + behind, rank)
         ahead = position
         for other, flow in self.flows.items():
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -29,7 +29,7 @@
 """Delay until the check after a late one: time to read what has arrived."""
 LOST_AFTER_SECONDS = 1.2
 """A link that is silent for this time is closed, and the results of its statements are unknown.
-Must be longer than the time after which any rules judge a holder silent."""
+Longer than the time to silence under any `HolderRules`."""
 MIN_CHECK_INTERVAL_SECONDS = 0.001
 """Minimum delay between two checks: the resolution of timers."""
 MIN_PAUSE_RATIO = 0.75
@@ -53,8 +53,8 @@
         silent_timeouts: Timeouts without a sign of life after which a suspected holder is silent.
         is_probed: Whether a lost holder must answer a dial before a statement is sent to it.
         first_pause: Pause after the first failed dial.
-        longest_pause: Upper bound of the pause; half of what most callers allow for an operation,
-            and long enough that 850 processes dial a lost holder 400 times a second in total.
+        longest_pause: Upper bound of the pause: short compared with the timeout of most operations,
+            and long enough to bound the dial rate of hundreds of processes.
         pause_growth: Factor by which the pause grows with each failure; 0 adds `first_pause` each
             time.
     """
@@ -83,8 +83,8 @@
     SILENT = "silent"
 
 
-class HealthCheck(msgspec.Struct, frozen=True):
-    """What to do after a health check.
+class CheckResult(msgspec.Struct, frozen=True):
+    """The result of a health check.
 
     Attributes:
         sends_ping: Whether to send a ping now.
@@ -98,11 +98,11 @@
 
 
 class HolderHealth:
-    """The health of the process at the other end of a link; times of the steady clock in
+    """The health of a connection holder, judged by its link; times of the steady clock in
     seconds."""
 
     def __init__(self, rules: HolderRules, jitter: Callable[[], float]) -> None:
-        """Starts as usable. `jitter` returns numbers in [0, 1] that spread the probes of many
+        """Starts as usable. `jitter` returns numbers in [0, 1] that spread the dials of many
         processes."""
         self._rules = rules
         self._jitter = jitter
@@ -143,9 +143,9 @@
         """Returns the seconds without a sign of life while one is outstanding, otherwise 0."""
         if not self._awaits_reply:
             return 0.0
-        asked = math.inf if self._probe_sent_at is None else self._probe_sent_at
-        due = self._outstanding_since if self.due else math.inf
-        return max(now - max(self._last_received_at, min(asked, due)), 0.0)
+        probe_sent = math.inf if self._probe_sent_at is None else self._probe_sent_at
+        outstanding = self._outstanding_since if self.due else math.inf
+        return max(now - max(self._last_received_at, min(probe_sent, outstanding)), 0.0)
 
     def is_usable(self, now: float) -> bool:
         """Tells whether new statements may be sent."""
@@ -159,8 +159,10 @@
         return self._rules.is_probed and is_silent and now >= self._next_dial_at
 
     def dialled(self, now: float) -> float | None:
-        """Records that a dial began; returns the delay until the first check, None if the dial's
-        own timeout is enough."""
+        """Records that a dial began.
+
+        Returns the delay until the first check, None if the timeout of the dial is sufficient.
+        """
         if not self._rules.is_probed:
             return None
         self._probe_sent_at = now
@@ -178,8 +180,11 @@
         self.heard(now)
 
     def ended(self, now: float, is_dial: bool) -> None:
-        """Records that the link was lost or a dial failed. After a loss, the first probe may follow
-        at once."""
+        """Records that the link was lost or a dial failed.
+
+        With probes, a lost link may be dialled again at once, and a failed dial is repeated after a
+        pause.
+        """
         self.due = 0
         self._probe_sent_at = None
         self._next_check_at = None
@@ -212,42 +217,42 @@
             self._round_trip.note(max(now - self._probe_sent_at, 0.0))
             self._probe_sent_at = None
 
-    def look(self, now: float) -> HealthCheck:
-        """Judges the holder now."""
-        late = 0.0 if self._next_check_at is None else now - self._next_check_at
+    def look(self, now: float) -> CheckResult:
+        """Updates the state and returns what to do next."""
+        delay = 0.0 if self._next_check_at is None else now - self._next_check_at
         self._next_check_at = None
         if not self._awaits_reply:
-            return HealthCheck()
-        if late > MAX_CHECK_DELAY_SECONDS:
-            self._discount_stall(now, late)
-            return HealthCheck(again=self._schedule_check(now, RECHECK_DELAY_SECONDS))
+            return CheckResult()
+        if delay > MAX_CHECK_DELAY_SECONDS:
+            self._discount_stall(now, delay)
+            return CheckResult(again=self._schedule_check(now, RECHECK_DELAY_SECONDS))
         silence = self.silence(now)
         if silence >= LOST_AFTER_SECONDS:
-            return HealthCheck(is_lost=True)
+            return CheckResult(is_lost=True)
         if self._probe_sent_at is None:
             remaining = self._rules.ping_after - silence
             if remaining > 0:
-                return HealthCheck(again=self._schedule_check(now, remaining))
+                return CheckResult(again=self._schedule_check(now, remaining))
             self._probe_sent_at = now
-            return HealthCheck(sends_ping=True, again=self._schedule_check(now, self.probe_timeout))
-        return HealthCheck(
+            return CheckResult(sends_ping=True, again=self._schedule_check(now, self.probe_timeout))
+        return CheckResult(
             again=self._schedule_check(now, self._judge_by_probe(now, self._probe_sent_at))
         )
 
     def _judge_by_probe(self, now: float, probe_sent_at: float) -> float:
-        """Judges the holder by an unanswered ping or dial; returns the delay until the next
+        """Updates the state by an unanswered ping or dial; returns the delay until the next
         check."""
         waited = now - max(probe_sent_at, self._last_received_at)
-        until_doubt = self.probe_timeout - waited
-        until_silence = self.probe_timeout * self._rules.silent_timeouts - waited
-        if until_silence <= 0:
+        until_suspected = self.probe_timeout - waited
+        until_silent = self.probe_timeout * self._rules.silent_timeouts - waited
+        if until_silent <= 0:
             self._set_state(HolderState.SILENT, now)
             return LOST_AFTER_SECONDS - self.silence(now)
-        if until_doubt <= 0:
+        if until_suspected <= 0:
             if self.state is HolderState.USABLE:
                 self._set_state(HolderState.DOUBTED, now)
-            return until_silence
-        return until_doubt
+            return until_silent
+        return until_suspected
 
     @property
     def _awaits_reply(self) -> bool:
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -29,9 +29,9 @@
     def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
         """Returns the report to attach to a reply now, None for none. `now`: steady clock in
         seconds."""
-        told = self._last_report
+        last_report = self._last_report
         is_old = now >= self._last_report_at + REPORT_HALF_LIFE_SECONDS
-        if told is not None and not is_old and not _differs(told, report):
+        if last_report is not None and not is_old and not _differs(last_report, report):
             return None
         self._last_report, self._last_report_at = report, now
         return report
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -15,14 +15,14 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 REPORT_HALF_LIFE_SECONDS = 0.5
-"""Half-life of a reported queue length. Statements wait 0.1 to 0.25 s, so that a reported queue is
-gone after about twice that."""
+"""Half-life of a reported queue length. Statements typically wait up to 0.25 s, so that a reported
+queue has drained after about twice that."""
 SERVICE_HALF_LIFE_SECONDS = 4.0
 """Half-life of a reported service time: machines stay slow for seconds. As the report ages, a
 database that was slow is tried again."""
 MAX_DATABASES = 64
-"""Databases of a group in the table; bounds its memory. A group has fewer, so that only databases
-that have left are dropped."""
+"""Databases of a group in the table; bounds its memory. A group has fewer, so that only removed
+databases are dropped."""
 MAX_HOLDERS = 8
 """Holders of a database in the table; bounds its memory."""
 DEFAULT_SERVICE_SECONDS = 0.01
@@ -63,13 +63,13 @@
         """
         window = max(self.window, 1.0)
         slots = window if self.waiting < 1.0 else min(window, max(self.running, 1.0))
-        told = _queueing_seconds(
+        reported_seconds = _queueing_seconds(
             self.waiting + self.running + sent_since, slots, self.service_seconds
         )
         if self.window < MIN_WINDOW:
-            told += NO_CONNECTION_WAIT_SECONDS
-        own = _queueing_seconds(in_flight, window, self.service_seconds)
-        seconds = self.weight * told + (1.0 - self.weight) * own
+            reported_seconds += NO_CONNECTION_WAIT_SECONDS
+        counted_seconds = _queueing_seconds(in_flight, window, self.service_seconds)
+        seconds = self.weight * reported_seconds + (1.0 - self.weight) * counted_seconds
         return ExpectedWait(seconds, self.age_seconds)
 
 
@@ -86,7 +86,7 @@
 
 class _DatabaseEntry:
     """The last report of each holder of a database, and the statements sent since the newest
-    one."""
+    report."""
 
     def __init__(self) -> None:
         self.reports: dict[str, _ReceivedReport] = {}
@@ -103,8 +103,7 @@
 
 
 class LoadTable:
-    """The load reports on the databases of a group, bounded in size; times of the steady clock in
-    seconds."""
+    """The load reports on the databases of a group; times of the steady clock in seconds."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _DatabaseEntry] = {}
@@ -143,36 +142,36 @@
         entry = self._entries.get(database_id)
         if entry is None:
             return None
-        newest = max(now - entry.newest_at, 0.0)
+        age = max(now - entry.newest_at, 0.0)
         waiting = running = window = service = total = 0.0
-        for heard in entry.reports.values():
+        for received in entry.reports.values():
             # Relative to the newest report, so that the total is at least 1.
-            share = _decay(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
-            total += share
-            waiting += share * heard.report.waiting
-            running += share * heard.report.running
-            window += share * heard.report.window
-            service += share * heard.report.service_ms / MILLISECONDS
-        kept = _decay(newest, SERVICE_HALF_LIFE_SECONDS)
+            weight = _decay(now - received.heard_at - age, REPORT_HALF_LIFE_SECONDS)
+            total += weight
+            waiting += weight * received.report.waiting
+            running += weight * received.report.running
+            window += weight * received.report.window
+            service += weight * received.report.service_ms / MILLISECONDS
+        service_weight = _decay(age, SERVICE_HALF_LIFE_SECONDS)
         return KnownLoad(
             waiting / total,
             running / total,
             window / total,
-            kept * service / total + (1.0 - kept) * self.usual_service(),
-            _decay(newest, REPORT_HALF_LIFE_SECONDS),
-            newest,
+            service_weight * service / total + (1.0 - service_weight) * self.usual_service(),
+            _decay(age, REPORT_HALF_LIFE_SECONDS),
+            age,
         )
 
     def usual_service(self) -> float:
         """Returns the median of the reported service times, in seconds."""
         if self._usual_service_seconds is None:
-            told = [
-                heard.report.service_ms
+            reported = [
+                received.report.service_ms
                 for entry in self._entries.values()
-                for heard in entry.reports.values()
+                for received in entry.reports.values()
             ]
             self._usual_service_seconds = (
-                median(told) / MILLISECONDS if told else DEFAULT_SERVICE_SECONDS
+                median(reported) / MILLISECONDS if reported else DEFAULT_SERVICE_SECONDS
             )
         return self._usual_service_seconds
 
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/shown_failures.py
@@ -48,25 +48,25 @@
         return len(self._records)
 
     def note(self, database_id: str, has_failed: bool, now: float, seconds: float = 0.0) -> None:
-        """Records an outcome, `seconds` after the statement was sent. `now`: steady clock in
-        seconds."""
-        shown = self._records.get(database_id)
-        if shown is None:
+        """Records an outcome at `now` (steady clock, seconds), `seconds` after the statement was
+        sent."""
+        failures = self._records.get(database_id)
+        if failures is None:
             if not has_failed:
                 return
             if len(self._records) >= MAX_DATABASES:
                 del self._records[next(iter(self._records))]
-            shown = self._records[database_id] = _FailureRecord(0.0, now)
-        share = shown.ratio_at(now)
-        shown.share = share + FAILURE_SMOOTHING_RATIO * (float(has_failed) - share)
-        shown.noted_at = now
+            failures = self._records[database_id] = _FailureRecord(0.0, now)
+        ratio = failures.ratio_at(now)
+        failures.share = ratio + FAILURE_SMOOTHING_RATIO * (float(has_failed) - ratio)
+        failures.noted_at = now
         if has_failed:
-            shown.lost_seconds += FAILURE_SMOOTHING_RATIO * (seconds - shown.lost_seconds)
+            failures.lost_seconds += FAILURE_SMOOTHING_RATIO * (seconds - failures.lost_seconds)
 
     def detour(self, database_id: str, now: float) -> float:
         """Returns the expected cost of failures at a database, in seconds for each statement."""
-        shown = self._records.get(database_id)
-        if shown is None:
+        failures = self._records.get(database_id)
+        if failures is None:
             return 0.0
-        share = min(shown.ratio_at(now), MAX_FAILURE_RATIO)
-        return (FAILURE_COST_SECONDS + shown.lost_seconds) * share / (1.0 - share)
+        ratio = min(failures.ratio_at(now), MAX_FAILURE_RATIO)
+        return (FAILURE_COST_SECONDS + failures.lost_seconds) * ratio / (1.0 - ratio)
--- a/src/dewledge/core/pooler/load/slot_use.py
+++ b/src/dewledge/core/pooler/load/slot_use.py
@@ -6,8 +6,11 @@
 
 
 class SlotUse:
-    """Slot time since the pool was created, in seconds: the space-saving summary of Metwally et
-    al."""
+    """Slot time since the pool was created, in seconds.
+
+    Uses the space-saving summary of Metwally et al.: a new caller replaces the one with the least
+    time and inherits its total.
+    """
 
     def __init__(self) -> None:
         self.total_seconds = 0.0
@@ -21,8 +24,8 @@
     def record(self, caller: str, seconds: float) -> None:
         """Adds the time for which a statement of a caller held a slot."""
         self.total_seconds += seconds
-        known = self._by_caller.get(caller)
-        if known is None and len(self._by_caller) >= MAX_CALLERS:
-            least = min(self._by_caller, key=lambda name: self._by_caller[name])
-            known = self._by_caller.pop(least)
-        self._by_caller[caller] = (known or 0.0) + seconds
+        previous = self._by_caller.get(caller)
+        if previous is None and len(self._by_caller) >= MAX_CALLERS:
+            smallest = min(self._by_caller, key=lambda name: self._by_caller[name])
+            previous = self._by_caller.pop(smallest)
+        self._by_caller[caller] = (previous or 0.0) + seconds
--- a/src/dewledge/core/pooler/load/verdict.py
+++ b/src/dewledge/core/pooler/load/verdict.py
@@ -6,8 +6,7 @@
 
 
 class RefusalCause(StrEnum):
-    """Why a statement or operation was refused; the log and `dewledge explain` show the same
-    values.
+    """Why a statement or operation was refused; logged and shown by `dewledge explain`.
 
     Attributes:
         NO_ROOM_IN_TIME: No slot is expected to be free before its deadline.
@@ -31,7 +30,7 @@
 
 
 class WaitUntil(msgspec.Struct, frozen=True):
-    """The statement may wait, and is checked again at `at` at the latest (steady clock,
+    """The statement may wait, and is checked again by `at` at the latest (steady clock,
     seconds)."""
 
     at: float
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -2,10 +2,9 @@
 
 A statement may wait while it can still be served before its latest start; it is refused as soon as
 the expected wait (`wait_estimate`) is too long (`may_wait`). A statement that can no longer meet
-its latency target is queued behind those that can, so that slots go to statements that are still
-useful in time. Shortly before its latest start it returns to the order of arrival, so that it is
-not passed over until its deadline. A retried operation is never passed over for being late. Times
-are of the steady clock, in seconds.
+its latency target is queued behind those that can, so that slots go to statements that still meet
+it. Shortly before its latest start it returns to the order of arrival, so that it is not passed
+over until its deadline. A retried operation is never passed over for being late.
 """
 
 import math
@@ -16,8 +15,8 @@
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
 ARRIVAL_ORDER_RATIO = 0.25
-"""The last part of the time between missing the latency target and the latest start, in which a
-late statement is in order of arrival again. Too small a part leaves too little time to serve all
+"""Fraction of the time from the missed latency target to the latest start; in this last part a late
+statement is in order of arrival again. If it is too small, too little time is left to serve all
 late statements."""
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 """Minimum interval between two checks of a waiting statement."""
@@ -26,8 +25,7 @@
 of this process for as long, is not tried again. Statements have timeouts of 0.8 s and more, so that
 half is left for another database."""
 TIMER_RESOLUTION_SECONDS = 0.001
-"""Resolution of timers; a statement this close to its latest start is treated as having reached
-it."""
+"""Resolution of timers; a statement this close to its latest start has no time left to wait."""
 
 
 class QueuePriority(IntEnum):
@@ -68,8 +66,7 @@
         return self.latest_start - ARRIVAL_ORDER_RATIO * span
 
     def less_service_time(self, service_seconds: float) -> "WaitDeadlines":
-        """Returns deadlines that are earlier by the time that the statement takes once it has
-        started."""
+        """Returns earlier deadlines, which leave the given time for executing the statement."""
         return WaitDeadlines(
             self.arrived,
             self.came,
@@ -77,8 +74,8 @@
             self.latest_start - service_seconds,
         )
 
-    def is_near_latest_start(self, now: float) -> bool:
-        """Tells whether the statement is late and near its latest start."""
+    def is_late_in_arrival_order(self, now: float) -> bool:
+        """Tells whether the statement is late and in order of arrival again."""
         return self.in_time_until < now and self.arrival_order_from <= now
 
     def queue_priority(self, now: float) -> QueuePriority:
@@ -98,8 +95,7 @@
 
 
 def may_wait(deadlines: WaitDeadlines, now: float, expected: ExpectedWait | None) -> bool:
-    """Tells whether a statement can start in time; without an expected wait, until its latest
-    start."""
+    """Tells whether a statement can still start in time; an unknown wait does not prevent it."""
     if now + TIMER_RESOLUTION_SECONDS >= deadlines.latest_start:
         return False
     return expected is None or now + expected.seconds <= deadlines.latest_start
@@ -113,6 +109,6 @@
     """
     if math.isinf(deadlines.latest_start):
         return math.inf
-    known = 0.0 if expected is None else expected.seconds
-    spare = deadlines.latest_start - now - known
+    expected_seconds = 0.0 if expected is None else expected.seconds
+    spare = deadlines.latest_start - now - expected_seconds
     return min(now + max(spare / 2, MIN_CHECK_INTERVAL_SECONDS), deadlines.latest_start)
--- a/src/dewledge/core/pooler/load/wait_estimate.py
+++ b/src/dewledge/core/pooler/load/wait_estimate.py
@@ -73,8 +73,8 @@
         """Records that a statement left the queue for a slot, with `waiting` others behind it."""
         if self._has_backlog:
             interval = now - self._departed_at
-            known = interval if self._interval is None else self._interval
-            self._interval = known + DRAIN_SMOOTHING_RATIO * (interval - known)
+            average = interval if self._interval is None else self._interval
+            self._interval = average + DRAIN_SMOOTHING_RATIO * (interval - average)
         self._departed_at = now
         self._has_backlog = waiting > 0
 
@@ -145,12 +145,10 @@
 
 
 class WaitEstimate:
-    """The expected wait in one queue: by its drain rate while it drains, otherwise by usual
-    times."""
+    """The expected wait in a queue: by its drain rate while it drains, otherwise by usual times."""
 
     def __init__(self, capacity: Callable[[], Capacity]) -> None:
-        """Creates an estimate without samples. `capacity` returns the current capacity of the
-        pool."""
+        """Starts without samples. `capacity` returns the current capacity of the pool."""
         self._capacity = capacity
         self.rates = SlotRates()
         self.drain = DrainRate()
--- a/src/dewledge/core/pooler/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -42,21 +42,21 @@
 
     def collect(self, counts: Mapping[QueueName, WaitCounts]) -> Sequence[WaitsCounted]:
         """Returns what was counted since the last call, for queues that counted anything."""
-        found = [self._since_last(name, now) for name, now in counts.items()]
+        summaries = [self._since_last(name, now) for name, now in counts.items()]
         self._last_counts = {name: msgspec.structs.replace(now) for name, now in counts.items()}
-        return [summary for summary in found if summary.served or summary.refused]
+        return [summary for summary in summaries if summary.served or summary.refused]
 
     def _since_last(self, name: QueueName, current: WaitCounts) -> WaitsCounted:
-        told = self._last_counts.get(name, WaitCounts())
-        if told.served > current.served or told.refused > current.refused:
+        last = self._last_counts.get(name, WaitCounts())
+        if last.served > current.served or last.refused > current.refused:
             # The queue was replaced, and its counters restarted at zero.
-            told = WaitCounts()
+            last = WaitCounts()
         return WaitsCounted(
             group=name.group,
             database=name.database,
-            served=current.served - told.served,
-            within_quarter=current.within_quarter - told.within_quarter,
-            within_double=current.within_double - told.within_double,
-            refused=current.refused - told.refused,
-            refused_with_room=max(current.refused_with_room - told.refused_with_room, 0),
+            served=current.served - last.served,
+            within_quarter=current.within_quarter - last.within_quarter,
+            within_double=current.within_double - last.within_double,
+            refused=current.refused - last.refused,
+            refused_with_room=max(current.refused_with_room - last.refused_with_room, 0),
         )
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -137,7 +137,7 @@
 
         One that is late and near its latest start comes by its arrival among the single ones.
         """
-        if self.deadlines.is_near_latest_start(now):
+        if self.deadlines.is_late_in_arrival_order(now):
             return self.rank_near_latest_start
         queue_priority = self.deadlines.queue_priority(now)
         return (self.priority, queue_priority, self.demand, self.deadlines.arrived, self._number)
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -48,7 +48,7 @@
         returned = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
         for now in (10.0, 11.4, 11.6):
             self.assertEqual(returned.queue_priority(now), QueuePriority.IN_TIME, now)
-            self.assertTrue(returned.is_near_latest_start(now))
+            self.assertTrue(returned.is_late_in_arrival_order(now))
 
     def test_without_a_target_or_a_time_nothing_is_late(self) -> None:
         endless = WaitDeadlines(1.0, 1.0)
