--- a/src/dewledge/core/pooler/pool/__init__.py
+++ b/src/dewledge/core/pooler/pool/__init__.py
@@ -1,1 +1,1 @@
-"""The connections that one process holds to a database, and who waits for them."""
+"""The connection pool for one database and the queue of statements that wait for a connection."""
--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -1,11 +1,10 @@
-"""For whom a pool opens connections, and which idle one it closes to make room for another caller.
+"""Decides for which callers a pool opens connections, and which idle ones it closes to make room.
 
-A connection belongs to one caller. One is opened for each statement that waits for nothing but a
-connection, as long as the pool is below its limit. At the limit an idle connection of a caller that
-waits for nothing is closed first; for a caller that others pass in the queue because it has no
-connection, also one of a caller above its share. `connection_shares` computes the shares.
-
-Inputs: the queue of the pool, its connections and slots, all of this moment.
+Each connection belongs to one caller. Below its limit, the pool opens a connection for every
+waiting statement that has a slot and lacks only a connection. At the limit, it first closes an idle
+connection of a caller without waiting statements. For a caller that is skipped in the queue because
+it has no connection, it also closes an idle connection of a caller over its fair share.
+`connection_shares` computes the shares.
 """
 
 from collections import Counter
@@ -20,21 +19,22 @@
 
 
 class CallerOpenings:
-    """Opens connections of one pool for the callers that wait there."""
+    """Opens connections of a pool for the callers that have waiting statements."""
 
     def __init__(
         self, held: HeldConnections, slots: PoolSlots, waiters: WaitQueue[Waiter], is_fair: bool
     ) -> None:
-        """`is_fair`: callers get fair shares of the connections; else arrival alone decides."""
+        """With `is_fair`, callers get fair shares of the connections; otherwise only arrival order
+        counts."""
         self._held = held
         self._slots = slots
         self._waiters = waiters
         self._is_fair = is_fair
         self._is_opening = False
-        """Guards against an opening that ends within the call that begins it."""
+        """Prevents reentrance if an opening ends within the call that starts it."""
 
     def open_if_useful(self) -> None:
-        """Opens a connection for each statement that waits for nothing else."""
+        """Opens a connection for each statement that lacks only a connection."""
         if self._is_opening:
             return
         self._is_opening = True
@@ -49,10 +49,12 @@
         self._is_opening = False
 
     def open_ahead(self, caller: str) -> bool:
-        """Opens a connection for a caller that others pass as it has none; True if it did.
+        """Opens a connection for a caller that is skipped because it has none; True if one was
+        opened.
 
-        Else it would have none when its turn comes, and be passed for as long as others wait. At
-        the limit it has one of a caller above its share, if it is below its own.
+        Otherwise the caller would have no connection when its turn comes, and would be skipped for
+        as long as others wait. At the limit, a connection of a caller over its fair share is
+        closed, if this caller is below its own.
         """
         if not self._is_fair or not self._held.openings.may_open_ahead(caller):
             return False
@@ -65,23 +67,25 @@
         return has_room
 
     def _wanted(self) -> Sequence[str]:
-        """For whom connections are wanted, a caller for each; who comes first is first."""
+        """Returns a caller for each connection that should be opened, in the order of opening."""
         servable = _servable_callers(self._waiters, self._slots.room)
         if self._is_fair and len(set(servable)) > 1:
             return self._shares().in_order(servable)
         return list(Counter(servable).elements())
 
     def _shares(self) -> ConnectionShares:
+        """Computes the fair shares from the current connections and queue."""
         held = self._held
         waiting = {waiter.caller for waiter in self._waiters.unordered()}
         opening = held.openings.by_caller
         return ConnectionShares(held.limit, held.idle, held.lent, opening, waiting)
 
     def _make_room(self, caller: str) -> bool:
-        """Closes an idle connection of another caller that waits for nothing."""
+        """Closes an idle connection of another caller that has no waiting statements."""
         return self._end(self._shares().unused(caller, self._is_fair))
 
     def _end(self, connection: DatabaseConnection | None) -> bool:
+        """Closes an idle connection; False if there is none."""
         if connection is None:
             return False
         self._held.close_idle(connection)
@@ -89,9 +93,11 @@
 
 
 def _servable_callers(waiters: Iterable[Waiter], room: float) -> Sequence[str]:
-    """Returns the callers of the statements that only lack a connection, in their order.
+    """Returns the callers of the statements that lack only a connection, in queue order.
 
-    room: how many slots are free. Questions of the proxy's own need none and are the most urgent.
+    Args:
+        waiters: The waiting statements in queue order.
+        room: The number of free slots. Internal statements need none and come first.
     """
     servable: list[str] = []
     for waiter in waiters:
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -1,12 +1,10 @@
-"""Who gets a connection of one pool next.
+"""Assigns the connections of a pool to statements.
 
-A statement that comes takes an idle connection at once if nobody that waits comes before it and the
-database has room. Otherwise connections go to those that wait, in the order of the queue
-(`load/wait_queue`): the first one with room that has an idle connection of its caller. One whose
-caller has no idle connection holds up nobody behind it; a connection is opened for it ahead.
-
-Inputs: the queue, the connections and the slots of the pool, all of this moment. It relies on
-`caller_openings` for what has to be opened.
+An arriving statement gets an idle connection at once if it is first in the queue order and a slot
+is free. Otherwise connections go to waiting statements in the order of the queue
+(`load/wait_queue`): to the first one whose caller has an idle connection. A caller without an idle
+connection does not block the statements behind it; a connection is opened for it in advance
+(`caller_openings`).
 """
 
 from collections.abc import Callable
@@ -20,7 +18,7 @@
 
 
 class ConnectionDispatch:
-    """Lends the connections of one pool to statements."""
+    """Assigns the connections of a pool to statements."""
 
     def __init__(
         self,
@@ -37,7 +35,7 @@
         self._openings = openings
 
     def serve_on_arrival(self, waiter: Waiter, values: dict[str, str]) -> bool:
-        """Serves a statement that comes now, unless others come first or it has to wait."""
+        """Assigns a connection to an arriving statement; False if it has to wait."""
         may_take = self._waits.is_first(waiter) and self._slots.has_room(waiter)
         connection = self._held.idle.take(waiter.caller, values) if may_take else None
         if connection is None:
@@ -46,7 +44,8 @@
         return True
 
     def serve_waiters(self) -> None:
-        """Gives idle connections to those that wait, then has opened what they lack."""
+        """Assigns idle connections to waiting statements, then opens the connections that are
+        missing."""
         self._waits.queue.refresh(self._clock())
         while self._held.idle and self._serve_first():
             pass
@@ -55,7 +54,7 @@
         self._openings.open_if_useful()
 
     def _serve_first(self) -> bool:
-        """Serves the first that can be, False if none can."""
+        """Serves the first waiting statement that can be served; False if there is none."""
         without: set[str] = set()
         for waiter in self._waits.queue:
             if not self._slots.has_room(waiter):
@@ -72,6 +71,7 @@
         return False
 
     def _give(self, connection: DatabaseConnection, waiter: Waiter) -> None:
+        """Assigns a connection to a statement and charges its caller."""
         self._held.lend(connection)
         charge = self._waits.give(waiter)
         is_single = waiter.demand is Demand.SINGLE
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -1,14 +1,12 @@
-"""The connections of one pool that are being opened, and whether the database can be reached.
+"""The connections of a pool that are being opened, and whether the database is reachable.
 
-Owns the openings under way by caller, and the generation of the route to the database.
-Inputs: how each opening ended, and the steady clock in seconds.
-Decision: the database counts as unreachable for a moment after an opening failed
-(`OPEN_BACKOFF_SECONDS`, `LIMIT_BACKOFF_SECONDS`). What follows: nothing is opened meanwhile; a
-statement that comes where no connection stands is denied; reads prefer other databases. Reason: a
-database that refuses connections is not to be asked for one by each statement.
+After an opening fails, the database counts as unreachable for a short time (`OPEN_BACKOFF_SECONDS`,
+`LIMIT_BACKOFF_SECONDS`), so that not every statement causes another attempt. Until then no
+connection is opened, a statement is denied if the pool has no connections, and reads prefer other
+databases.
 
-This judgement rests on openings alone and writes no log line. Others: `databases/database_silence`
-(answers that fail to come, openings included), `databases/answer_watch`.
+Only openings count here, and nothing is logged. Missing replies, including those to openings, are
+judged by `databases/database_silence` and `databases/answer_watch`.
 """
 
 from collections import Counter
@@ -22,19 +20,21 @@
 from dewledge.errors import ErrorCode
 
 OPEN_BACKOFF_SECONDS = 0.25
-"""Seconds after an opening failed in which none is tried."""
+"""Time after a failed opening in which no connection is opened."""
 LIMIT_BACKOFF_SECONDS = 0.3
-"""Seconds after the database refused an opening at its limit of connections."""
+"""The same after the database refused an opening because of its connection limit."""
 MOST_OPENED_AHEAD = 2
-"""Connections opened at once for callers that wait for a slot: each takes some of the database's
-power from statements, and one is open before a slot comes free for the next."""
+"""Connections that are opened concurrently for callers that still wait for a slot. Each opening
+takes database capacity from statements, and one is finished before the next slot is free."""
 
 
 class OpeningOutcomes(msgspec.Struct, frozen=True):
-    """What is called for each opening, and when its connection ends.
+    """Callbacks for the outcome of each opening and the end of its connection.
 
-    opened: with the connection and the seconds that it took. failed: if it could not be opened.
-    closed: at the end of one that was opened.
+    Attributes:
+        opened: Called with the connection and the duration of the opening in seconds.
+        failed: Called if the connection could not be opened.
+        closed: Called when an opened connection ends.
     """
 
     opened: Callable[[DatabaseConnection, float], None]
@@ -43,7 +43,7 @@
 
 
 class ConnectionOpenings:
-    """Opens connections of one database; each ends in `opened` or `failed` of the outcomes."""
+    """Opens connections of a database; each opening ends with one call of `opened` or `failed`."""
 
     def __init__(
         self,
@@ -53,10 +53,10 @@
         silence: DatabaseSilence,
         outcomes: OpeningOutcomes,
     ) -> None:
-        """`silence`: is told what is awaited."""
+        """Starts without openings. `silence` is informed when an opening starts and ends."""
         self.by_caller: Counter[str] = Counter()
         self.generation = 0
-        """Of the route to the database; connections of an older route are not used again."""
+        """Generation of the route to the database; connections of an older one are not reused."""
         self._database_id = database_id
         self._opener = opener
         self._clock = clock
@@ -66,29 +66,30 @@
 
     @property
     def total(self) -> int:
-        """How many are being opened."""
+        """The number of connections being opened."""
         return self.by_caller.total()
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether the last attempt failed a moment ago."""
+        """Whether the database counts as unreachable after a failed opening."""
         return self._clock() < self._not_before
 
     def may_open_ahead(self, caller: str) -> bool:
-        """Tells whether one may be opened for a caller that waits for a slot and has none."""
+        """Tells whether to open a connection for a caller that has none and still waits for a
+        slot."""
         is_free = self.total < MOST_OPENED_AHEAD and not self.by_caller[caller]
         return is_free and not self.is_unreachable
 
     def forget_failure(self) -> None:
-        """The database may be tried again at once."""
+        """Allows openings again at once."""
         self._not_before = 0.0
 
     def begin_generation(self) -> None:
-        """The database is reached by another route: what was opened before is not used again."""
+        """Starts a new route to the database; connections of the old one are not reused."""
         self.generation += 1
 
     def open(self, caller: str) -> None:
-        """Opens one for a caller."""
+        """Opens a connection for a caller."""
         self.by_caller[caller] += 1
         generation = self.generation
         began_at = self._clock()
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -1,12 +1,12 @@
-"""The pool of one database: what this process's statements ask for, and what they get.
+"""The connection pool for one database.
 
-`ConnectionPool` joins the parts and decides little itself:
+`ConnectionPool` combines these parts:
 
-- `held_connections`: the connections, their count and limit; `connection_openings` opens them.
-- `pool_slots`: how many statements may be at the database at once.
-- `connection_dispatch`: who gets a connection next.
-- `caller_openings`: for whom one is opened, and who gives way for it.
-- `pool_waits`: how long the wait is, who is refused, and when a refused caller may come back.
+- `held_connections`: the connections, their number and limit; `connection_openings` opens them.
+- `pool_slots`: how many statements may be at the database concurrently.
+- `connection_dispatch`: which statement gets a connection next.
+- `caller_openings`: for which callers connections are opened and closed.
+- `pool_waits`: the queue, expected waits, refusals and retry times.
 - `databases/database_silence`: whether the database has stopped answering.
 """
 
@@ -36,10 +36,12 @@
 
 
 class PoolRules(msgspec.Struct, frozen=True):
-    """By what one pool decides.
+    """Optional rules of a pool.
 
-    silence: judges whether the database has fallen silent; None if that is not judged. is_fair:
-    callers get fair shares of slots and connections; else by arrival alone.
+    Attributes:
+        silence: Detects that the database has stopped answering; None disables it.
+        is_fair: Whether callers get fair shares of slots and connections; otherwise only arrival
+            order counts.
     """
 
     silence: DatabaseSilence | None = None
@@ -47,9 +49,10 @@
 
 
 class ConnectionPool:
-    """Idle connections are given out last in, first out, the one of the same values first.
+    """Assigns connections to statements, the most recently used first, preferring equal session
+    values.
 
-    A connection belongs to one caller. Times: the steady clock, seconds.
+    A connection belongs to one caller. Times are of the steady clock, in seconds.
     """
 
     def __init__(
@@ -61,11 +64,20 @@
         window: SlotWindow | None = None,
         rules: PoolRules = PoolRules(),
     ) -> None:
-        """`window`: bounds the statements at the database; None where other processes do so."""
+        """Creates an empty pool.
+
+        Args:
+            database_id: The database that the connections lead to.
+            limit: The maximum number of connections or channels.
+            opener: Opens connections.
+            clock: Returns the time of the steady clock.
+            window: Limits the statements at the database; None if connection holders limit them.
+            rules: Optional rules.
+        """
         self.database_id = database_id
         self.retired = False
         self.served_at = -float("inf")
-        """When the database last ran a statement of this process."""
+        """When the database last executed a statement of this process."""
         self.slot_use = SlotUse()
         """Slot time by caller."""
         self._clock = clock
@@ -80,84 +92,85 @@
 
     @property
     def limit(self) -> int:
-        """The most connections, or channels, that the pool may hold."""
+        """The maximum number of connections or channels."""
         return self._held.limit
 
     @property
     def in_use(self) -> int:
-        """The connections that statements use."""
+        """The number of connections that statements use."""
         return self._held.in_use
 
     @property
     def size(self) -> int:
-        """All connections, those being opened included."""
+        """The number of all connections, including those being opened."""
         return self._held.size
 
     @property
     def waiting(self) -> int:
-        """The statements that wait for a connection."""
+        """The number of statements that wait for a connection."""
         return len(self._waits.queue)
 
     @property
     def urgent_waiting(self) -> int:
-        """Those of them that are as urgent as the most urgent one."""
+        """The number of waiting statements with the urgency of the most urgent one."""
         return self._waits.queue.most_urgent_count
 
     @property
     def running(self) -> int:
-        """The statements that are at the database, or were sent there."""
+        """The number of statements that are at the database or about to be sent there."""
         return self._held.running
 
     @property
     def openings(self) -> int:
-        """The connections that are being opened."""
+        """The number of connections that are being opened."""
         return self._openings.total
 
     @property
     def window_size(self) -> int:
-        """How many statements may be at the database at once."""
+        """How many statements may be at the database concurrently."""
         return self._slots.size
 
     @property
     def service_rate(self) -> ServiceRate:
-        """How long a statement usually holds a slot, from first being sent to its answer."""
+        """The usual time for which a statement holds a slot, from its first sending to its
+        answer."""
         return self._waits.rates.service
 
     @property
     def wait_counts(self) -> WaitCounts:
-        """How good the expected waits were."""
+        """Counters of the accuracy of expected waits."""
         return self._waits.record.counts
 
     @property
     def load(self) -> int:
-        """The statements that use a connection or wait for one."""
+        """The number of statements that use a connection or wait for one."""
         return self._held.in_use + len(self._waits.queue)
 
     @property
     def is_full(self) -> bool:
-        """Whether the database refuses statements for want of slots."""
+        """Whether the database refuses statements because its slots are in use."""
         return self._slots.is_full
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether the last attempt to open a connection failed a moment ago."""
+        """Whether an attempt to open a connection has just failed."""
         return self._openings.is_unreachable
 
     @property
     def is_silent(self) -> bool:
-        """Whether answers are awaited and the database gives none."""
+        """Whether replies are outstanding and the database has stopped answering."""
         return self._silent_at() <= self._clock()
 
     def has_idle(self, caller: str) -> bool:
-        """Tells whether a statement of `caller` needs no connection to be opened."""
+        """Tells whether there is an idle connection of a caller."""
         return self._held.idle.has(caller)
 
     def change_limit(self, limit: int) -> None:
-        """Sets another limit; connections beyond it are closed as they come back."""
+        """Sets another limit; connections beyond it are closed when they are released."""
         self._held.change_limit(limit)
 
     def acquire(self, waiter: Waiter, values: dict[str, str]) -> None:
-        """Gives a connection now or later, or denies one."""
+        """Assigns a connection now or later, or denies it."""
         if self.retired:
             waiter.deny(Denial.CLOSED)
             return
@@ -174,7 +187,8 @@
             self._dispatch.serve_waiters()
 
     def judge(self, waiter: Waiter) -> Verdict:
-        """Refuses one that waits and can't be served in its time; else tells when to ask again."""
+        """Refuses a waiting statement that can't be served in time; otherwise returns when to check
+        again."""
         if self._turns_away(waiter):
             self._waits.queue.remove(waiter)
             waiter.deny(Denial.UNREACHABLE)
@@ -185,11 +199,13 @@
         return verdict
 
     def promise_return(self) -> float:
-        """Returns the seconds after which one that gave up here may come back."""
+        """Reserves a retry time for a statement that gave up here; returns it in seconds from
+        now."""
         return self._waits.promise_return(None)
 
     def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
-        """`told` is called when a caller is held to its share, once a second at most."""
+        """Sets a callback that is called, at most once a second, when a caller over its fair share
+        waits."""
         self._waits.on_held_to_share(told)
 
     def note_answer(
@@ -199,10 +215,17 @@
         held_seconds: float | None = None,
         connection: DatabaseConnection | None = None,
     ) -> None:
-        """Takes the answer to a statement on a connection given here.
+        """Records the answer to a statement on a connection of this pool, and serves waiting
+        statements.
+
+        Between the statements of a transaction its slot is free for others.
 
-        A transaction that rests now leaves its slot to one that waits.
-        held_seconds: for how long the statement held its slot, tries without one included.
+        Args:
+            kind: The kind of the statement.
+            reply: The answer of the database.
+            held_seconds: How long the statement held its slot, including attempts that the database
+                refused.
+            connection: The connection of the statement.
         """
         self._silence.note_sign()
         is_served = kind in TAKES_SLOT and reply.failure is None
@@ -220,7 +243,7 @@
         self._dispatch.serve_waiters()
 
     def release(self, connection: DatabaseConnection) -> None:
-        """Takes a connection back; one of unknown state is closed, never given out again."""
+        """Returns a connection to the pool; it is closed if its state is unknown."""
         self._held.take_back(connection)
         self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
         connection.end_loan()
@@ -232,44 +255,46 @@
         self._dispatch.serve_waiters()
 
     def trim(self) -> None:
-        """Closes connections that have been idle for a while, the longest idle first."""
+        """Closes connections that have been idle for too long, the longest idle first."""
         self._held.idle.trim()
 
     def renew(self, window: SlotWindow | None = None) -> None:
-        """The database is reached by another route: connections of the old one are closed."""
+        """Switches to another route to the database: connections of the old route are closed."""
         self._openings.begin_generation()
         self._slots.renew(window)
         self._openings.forget_failure()
         self.close_idle()
 
     def retire(self) -> None:
-        """Gives out no more connections; those in use end when they come back."""
+        """Stops assigning connections; those in use are closed when they are released."""
         self.retired = True
         self._held.idle.close_all()
         self._waits.deny_all(Denial.CLOSED)
 
     def forget_failure(self) -> None:
-        """The route to the database has changed: it is tried again at once."""
+        """Allows openings again at once, because the route to the database has changed."""
         self._openings.forget_failure()
 
     def close_idle(self) -> None:
-        """Closes the connections that are not in use: their state is in doubt."""
+        """Closes all idle connections, because their state is unknown."""
         self._held.idle.close_all()
 
     def _silent_at(self) -> float:
-        """Returns when the database will be taken for silent if it answers nothing.
+        """Returns when the database will count as silent if it answers nothing until then.
 
-        Never where other processes hold the connections: they judge the database, and this process
-        judges them by the links (`load/holder_health`).
+        Infinite if other processes hold the connections: they judge the database, and this process
+        judges them by their links (`load/holder_health`).
         """
         if not self._slots.is_bounded:
             return float("inf")
         return self._silence.begins_at(self._held.lent, self._waits.rates.slot_seconds)
 
     def _turns_away(self, waiter: Waiter) -> bool:
+        """Tells whether a statement may not wait because the database is silent."""
         return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_at())
 
     def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
+        """Charges the caller of a statement for its actual slot time."""
         if connection is not None and connection.charge is not None:
             self._waits.settle(connection.charge, held_seconds)
             self.slot_use.record(connection.caller, held_seconds)
--- a/src/dewledge/core/pooler/pool/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -1,12 +1,10 @@
-"""Fair shares of a pool's connections among callers: who opens first, whose idle one is closed.
+"""Fair shares of a pool's connections: whose are opened first, and whose idle ones are closed.
 
-Inputs, of this moment: the limit of the pool, its connections idle, in use and being opened, by
-caller, and the callers with statements that wait.
-Decision: the share is the limit over the callers that have connections in use or wait. Openings for
-callers above their share come last (`in_order`); to make room an idle connection of a caller that
-waits for nothing is closed, of one above its share first (`unused`, `above`). Reason: what callers
-hold that use nothing is free for those that can use it. Computed when it is needed, so that nothing
-is kept of callers.
+The fair share is the limit divided by the number of callers that use connections or have waiting
+statements; connections of inactive callers are available to the others. Openings for callers over
+their share come last. To make room, an idle connection of a caller without waiting statements is
+closed, preferably of a caller over its share. Shares are computed on demand, so that no state is
+kept for each caller.
 """
 
 from collections import Counter
@@ -16,7 +14,7 @@
 
 
 class ConnectionShares:
-    """The shares at one moment, between the callers that have connections in use or wait."""
+    """The shares at one moment of the callers that use connections or have waiting statements."""
 
     def __init__(
         self,
@@ -26,9 +24,14 @@
         opening: Mapping[str, int],
         waiting: Collection[str],
     ) -> None:
-        """`idle`: the one idle for longest first. opening: how many, by caller.
+        """Counts the connections of each caller.
 
-        waiting: the callers with statements that wait.
+        Args:
+            limit: The maximum number of connections of the pool.
+            idle: The idle connections, the longest idle first.
+            lent: The connections in use.
+            opening: The number of connections being opened, by caller.
+            waiting: The callers with waiting statements.
         """
         self._idle = idle
         self._waiting = waiting
@@ -38,9 +41,10 @@
         self._connections.update(each.caller for each in idle)
 
     def in_order(self, callers: Sequence[str]) -> Sequence[str]:
-        """Returns the callers of statements that want connections, those above their share last.
+        """Returns the callers in the order of opening: those over their share come last.
 
-        callers: one for each statement, in their order.
+        Args:
+            callers: One caller for each statement that lacks a connection, in queue order.
         """
         held = Counter(self._connections)
         within: list[str] = []
@@ -51,9 +55,10 @@
         return within + beyond
 
     def unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
-        """Returns an idle connection of another caller with nothing waiting, None without one.
+        """Returns an idle connection of another caller without waiting statements, None if there is
+        none.
 
-        The one idle for longest; where shares are kept, one of a caller above its share first.
+        The longest idle one is preferred; with `is_fair`, first those of callers over their share.
         """
         others = [
             each
@@ -64,7 +69,8 @@
         return next(iter(above or others), None)
 
     def above(self, caller: str) -> DatabaseConnection | None:
-        """Returns the oldest idle connection of one above its share, for a caller below its own."""
+        """Returns the longest idle connection of a caller over its share, for a caller below its
+        own."""
         if self._held(caller) >= self._share:
             return None
         return next((each for each in self._idle if self._is_above(each.caller)), None)
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a database: statements in order, and the session state that it holds.
+"""A connection to a database: it sends statements, matches replies in order and holds session
+state.
 
-Owns what awaits an answer and what is known of the statement that holds the connection. The bytes
-are carried by a `DatabaseTransport`, which the shell provides.
+The shell transports the bytes (`DatabaseTransport`).
 """
 
 import math
@@ -20,80 +20,84 @@
 from dewledge.core.shared.positions import LogPosition
 
 ReplyCallback = Callable[[Reply | None], None]
-"""Called with the answer, or with None if the connection ended without one."""
+"""Called with the reply, or with None if the connection ended without one."""
 
 
 def ignore_holder(_state: HolderState) -> None:
-    """Nobody holds the connection."""
+    """Default callback of a connection that no other process holds."""
 
 
 class DatabaseTransport(Protocol):
-    """Carries statements to a database; the shell meets it."""
+    """Sends statements to a database; implemented by the shell."""
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
-        """Sends one statement; its answer comes later, in order."""
+        """Sends a statement; replies arrive later, in the order of sending."""
 
     def close(self) -> None:
-        """Ends the connection at once; the database rolls back what is open."""
+        """Closes the connection at once; the database rolls back an open transaction."""
 
 
 class DatabaseConnection:
-    """A connection whose STARTUP succeeded. It is used by one client statement at a time."""
+    """An opened connection, used by one client statement or transaction at a time."""
 
     def __init__(self, database_id: str, transport: DatabaseTransport) -> None:
         self.database_id = database_id
         self.caller = ""
-        """Whose statements it carries, as the database was told; empty for the proxy's own name."""
+        """The caller whose statements it carries, as announced to the database; empty for the proxy
+        itself."""
         self.values: dict[str, str] = {}
         self.prepared: set[str] = set()
         self.closed = False
         self.idle_since = 0.0
         self.generation = 0
-        """Of the pool's route to the database; connections of an older one are not used again."""
+        """Generation of the pool's route to the database; connections of an older one are not
+        reused."""
         self.priority = 0
-        """Of the statement that holds the connection."""
+        """Priority of the statement that uses the connection."""
         self.wait_until = math.inf
-        """Until then its statement may wait for a slot elsewhere; steady clock, seconds."""
+        """Until when its statement may wait for a slot in another process; steady clock in
+        seconds."""
         self.in_time_until = math.inf
-        """Until then its statement may start to be answered within its latency target."""
+        """Latest start of its statement that meets its latency target."""
         self.arrived = math.inf
-        """When the operation of its statement first came; infinite where that is not known."""
+        """First attempt of the operation of its statement; infinite if unknown."""
         self.lent_at = 0.0
-        """When the connection was given to the statement that holds it."""
+        """When the connection was assigned to its current statement."""
         self.charge: Charge | None = None
-        """What its caller was charged for the statement that holds it."""
+        """What the caller was charged for the current statement."""
         self.is_single = False
-        """Whether the statement that holds the connection is a single one."""
+        """Whether the connection is used by a single statement and not by a transaction."""
         self.is_retiring = False
-        """Whether what carries the connection ends soon: it is not given out again."""
+        """Whether the underlying link will close soon: the connection is not assigned again."""
         self.holder_judged: Callable[[HolderState], None] = ignore_holder
-        """Called when the process that carries the connection is judged anew."""
+        """Called when the state of the process that holds the connection changes."""
         self._transport = transport
         self._waiting: deque[ReplyCallback] = deque()
 
     @property
     def unanswered(self) -> int:
-        """The statements sent whose answers have not come."""
+        """The number of statements sent whose replies are outstanding."""
         return len(self._waiting)
 
     def assign(self, caller: str, generation: int) -> None:
-        """It was opened for a caller, by the route of a generation."""
+        """Records the caller and the generation of the route for which the connection was
+        opened."""
         self.caller = caller
         self.generation = generation
 
     def lend(self, charge: Charge, at: float, is_single: bool, priority: int) -> None:
-        """A statement holds it from `at` on (steady clock, seconds)."""
+        """Records that a statement uses the connection from `at` on (steady clock, seconds)."""
         self.charge = charge
         self.lent_at = at
         self.is_single = is_single
         self.priority = priority
 
     def end_loan(self) -> None:
-        """No statement holds it any more."""
+        """Records that no statement uses the connection."""
         self.is_single = False
 
     def rest(self, since: float) -> None:
-        """It is idle from `since` on (steady clock, seconds)."""
+        """Records that the connection is idle from `since` on (steady clock, seconds)."""
         self.idle_since = since
 
     def send(
@@ -109,23 +113,23 @@
     def send_own(
         self, kind: StatementKind, callback: ReplyCallback, name: str = "", argument: str = ""
     ) -> None:
-        """Sends a statement of the proxy's own."""
+        """Sends an internal statement of the proxy."""
         self.send(Statement(OWN_STATEMENT_ID, kind, name=name, argument=argument), callback)
 
     def on_reply(self, reply: Reply) -> None:
-        """Takes the next answer."""
+        """Passes a reply to the callback of the oldest unanswered statement."""
         if self._waiting:
             self._waiting.popleft()(reply)
 
     def on_closed(self) -> None:
-        """Notes the end of the connection; whoever waits is told."""
+        """Records the end of the connection and calls the outstanding callbacks with None."""
         self.closed = True
         waiting, self._waiting = self._waiting, deque()
         for callback in waiting:
             callback(None)
 
     def close(self) -> None:
-        """Ends the connection without telling those who wait."""
+        """Closes the connection without calling outstanding callbacks."""
         self._waiting.clear()
         if not self.closed:
             self.closed = True
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -1,4 +1,4 @@
-"""Tells when fair shares have a caller of one pool wait behind others (`CallerHeldToShare`)."""
+"""Reports when a caller over its fair share of a pool waits behind others (`CallerHeldToShare`)."""
 
 import math
 from collections.abc import Callable
@@ -9,18 +9,19 @@
 from dewledge.core.pooler.pool.waiter import Waiter
 
 LEAST_HELD = 2
-"""Statements; of a caller that is held to its share so many wait at least: one alone is no
-backlog."""
+"""Statements of a caller that must be waiting for a report; a single one is no backlog."""
 TELL_SPACING_SECONDS = 1.0
-"""Seconds; callers that are held to their shares are told of no more often, so that a busy pool
-writes one line a second."""
+"""Minimum interval between two reports, which limits a busy pool to one log line a second."""
 
 
 class HeldToShare(msgspec.Struct, frozen=True):
-    """A statement was served before earlier ones of a caller above its share.
+    """A statement was served before earlier ones of a caller over its fair share.
 
-    waiting: how many of that caller wait, the first of them for `waited_seconds`. served: the
-    caller whose statement went first.
+    Attributes:
+        caller: The caller over its fair share.
+        waiting: The number of its waiting statements.
+        waited_seconds: How long the first of them has waited.
+        served: The caller whose statement was served.
     """
 
     caller: str
@@ -30,7 +31,7 @@
 
 
 class HeldToShareWatch:
-    """Looks at each statement that is served from one queue."""
+    """Checks each statement served from a queue."""
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
@@ -38,11 +39,11 @@
         self._told_at = -math.inf
 
     def on_held(self, told: Callable[[HeldToShare], None]) -> None:
-        """`told` is called when a caller is held to its share, once a second at most."""
+        """Sets the callback for reports, which is called at most once a second."""
         self._told = told
 
     def note_served(self, served: Waiter, charge: Charge, now: float) -> None:
-        """A statement was served from the queue for a charge."""
+        """Reports the longest flow that waits behind a served statement."""
         if now < self._told_at + TELL_SPACING_SECONDS:
             return
         longest = self._queue.longest_flow_behind(charge)
--- a/src/dewledge/core/pooler/pool/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -1,8 +1,9 @@
-"""The connections of one pool that nobody uses now: which one is given out, which are closed.
+"""The idle connections of a pool: which one is assigned, and which are closed.
 
-Decision: last in, first out, the one with the same session values first, each to its caller only;
-what has been idle for longer than `IDLE_SECONDS` is closed, but for `KEPT_IDLE`. Reason: a database
-counts the connections of a machine that lost power for seconds, and its successor needs room.
+Connections are assigned last in, first out, preferring equal session values, and only to their
+caller. Those that have been idle for too long are closed, down to `MIN_IDLE_CONNECTIONS`: a
+database counts the connections of a crashed machine against its limit for seconds, and the
+machine's successor needs them.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,17 +12,16 @@
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
 IDLE_SECONDS = 1.5
-"""Seconds; a connection that has been idle for longer is closed. A database goes on counting the
-connections of a machine that lost power against its limit."""
+"""Maximum idle time of a connection that belongs to no caller."""
 CALLER_IDLE_SECONDS = 1.5
-"""Seconds; the same for a connection that only one caller's statements may use."""
+"""Maximum idle time of a connection that belongs to a caller."""
 KEPT_IDLE = 1
-"""Connections that stay open while idle. Few: a database goes on counting those of a machine that
-lost power for seconds, and its successor needs room under the same limit."""
+"""Connections that remain open while idle. Few, because a database counts the connections of a
+crashed machine against its limit for seconds."""
 
 
 class IdleConnections:
-    """Given out last in, first out, the one of the same values first; each to its caller only."""
+    """The idle connections, in the order in which they became idle."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -34,21 +34,21 @@
         return iter(self._connections)
 
     def has(self, caller: str) -> bool:
-        """Tells whether one is of a caller."""
+        """Tells whether there is an idle connection of a caller."""
         return any(connection.caller == caller for connection in self._connections)
 
     def add(self, connection: DatabaseConnection) -> None:
-        """Nobody uses a connection from now on."""
+        """Adds a connection that is idle from now on."""
         connection.rest(self._clock())
         self._connections.append(connection)
 
     def discard(self, connection: DatabaseConnection) -> None:
-        """Forgets a connection; one that is not here is no error."""
+        """Removes a connection; does nothing if it is not idle."""
         if connection in self._connections:
             self._connections.remove(connection)
 
     def take(self, caller: str, values: dict[str, str]) -> DatabaseConnection | None:
-        """Returns a caller's connection, None if there is none that can be used."""
+        """Removes and returns a usable connection of a caller, None if there is none."""
         while (position := self._best(caller, values)) is not None:
             connection = self._connections.pop(position)
             if not connection.closed and not connection.is_retiring:
@@ -57,7 +57,7 @@
         return None
 
     def trim(self) -> None:
-        """Closes those that have been idle for a while, the longest idle first."""
+        """Closes connections that have been idle for too long, the longest idle first."""
         now = self._clock()
         while len(self._connections) > KEPT_IDLE:
             oldest = self._connections[0]
@@ -67,12 +67,14 @@
             oldest.close()
 
     def close_all(self) -> None:
-        """Closes and forgets all."""
+        """Closes and removes all connections."""
         connections, self._connections = self._connections, []
         for connection in connections:
             connection.close()
 
     def _best(self, caller: str, values: dict[str, str]) -> int | None:
+        """Returns the position of a caller's newest connection, preferring one with equal session
+        values."""
         found = None
         has_same_values = False
         for index, connection in enumerate(self._connections):
--- a/src/dewledge/core/pooler/pool/opener.py
+++ b/src/dewledge/core/pooler/pool/opener.py
@@ -1,4 +1,4 @@
-"""How a pool has connections opened: the port that the shell provides."""
+"""The port through which a pool opens connections; provided by the shell."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -8,7 +8,7 @@
 
 
 class Opener(Protocol):
-    """Opens connections; the shell meets it."""
+    """Opens connections; implemented by the shell."""
 
     def open(
         self,
@@ -18,7 +18,14 @@
         failed: Callable[[ErrorCode], None],
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
-        """Calls `opened` or `failed` once; after `opened`, `closed` at the connection's end.
+        """Opens a connection. Calls `opened` or `failed` once; after `opened`, `closed` when it
+        ends.
 
-        caller: whose statements the connection carries, as the database is told.
+        Args:
+            database_id: The database to connect to.
+            caller: The caller whose statements the connection carries, as announced to the
+                database.
+            opened: Called with the new connection.
+            failed: Called with the error if no connection could be opened.
+            closed: Called with the connection when it has ended.
         """
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -1,7 +1,7 @@
-"""Makes the pools of one group: their windows, what judges a database's silence, what is logged.
+"""Creates the pools of a group and logs what they report.
 
-It translates what the parts of a pool tell (full or not, silent or not, held to its share) into the
-events of the log.
+Translates reports of a pool (database full, database silent, caller over its fair share) into log
+events.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 CHANNELS_PER_DATABASE = 64
-"""Statements that may be under way through holders of one database; the queue is at the holder.
-Bounds the channels of one process to a database."""
+"""Statements that a process may send through the holders of a database concurrently; the holders
+queue them. Bounds the number of channels."""
 
 
 class PoolFactory:
-    """Called for a pool."""
+    """Creates the pool for a database when called."""
 
     def __init__(
         self,
@@ -55,7 +55,8 @@
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
-        """Returns none for a route through holders: statements wait for slots there."""
+        """Returns the limit of concurrent statements; None on a route through holders, which apply
+        their own."""
         if not holding.is_direct:
             return None
 
@@ -84,5 +85,5 @@
 
 
 def pool_limit(holding: Holding) -> int:
-    """Returns how many connections or channels a pool may have."""
+    """Returns the maximum number of connections or channels of a pool."""
     return holding.connections if holding.is_direct else CHANNELS_PER_DATABASE
--- a/src/dewledge/core/pooler/pool/pool_slots.py
+++ b/src/dewledge/core/pooler/pool/pool_slots.py
@@ -1,7 +1,7 @@
-"""How many statements of one pool may be at its database at once, and what the pool has to give.
+"""The slots of a pool: how many of its statements may be at the database concurrently.
 
-Where this process holds connections to the database, a `SlotWindow` bounds the statements. Where
-other processes hold them, those bound the statements and this pool sets no bound.
+If this process holds the connections, a `SlotWindow` limits the statements. Otherwise the
+connection holders limit them, and this pool does not.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 
 class PoolSlots:
-    """The window of one pool, or none, beside the connections that are held."""
+    """The slot window of a pool, if there is one, together with its connections."""
 
     def __init__(self, held: HeldConnections, window: SlotWindow | None) -> None:
         self._held = held
@@ -21,47 +21,47 @@
 
     @property
     def is_bounded(self) -> bool:
-        """Whether this process holds the connections and so bounds the statements."""
+        """Whether this process holds the connections and therefore limits the statements."""
         return self._window is not None
 
     @property
     def size(self) -> int:
-        """How many statements may be at the database at once."""
+        """How many statements may be at the database concurrently."""
         limit = self._held.limit
         return limit if self._window is None else min(self._window.size, limit)
 
     @property
     def is_full(self) -> bool:
-        """Whether the database refuses statements for want of slots."""
+        """Whether the database refuses statements because its slots are in use."""
         return self._window is not None and self._window.is_full
 
     @property
     def room(self) -> float:
-        """How many further statements may go to the database; infinite where none is bounded."""
+        """How many more statements may be sent to the database; infinite without a window."""
         return math.inf if self._window is None else self._window.room(self._held.running)
 
     def has_room(self, waiter: Waiter) -> bool:
-        """Tells whether a statement may go to the database now; an own question always may."""
+        """Tells whether a statement may be sent to the database now; an internal one always may."""
         if self._window is None or waiter.demand is Demand.OWN:
             return True
         return self._window.allows(self._held.running)
 
     def capacity(self) -> Capacity:
-        """Returns what the pool has to give now."""
+        """Returns the current capacity of the pool."""
         held = self._held
         is_opening = not held.idle and held.is_below_limit
         return Capacity(held.running, self.size, held.in_use, held.limit, is_opening)
 
     def renew(self, window: SlotWindow | None) -> None:
-        """The database is reached by another route from now on."""
+        """Replaces the window, because the route to the database has changed."""
         self._window = window
 
     def note_served(self) -> None:
-        """A statement ran."""
+        """Records that the database executed a statement."""
         if self._window is not None:
             self._window.note_served(self._held.limit)
 
     def note_refused(self, now: float) -> None:
-        """The database refused a statement for want of a slot."""
+        """Records that the database refused a statement because its slots are in use."""
         if self._window is not None:
             self._window.note_refused(now)
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -1,9 +1,8 @@
-"""Who waits before one database, how long that will be, who is refused and until when.
+"""The queue of a pool: order, expected waits, refusals and retry times.
 
-Owns the queue of one pool, what is measured there, and the moments told to those refused. It brings
-together the rules, each of which is in one module: the order (`load/wait_queue` by `Waiter.rank`),
-the expected wait (`load/wait_estimate`), whether one may wait (`load/wait_deadlines`), when a
-refused caller may come back (`load/return_moments`).
+Each rule is in a module of its own: the order in `load/wait_queue` and `Waiter.rank`, the expected
+wait in `load/wait_estimate`, whether a statement may wait in `load/wait_deadlines`, and the retry
+time after a refusal in `load/return_moments`.
 """
 
 from collections.abc import Callable
@@ -18,14 +17,14 @@
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
 LEAST_COST_SECONDS = 0.001
-"""Seconds; charged at least for a statement: shares among callers need a cost above 0."""
+"""Minimum charge for a statement: fair shares need a cost greater than 0."""
 MOST_COST_RATIO = 8.0
-"""Usual statements; one is charged at most so many: one that hung at the database doesn't shut its
-caller out for as long. Slot times of a frozen process count as this at most."""
+"""Maximum charge for a statement, relative to the usual cost: a statement that hung at the
+database, or in a stalled process, does not block its caller for as long."""
 
 
 class PoolWaits:
-    """The queue of one pool with what is measured there; times of the steady clock, seconds."""
+    """The queue of a pool and the samples taken from it; times of the steady clock in seconds."""
 
     def __init__(
         self,
@@ -33,7 +32,13 @@
         capacity: Callable[[], Capacity],
         is_fair: bool = True,
     ) -> None:
-        """`capacity`: called when a wait is judged. is_fair: callers get fair shares."""
+        """Creates an empty queue.
+
+        Args:
+            clock: Returns the time of the steady clock.
+            capacity: Returns the current capacity of the pool.
+            is_fair: Whether callers get fair shares.
+        """
         self._clock = clock
         self._capacity = capacity
         self._returns = ReturnMoments()
@@ -45,25 +50,26 @@
 
     @property
     def rates(self) -> SlotRates:
-        """How long statements, connections and openings usually take."""
+        """The usual times of statements, loans and openings."""
         return self._estimate.rates
 
     def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
-        """`told` is called when a caller is held to its share, once a second at most."""
+        """Sets a callback that is called, at most once a second, when a caller over its fair share
+        waits."""
         self._held.on_held(told)
 
     def arrive(self, waiter: Waiter) -> None:
-        """One comes that may have to wait."""
+        """Sets the deadlines of an arriving statement."""
         now = self._clock()
         self.queue.refresh(now)
         waiter.arrive(now, self.rates.slot_seconds)
 
     def is_first(self, waiter: Waiter) -> bool:
-        """Tells whether one that is not in the queue comes before all that are."""
+        """Tells whether a statement that is not in the queue would be the first."""
         return self.queue.would_be_first(waiter, self._clock())
 
     def add(self, waiter: Waiter) -> Verdict:
-        """Has one wait, or refuses it at once."""
+        """Adds a statement to the queue, or refuses it at once."""
         waiter.join(self.queue.remove)
         self.queue.add(waiter, self._clock())
         expected = self._expected(waiter)
@@ -71,23 +77,25 @@
         return self._judge(waiter, expected)
 
     def judge(self, waiter: Waiter) -> Verdict:
-        """Refuses one that waits and can't be served in its time; else tells when to ask again."""
+        """Refuses a waiting statement that can't be served in time; otherwise returns when to check
+        again."""
         self.queue.refresh(self._clock())
         return self._judge(waiter, self._expected(waiter))
 
     def promise_return(self, expected: ExpectedWait | None) -> float:
-        """Returns the seconds after which one that is refused may come back, told to nobody else.
+        """Reserves a retry time for a refused statement; returns it in seconds from now.
 
-        expected: its wait here, None where it is not known.
+        Args:
+            expected: The wait of the statement in this queue, None if unknown.
         """
         room_in = None if expected is None else expected.seconds
         spacing = self.rates.service_interval(self._capacity().places)
         return self._returns.promise(self._clock(), room_in, spacing)
 
     def give(self, waiter: Waiter) -> Charge:
-        """One gets a connection, from the queue or as it comes; returns what its caller is charged.
+        """Records that a statement gets a connection, and returns what its caller is charged.
 
-        The charge is the usual time of a statement, until `settle` knows the real one.
+        The charge is the usual cost of a statement; `settle` corrects it.
         """
         now = self._clock()
         if waiter.queued_rank is None:
@@ -102,24 +110,27 @@
         return charge
 
     def settle(self, charge: Charge, held_seconds: float) -> None:
-        """A statement held its slot for so long; what comes on its connection is charged anew."""
+        """Corrects a charge by the actual slot time. Later statements of the same loan are charged
+        in addition."""
         most = MOST_COST_RATIO * self._usual_cost()
         self.queue.settle(charge, min(held_seconds, most))
         charge.cost = 0.0
 
     def note_room(self) -> None:
-        """Nobody waits, and there may be room."""
+        """Records free slots while no statement waits."""
         self._estimate.drain.record_empty()
         capacity = self._capacity()
         free = min(capacity.places - capacity.running, capacity.connections - capacity.lent)
         self.record.record_free_slots(self._clock(), max(free, 0))
 
     def deny_all(self, denial: Denial) -> None:
-        """Denies a connection to all that wait."""
+        """Denies a connection to all waiting statements."""
         for waiter in self.queue.drain():
             waiter.deny(denial)
 
     def _judge(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
+        """Refuses a statement whose expected wait is too long; otherwise returns when to check
+        again."""
         now = self._clock()
         if may_wait(waiter.deadlines, now, expected):
             return WaitUntil(next_check_at(waiter.deadlines, now, expected))
@@ -133,9 +144,9 @@
         return max(self.rates.slot_seconds, LEAST_COST_SECONDS)
 
     def _expected(self, waiter: Waiter) -> ExpectedWait | None:
-        """Returns how long one in the queue still waits, None where that is not known.
+        """Returns the remaining wait of a statement in the queue, None if unknown.
 
-        A late one is passed over until it is back in the order of arrival, and waits from there.
+        A late statement is skipped until it is in order of arrival again, and waits from there.
         """
         ahead = self.queue.count_ahead(waiter)
         if ahead is None or waiter.demand is Demand.OWN:
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -1,45 +1,49 @@
-"""How many statements this process keeps at one database, learned from the database's refusals.
+"""Limits the statements of this process at a database, adapting to the database's refusals.
 
-Inputs: each statement that ran there, each that was refused for want of a slot, and the steady
-clock in seconds.
-Decision: the window grows by `GROWTH` over its size with each statement that ran and is cut to
-`CUT_SHARE` by a refusal. Additive growth and a multiplicative cut share what is there between
-processes that do not know each other, as for the congestion window of TCP (Chiu and Jain 1989).
-Reason: a database runs as many statements at once as it has slots and refuses more. Other processes
-use the same slots, so no share can be reckoned beforehand. Without a bound the refused statement
-that happens to come next gets the free slot, however urgent the others are; with one they wait in
-the pool's queue, where the more urgent comes first.
+A database executes as many concurrent statements as it has slots, which it shares among several
+processes, and refuses the others. The window grows with each executed statement and is cut by a
+refusal. Additive increase and multiplicative decrease divide the slots among processes that do not
+know of each other, like the congestion window of TCP (Chiu and Jain 1989).
+
+Without a window, a free slot would go to the next statement that happens to be retried, regardless
+of its urgency. With one, statements wait in the queue of the pool, which serves the most urgent
+first.
 """
 
 import math
 from collections.abc import Callable
 
 GROWTH = 0.2
-"""Statements; added to the size, divided by it, with each statement that ran: at 40 statements a
-second a size of one grows to three within a second, some times what that rate needs."""
+"""Statements; each executed statement adds this number divided by the size. At 40 statements a
+second, a window of one grows to three within a second."""
 CUT_SHARE = 0.75
-"""Ratio; share of the size that is left after a refusal: less than TCP's half takes away, since a
-refused statement costs a few milliseconds and an empty slot a whole statement."""
+"""Part of the size that remains after a refusal. More than the half of TCP, since a refused
+statement costs a few milliseconds and an unused slot a whole statement."""
 CUT_SPACING_SECONDS = 0.05
-"""Seconds; refusals closer than this are of one moment: some times the work of a statement."""
+"""Minimum interval between two cuts: refusals within it have the same cause."""
 LEAST = 1.0
-"""Statements; one is always let in: only its refusal or success tells whether there is room."""
+"""Statements that are always allowed: at least one must be sent to find out whether a slot is
+free."""
 TELL_SPACING_SECONDS = 1.0
-"""Seconds; a database that is full now and then is told as such no more often than this."""
+"""Minimum interval between two reports that the database is full; `is_full` is not set more
+often."""
 
 WindowCallback = Callable[[bool, int, int], None]
-"""Takes whether the database is full, the size of the window, and the widest."""
+"""Called with whether the database is full, the size of the window and its maximum."""
 
 
 class SlotWindow:
-    """The window of one pool; it begins wide open."""
+    """The limit of statements at a database; it starts at its maximum."""
 
     def __init__(
         self, widest: int, changed: WindowCallback = lambda is_full, size, widest: None
     ) -> None:
-        """`widest`: more is never needed, the connections of the pool.
+        """Creates a window of the maximum size.
 
-        changed: called when the database begins to be full, and when it has room for all again.
+        Args:
+            widest: The maximum size, the number of connections of the pool.
+            changed: Called when the database becomes full, and when the window is back at its
+                maximum.
         """
         self._size = float(max(widest, 1))
         self._widest = widest
@@ -47,23 +51,23 @@
         self._cut_at = -math.inf
         self._told_at = -math.inf
         self.is_full = False
-        """Whether the database has refused a statement since it last had room for all."""
+        """Whether the database has refused a statement since the window was last at its maximum."""
 
     @property
     def size(self) -> int:
-        """How many statements may be at the database from this process."""
+        """How many statements of this process may be at the database."""
         return int(self._size)
 
     def allows(self, running: int) -> bool:
-        """Tells whether a further statement may go to the database beside `running` others."""
+        """Tells whether another statement may be sent beside `running` ones."""
         return running < int(self._size)
 
     def room(self, running: int) -> int:
-        """Returns how many further statements may go there."""
+        """Returns how many more statements may be sent beside `running` ones."""
         return max(int(self._size) - running, 0)
 
     def note_served(self, widest: int) -> None:
-        """A statement ran."""
+        """Records an executed statement; `widest` is the current maximum size."""
         self._widest = widest
         self._size = min(self._size + GROWTH / self._size, float(max(widest, 1)))
         if self.is_full and self._size >= widest:
@@ -71,7 +75,7 @@
             self._changed(False, int(self._size), widest)
 
     def note_refused(self, now: float) -> None:
-        """The database refused a statement for want of a slot."""
+        """Records a statement that the database refused because its slots are in use."""
         if now >= self._cut_at + CUT_SPACING_SECONDS:
             self._cut_at = now
             self._size = max(self._size * CUT_SHARE, LEAST)
--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -1,4 +1,4 @@
-"""The log event of a statement that a pool's queue refused, with the wait and the return moment."""
+"""Creates the log event of a statement that was refused in the queue of a pool."""
 
 from dewledge.core.pooler.events import WaitRefused
 from dewledge.core.pooler.load.verdict import RefusalCause
@@ -9,7 +9,7 @@
 def wait_refused(
     group: str, database: str, statement: str, waiter: Waiter, now: float
 ) -> WaitRefused:
-    """Returns the event of a waiter that was denied for want of room at `now` (steady clock)."""
+    """Returns the event of a statement that was refused at `now` (steady clock, seconds)."""
     refusal, wait = waiter.refusal, waiter.refused_wait
     left = waiter.deadlines.latest_start - now
     return WaitRefused(
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -1,8 +1,8 @@
-"""A statement that waits for a connection: what it needs, its deadlines and its rank in the queue.
+"""A statement that waits for a connection: its demand, its deadlines and its rank in the queue.
 
-Owns the rank rule (`Waiter.rank`): route priority, then whether it is still in time, then the
-proxy's own questions, single statements and transactions in that order, then arrival. The order by
-rank and by fair shares is kept in `load/wait_queue`, the deadlines in `load/wait_deadlines`.
+Statements are ranked by route priority, then by whether they can still meet their latency target,
+then by demand (internal statements, single statements, transactions), then by arrival.
+`load/wait_queue` keeps the order, `load/wait_deadlines` computes the deadlines.
 """
 
 import itertools
@@ -17,14 +17,15 @@
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
 MOST_WORK_SHARE = 0.5
-"""Ratio; share of its time; more is never set aside for its work, so that statements go on to a
-database whose usual time has become longer than they have, and show when it is shorter again."""
+"""Maximum part of a statement's remaining time that is reserved for its execution. Statements with
+shorter deadlines than the usual service time are thus still sent, and show when the database
+becomes faster."""
 
 _numbers = itertools.count()
 
 
 class Denial(StrEnum):
-    """Why a pool gave no connection."""
+    """Why a pool denied a connection."""
 
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
@@ -32,11 +33,14 @@
 
 
 class Demand(IntEnum):
-    """What a waiter needs of a database that may be full. Of equal urgency the lower comes first.
-
-    SINGLE: one statement. TRANSACTION: many statements for one caller, so that while not all can
-    be served, more callers are served when these come last. OWN: a question of the proxy's own,
-    which is never held back.
+    """What a statement needs from a database that may be full; at equal urgency the lower value is
+    first.
+
+    Attributes:
+        OWN: An internal statement of the proxy, which needs no slot.
+        SINGLE: A single statement.
+        TRANSACTION: Many statements of one caller. Transactions come last, so that more callers are
+            served if not all can be.
     """
 
     OWN = 0
@@ -73,9 +77,15 @@
         caller: str = NO_CALLER,
         deadlines: WaitDeadlines | None = None,
     ) -> None:
-        """`caller`: only a connection of this caller will do.
-
-        deadlines: when the statement has to be answered; None for one that may always wait.
+        """Creates a statement that has not arrived at a queue.
+
+        Args:
+            priority: The priority of its route; the lower value is more urgent.
+            given: Called with the connection that is assigned.
+            denied: Called with the reason if a connection is denied.
+            demand: What it needs from the database.
+            caller: Only a connection of this caller can be assigned.
+            deadlines: When the statement has to be answered; None if it may always wait.
         """
         self.caller = caller
         self.priority = priority
@@ -85,11 +95,11 @@
         self.queued_rank: Rank | None = None
         """Its rank while it is in a queue; set by the queue."""
         self.expected: ExpectedWait | None = None
-        """Its wait as it was expected when it came."""
+        """Its expected wait on arrival."""
         self.refusal: Refuse | None = None
         self.refused_wait: ExpectedWait | None = None
         self.deadlines = deadlines or WaitDeadlines(0.0, 0.0)
-        """When it has to start; from its arrival on."""
+        """When it has to start; valid from its arrival on."""
         self._deadlines = deadlines
         self._left: Callable[[Waiter], None] | None = None
         self._number = next(_numbers)
@@ -97,7 +107,7 @@
 
     @property
     def withdrawn(self) -> bool:
-        """Whether the statement waits no more."""
+        """Whether the statement has stopped waiting."""
         return self._is_withdrawn
 
     @withdrawn.setter
@@ -107,7 +117,7 @@
             self._left(self)
 
     def arrive(self, now: float, service_seconds: float) -> None:
-        """It comes to a queue now; statements there usually take so long once they have started."""
+        """Computes its deadlines on arrival, given the usual service time."""
         if self._deadlines is None:
             self.deadlines = WaitDeadlines(now, now)
         else:
@@ -117,25 +127,25 @@
             )
 
     def join(self, left: Callable[["Waiter"], None]) -> None:
-        """It is in a queue from now on; `left` is called if it is withdrawn."""
+        """Records that it is in a queue; `left` is called if it is withdrawn."""
         self._left = left
 
     def expect(self, wait: ExpectedWait | None) -> None:
-        """Notes its wait as it is expected when it comes."""
+        """Records its expected wait on arrival."""
         self.expected = wait
 
     def deny(
         self, denial: Denial, refusal: Refuse | None = None, wait: ExpectedWait | None = None
     ) -> None:
-        """Tells it that it gets no connection."""
+        """Denies it a connection."""
         self.refusal = refusal
         self.refused_wait = wait
         self.denied(denial)
 
     def rank(self, now: float) -> Rank:
-        """Who comes first: the lower.
+        """Returns its rank at a time; the lowest rank is served first.
 
-        One that is late and near its latest start comes by its arrival among the single ones.
+        A late statement that is in order of arrival again ranks with the single statements.
         """
         if self.deadlines.is_late_in_arrival_order(now):
             return self.rank_near_latest_start
@@ -144,15 +154,15 @@
 
     @property
     def rank_near_latest_start(self) -> Rank:
-        """Its rank once it is near its latest start."""
+        """Its rank once it is late and in order of arrival again."""
         demand = min(self.demand, Demand.SINGLE)
         return (self.priority, QueuePriority.IN_TIME, demand, self.deadlines.arrived, self._number)
 
     def next_change(self, now: float) -> float:
-        """Returns when its rank will be another."""
+        """Returns when its rank changes next."""
         return self.deadlines.next_change(now)
 
 
 def caller_of(waiter: Waiter) -> str:
-    """Returns whose it is."""
+    """Returns the caller of a statement."""
     return waiter.caller
