--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -13,7 +13,7 @@
 from dewledge.core.pooler.load.wait_queue import WaitQueue
 from dewledge.core.pooler.pool.connection_shares import ConnectionShares
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.held_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 
@@ -22,11 +22,11 @@
     """Opens connections of a pool for the callers that have waiting statements."""
 
     def __init__(
-        self, held: HeldConnections, slots: PoolSlots, waiters: WaitQueue[Waiter], is_fair: bool
+        self, held: PoolConnections, slots: PoolSlots, waiters: WaitQueue[Waiter], is_fair: bool
     ) -> None:
         """With `is_fair`, callers get fair shares of the connections; otherwise only arrival order
         counts."""
-        self._held = held
+        self._connections = held
         self._slots = slots
         self._waiters = waiters
         self._is_fair = is_fair
@@ -38,13 +38,13 @@
         if self._is_opening:
             return
         self._is_opening = True
-        openings = self._held.openings
+        openings = self._connections.openings
         asked: Counter[str] = Counter()
-        for caller in self._wanted():
+        for caller in self._callers_to_open_for():
             asked[caller] += 1
             if openings.by_caller[caller] >= asked[caller] or openings.is_unreachable:
                 continue
-            if self._held.is_below_limit or self._make_room(caller):
+            if self._connections.is_below_limit or self._close_unused(caller):
                 openings.open(caller)
         self._is_opening = False
 
@@ -56,43 +56,43 @@
         as long as others wait. At the limit, a connection of a caller over its fair share is
         closed, if this caller is below its own.
         """
-        if not self._is_fair or not self._held.openings.may_open_ahead(caller):
+        if not self._is_fair or not self._connections.openings.may_open_ahead(caller):
             return False
         was_opening, self._is_opening = self._is_opening, True
-        is_free = self._held.is_below_limit or self._make_room(caller)
-        has_room = is_free or self._end(self._shares().above(caller))
+        is_free = self._connections.is_below_limit or self._close_unused(caller)
+        has_room = is_free or self._close_idle(self._connection_shares().find_over_share(caller))
         if has_room:
-            self._held.openings.open(caller)
+            self._connections.openings.open(caller)
         self._is_opening = was_opening
         return has_room
 
-    def _wanted(self) -> Sequence[str]:
+    def _callers_to_open_for(self) -> Sequence[str]:
         """Returns a caller for each connection that should be opened, in the order of opening."""
-        servable = _servable_callers(self._waiters, self._slots.room)
+        servable = _servable_callers(self._waiters, self._slots.free_slots)
         if self._is_fair and len(set(servable)) > 1:
-            return self._shares().in_order(servable)
+            return self._connection_shares().opening_order(servable)
         return list(Counter(servable).elements())
 
-    def _shares(self) -> ConnectionShares:
+    def _connection_shares(self) -> ConnectionShares:
         """Computes the fair shares from the current connections and queue."""
-        held = self._held
+        held = self._connections
         waiting = {waiter.caller for waiter in self._waiters.unordered()}
         opening = held.openings.by_caller
-        return ConnectionShares(held.limit, held.idle, held.lent, opening, waiting)
+        return ConnectionShares(held.limit, held.idle, held.in_use_connections, opening, waiting)
 
-    def _make_room(self, caller: str) -> bool:
+    def _close_unused(self, caller: str) -> bool:
         """Closes an idle connection of another caller that has no waiting statements."""
-        return self._end(self._shares().unused(caller, self._is_fair))
+        return self._close_idle(self._connection_shares().find_unused(caller, self._is_fair))
 
-    def _end(self, connection: DatabaseConnection | None) -> bool:
+    def _close_idle(self, connection: DatabaseConnection | None) -> bool:
         """Closes an idle connection; False if there is none."""
         if connection is None:
             return False
-        self._held.close_idle(connection)
+        self._connections.close_idle(connection)
         return True
 
 
-def _servable_callers(waiters: Iterable[Waiter], room: float) -> Sequence[str]:
+def _servable_callers(waiters: Iterable[Waiter], free_slots: float) -> Sequence[str]:
     """Returns the callers of the statements that lack only a connection, in queue order.
 
     Args:
@@ -102,8 +102,8 @@
     servable: list[str] = []
     for waiter in waiters:
         if waiter.demand is not Demand.OWN:
-            if room < 1:
+            if free_slots < 1:
                 break
-            room -= 1
+            free_slots -= 1
         servable.append(waiter.caller)
     return servable
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.pool.caller_openings import CallerOpenings
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.held_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
@@ -23,57 +23,57 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        held: HeldConnections,
+        held: PoolConnections,
         slots: PoolSlots,
         waits: PoolWaits,
         openings: CallerOpenings,
     ) -> None:
         self._clock = clock
-        self._held = held
+        self._connections = held
         self._slots = slots
         self._waits = waits
         self._openings = openings
 
     def serve_on_arrival(self, waiter: Waiter, values: dict[str, str]) -> bool:
         """Assigns a connection to an arriving statement; False if it has to wait."""
-        may_take = self._waits.is_first(waiter) and self._slots.has_room(waiter)
-        connection = self._held.idle.take(waiter.caller, values) if may_take else None
+        may_take = self._waits.would_be_first(waiter) and self._slots.may_run(waiter)
+        connection = self._connections.idle.pop_usable(waiter.caller, values) if may_take else None
         if connection is None:
             return False
-        self._give(connection, waiter)
+        self._assign(connection, waiter)
         return True
 
     def serve_waiters(self) -> None:
         """Assigns idle connections to waiting statements, then opens the connections that are
         missing."""
         self._waits.queue.refresh(self._clock())
-        while self._held.idle and self._serve_first():
+        while self._connections.idle and self._serve_first():
             pass
         if not self._waits.queue:
-            self._waits.note_room()
+            self._waits.record_free_slots()
         self._openings.open_if_useful()
 
     def _serve_first(self) -> bool:
         """Serves the first waiting statement that can be served; False if there is none."""
         without: set[str] = set()
         for waiter in self._waits.queue:
-            if not self._slots.has_room(waiter):
+            if not self._slots.may_run(waiter):
                 return False
             if waiter.caller in without:
                 continue
-            connection = self._held.idle.take(waiter.caller, {})
+            connection = self._connections.idle.pop_usable(waiter.caller, {})
             if connection is not None:
-                self._give(connection, waiter)
+                self._assign(connection, waiter)
                 return True
             without.add(waiter.caller)
             if self._openings.open_ahead(waiter.caller):
                 return True
         return False
 
-    def _give(self, connection: DatabaseConnection, waiter: Waiter) -> None:
+    def _assign(self, connection: DatabaseConnection, waiter: Waiter) -> None:
         """Assigns a connection to a statement and charges its caller."""
-        self._held.lend(connection)
-        charge = self._waits.give(waiter)
+        self._connections.mark_in_use(connection)
+        charge = self._waits.charge_served(waiter)
         is_single = waiter.demand is Demand.SINGLE
-        connection.lend(charge, self._clock(), is_single, waiter.priority)
+        connection.begin_loan(charge, self._clock(), is_single, waiter.priority)
         waiter.given(connection)
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -62,7 +62,7 @@
         self._clock = clock
         self._silence = silence
         self._outcomes = outcomes
-        self._not_before = 0.0
+        self._next_attempt_at = 0.0
 
     @property
     def total(self) -> int:
@@ -72,7 +72,7 @@
     @property
     def is_unreachable(self) -> bool:
         """Whether the database counts as unreachable after a failed opening."""
-        return self._clock() < self._not_before
+        return self._clock() < self._next_attempt_at
 
     def may_open_ahead(self, caller: str) -> bool:
         """Tells whether to open a connection for a caller that has none and still waits for a
@@ -80,9 +80,9 @@
         is_free = self.total < MOST_OPENED_AHEAD and not self.by_caller[caller]
         return is_free and not self.is_unreachable
 
-    def forget_failure(self) -> None:
+    def clear_failure(self) -> None:
         """Allows openings again at once."""
-        self._not_before = 0.0
+        self._next_attempt_at = 0.0
 
     def begin_generation(self) -> None:
         """Starts a new route to the database; connections of the old one are not reused."""
@@ -107,7 +107,7 @@
             self._silence.opening_ends(began_at)
             is_limit = code is ErrorCode.CONNECTION_LIMIT
             backoff = LIMIT_BACKOFF_SECONDS if is_limit else OPEN_BACKOFF_SECONDS
-            self._not_before = self._clock() + backoff
+            self._next_attempt_at = self._clock() + backoff
             self._outcomes.failed()
 
         self._opener.open(self._database_id, caller, opened, failed, self._outcomes.closed)
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -22,7 +22,7 @@
 from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
 from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.held_connections import PoolConnections
 from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
@@ -75,35 +75,39 @@
             rules: Optional rules.
         """
         self.database_id = database_id
-        self.retired = False
+        self.is_retired = False
         self.served_at = -float("inf")
         """When the database last executed a statement of this process."""
         self.slot_use = SlotUse()
         """Slot time by caller."""
         self._clock = clock
         self._silence = rules.silence or DatabaseSilence(clock, is_judged=False)
-        outcomes = OpeningOutcomes(self._opened, self._failed, self._closed)
+        outcomes = OpeningOutcomes(self._on_opened, self._on_failed, self._on_closed)
         self._openings = ConnectionOpenings(database_id, opener, clock, self._silence, outcomes)
-        self._held = HeldConnections(limit, IdleConnections(clock), self._openings)
-        self._slots = PoolSlots(self._held, window)
+        self._connections = PoolConnections(limit, IdleConnections(clock), self._openings)
+        self._slots = PoolSlots(self._connections, window)
         self._waits = PoolWaits(clock, self._slots.capacity, rules.is_fair)
-        self._more = CallerOpenings(self._held, self._slots, self._waits.queue, rules.is_fair)
-        self._dispatch = ConnectionDispatch(clock, self._held, self._slots, self._waits, self._more)
+        self._caller_openings = CallerOpenings(
+            self._connections, self._slots, self._waits.queue, rules.is_fair
+        )
+        self._dispatch = ConnectionDispatch(
+            clock, self._connections, self._slots, self._waits, self._caller_openings
+        )
 
     @property
     def limit(self) -> int:
         """The maximum number of connections or channels."""
-        return self._held.limit
+        return self._connections.limit
 
     @property
     def in_use(self) -> int:
         """The number of connections that statements use."""
-        return self._held.in_use
+        return self._connections.in_use
 
     @property
     def size(self) -> int:
         """The number of all connections, including those being opened."""
-        return self._held.size
+        return self._connections.size
 
     @property
     def waiting(self) -> int:
@@ -118,7 +122,7 @@
     @property
     def running(self) -> int:
         """The number of statements that are at the database or about to be sent there."""
-        return self._held.running
+        return self._connections.running
 
     @property
     def openings(self) -> int:
@@ -144,7 +148,7 @@
     @property
     def load(self) -> int:
         """The number of statements that use a connection or wait for one."""
-        return self._held.in_use + len(self._waits.queue)
+        return self._connections.in_use + len(self._waits.queue)
 
     @property
     def is_full(self) -> bool:
@@ -159,28 +163,28 @@
     @property
     def is_silent(self) -> bool:
         """Whether replies are outstanding and the database has stopped answering."""
-        return self._silent_at() <= self._clock()
+        return self._silent_from() <= self._clock()
 
     def has_idle(self, caller: str) -> bool:
         """Tells whether there is an idle connection of a caller."""
-        return self._held.idle.has(caller)
+        return self._connections.idle.has(caller)
 
     def change_limit(self, limit: int) -> None:
         """Sets another limit; connections beyond it are closed when they are released."""
-        self._held.change_limit(limit)
+        self._connections.change_limit(limit)
 
     def acquire(self, waiter: Waiter, values: dict[str, str]) -> None:
         """Assigns a connection now or later, or denies it."""
-        if self.retired:
+        if self.is_retired:
             waiter.deny(Denial.CLOSED)
             return
-        if self._turns_away(waiter) and not self._silence.may_probe():
+        if self._rejects_waiting(waiter) and not self._silence.may_probe():
             waiter.deny(Denial.UNREACHABLE)
             return
         self._waits.arrive(waiter)
         if self._dispatch.serve_on_arrival(waiter, values):
             return
-        if self._held.is_cut_off and self.is_unreachable:
+        if self._connections.has_no_usable and self.is_unreachable:
             waiter.deny(Denial.UNREACHABLE)
             return
         if isinstance(self._waits.add(waiter), WaitUntil):
@@ -189,24 +193,24 @@
     def judge(self, waiter: Waiter) -> Verdict:
         """Refuses a waiting statement that can't be served in time; otherwise returns when to check
         again."""
-        if self._turns_away(waiter):
+        if self._rejects_waiting(waiter):
             self._waits.queue.remove(waiter)
             waiter.deny(Denial.UNREACHABLE)
             return Refuse(RefusalCause.NO_CONNECTION, 0.0)
-        verdict = self._waits.judge(waiter)
+        verdict = self._waits.recheck(waiter)
         if isinstance(verdict, WaitUntil):
-            return WaitUntil(min(verdict.at, self._silent_at()))
+            return WaitUntil(min(verdict.at, self._silent_from()))
         return verdict
 
     def promise_return(self) -> float:
         """Reserves a retry time for a statement that gave up here; returns it in seconds from
         now."""
-        return self._waits.promise_return(None)
+        return self._waits.reserve_retry_time(None)
 
     def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
         """Sets a callback that is called, at most once a second, when a caller over its fair share
         waits."""
-        self._waits.on_held_to_share(told)
+        self._waits.on_over_fair_share(told)
 
     def note_answer(
         self,
@@ -237,49 +241,49 @@
         if not self._slots.is_bounded:
             return
         if is_served:
-            self._slots.note_served()
+            self._slots.record_served()
         elif reply.failure is not None and reply.failure.code is ErrorCode.OVERLOADED:
-            self._slots.note_refused(self._clock())
+            self._slots.record_refused(self._clock())
         self._dispatch.serve_waiters()
 
     def release(self, connection: DatabaseConnection) -> None:
         """Returns a connection to the pool; it is closed if its state is unknown."""
-        self._held.take_back(connection)
+        self._connections.mark_returned(connection)
         self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
         connection.end_loan()
-        is_kept = not self.retired and self._held.is_below_limit
-        if is_kept and self._held.is_reusable(connection):
-            self._held.idle.add(connection)
+        is_kept = not self.is_retired and self._connections.is_below_limit
+        if is_kept and self._connections.is_reusable(connection):
+            self._connections.idle.add(connection)
         else:
             connection.close()
         self._dispatch.serve_waiters()
 
     def trim(self) -> None:
         """Closes connections that have been idle for too long, the longest idle first."""
-        self._held.idle.trim()
+        self._connections.idle.trim()
 
     def renew(self, window: SlotWindow | None = None) -> None:
         """Switches to another route to the database: connections of the old route are closed."""
         self._openings.begin_generation()
-        self._slots.renew(window)
-        self._openings.forget_failure()
+        self._slots.replace_window(window)
+        self._openings.clear_failure()
         self.close_idle()
 
     def retire(self) -> None:
         """Stops assigning connections; those in use are closed when they are released."""
-        self.retired = True
-        self._held.idle.close_all()
+        self.is_retired = True
+        self._connections.idle.close_all()
         self._waits.deny_all(Denial.CLOSED)
 
     def forget_failure(self) -> None:
         """Allows openings again at once, because the route to the database has changed."""
-        self._openings.forget_failure()
+        self._openings.clear_failure()
 
     def close_idle(self) -> None:
         """Closes all idle connections, because their state is unknown."""
-        self._held.idle.close_all()
+        self._connections.idle.close_all()
 
-    def _silent_at(self) -> float:
+    def _silent_from(self) -> float:
         """Returns when the database will count as silent if it answers nothing until then.
 
         Infinite if other processes hold the connections: they judge the database, and this process
@@ -287,11 +291,13 @@
         """
         if not self._slots.is_bounded:
             return float("inf")
-        return self._silence.begins_at(self._held.lent, self._waits.rates.slot_seconds)
+        return self._silence.begins_at(
+            self._connections.in_use_connections, self._waits.rates.slot_seconds
+        )
 
-    def _turns_away(self, waiter: Waiter) -> bool:
+    def _rejects_waiting(self, waiter: Waiter) -> bool:
         """Tells whether a statement may not wait because the database is silent."""
-        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_at())
+        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_from())
 
     def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
         """Charges the caller of a statement for its actual slot time."""
@@ -299,20 +305,20 @@
             self._waits.settle(connection.charge, held_seconds)
             self.slot_use.record(connection.caller, held_seconds)
 
-    def _opened(self, connection: DatabaseConnection, seconds: float) -> None:
+    def _on_opened(self, connection: DatabaseConnection, seconds: float) -> None:
         self._waits.rates.record_opening_time(seconds)
-        if self.retired or connection.generation != self._openings.generation:
+        if self.is_retired or connection.generation != self._openings.generation:
             connection.close()
-            self._more.open_if_useful()
+            self._caller_openings.open_if_useful()
             return
-        self._openings.forget_failure()
-        self._held.idle.add(connection)
+        self._openings.clear_failure()
+        self._connections.idle.add(connection)
         self._dispatch.serve_waiters()
 
-    def _failed(self) -> None:
-        if self._held.is_cut_off:
+    def _on_failed(self) -> None:
+        if self._connections.has_no_usable:
             self._waits.deny_all(Denial.UNREACHABLE)
 
-    def _closed(self, connection: DatabaseConnection) -> None:
-        self._held.idle.discard(connection)
-        self._more.open_if_useful()
+    def _on_closed(self, connection: DatabaseConnection) -> None:
+        self._connections.idle.discard(connection)
+        self._caller_openings.open_if_useful()
--- a/src/dewledge/core/pooler/pool/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -20,7 +20,7 @@
         self,
         limit: int,
         idle: Iterable[DatabaseConnection],
-        lent: Iterable[DatabaseConnection],
+        in_use: Iterable[DatabaseConnection],
         opening: Mapping[str, int],
         waiting: Collection[str],
     ) -> None:
@@ -36,11 +36,11 @@
         self._idle = idle
         self._waiting = waiting
         self._opening = Counter(opening)
-        self._connections = Counter(each.caller for each in lent)
+        self._connections = Counter(each.caller for each in in_use)
         self._share = limit / max(len({*self._connections, *waiting}), 1)
         self._connections.update(each.caller for each in idle)
 
-    def in_order(self, callers: Sequence[str]) -> Sequence[str]:
+    def opening_order(self, callers: Sequence[str]) -> Sequence[str]:
         """Returns the callers in the order of opening: those over their share come last.
 
         Args:
@@ -54,7 +54,7 @@
             (within if held[caller] <= max(self._share, 1.0) else beyond).append(caller)
         return within + beyond
 
-    def unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
+    def find_unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
         """Returns an idle connection of another caller without waiting statements, None if there is
         none.
 
@@ -65,18 +65,18 @@
             for each in self._idle
             if each.caller != caller and each.caller not in self._waiting
         ]
-        above = [each for each in others if is_fair and self._is_above(each.caller)]
+        above = [each for each in others if is_fair and self._is_over_share(each.caller)]
         return next(iter(above or others), None)
 
-    def above(self, caller: str) -> DatabaseConnection | None:
+    def find_over_share(self, caller: str) -> DatabaseConnection | None:
         """Returns the longest idle connection of a caller over its share, for a caller below its
         own."""
-        if self._held(caller) >= self._share:
+        if self._count(caller) >= self._share:
             return None
-        return next((each for each in self._idle if self._is_above(each.caller)), None)
+        return next((each for each in self._idle if self._is_over_share(each.caller)), None)
 
-    def _held(self, caller: str) -> int:
+    def _count(self, caller: str) -> int:
         return self._connections[caller] + self._opening[caller]
 
-    def _is_above(self, caller: str) -> bool:
-        return self._held(caller) > self._share
+    def _is_over_share(self, caller: str) -> bool:
+        return self._count(caller) > self._share
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -72,12 +72,12 @@
         self.holder_judged: Callable[[HolderState], None] = ignore_holder
         """Called when the state of the process that holds the connection changes."""
         self._transport = transport
-        self._waiting: deque[ReplyCallback] = deque()
+        self._callbacks: deque[ReplyCallback] = deque()
 
     @property
     def unanswered(self) -> int:
         """The number of statements sent whose replies are outstanding."""
-        return len(self._waiting)
+        return len(self._callbacks)
 
     def assign(self, caller: str, generation: int) -> None:
         """Records the caller and the generation of the route for which the connection was
@@ -85,7 +85,7 @@
         self.caller = caller
         self.generation = generation
 
-    def lend(self, charge: Charge, at: float, is_single: bool, priority: int) -> None:
+    def begin_loan(self, charge: Charge, at: float, is_single: bool, priority: int) -> None:
         """Records that a statement uses the connection from `at` on (steady clock, seconds)."""
         self.charge = charge
         self.lent_at = at
@@ -96,7 +96,7 @@
         """Records that no statement uses the connection."""
         self.is_single = False
 
-    def rest(self, since: float) -> None:
+    def mark_idle(self, since: float) -> None:
         """Records that the connection is idle from `since` on (steady clock, seconds)."""
         self.idle_since = since
 
@@ -107,7 +107,7 @@
         if self.closed:
             callback(None)
             return
-        self._waiting.append(callback)
+        self._callbacks.append(callback)
         self._transport.send(statement, floor)
 
     def send_own(
@@ -118,19 +118,19 @@
 
     def on_reply(self, reply: Reply) -> None:
         """Passes a reply to the callback of the oldest unanswered statement."""
-        if self._waiting:
-            self._waiting.popleft()(reply)
+        if self._callbacks:
+            self._callbacks.popleft()(reply)
 
     def on_closed(self) -> None:
         """Records the end of the connection and calls the outstanding callbacks with None."""
         self.closed = True
-        waiting, self._waiting = self._waiting, deque()
+        waiting, self._callbacks = self._callbacks, deque()
         for callback in waiting:
             callback(None)
 
     def close(self) -> None:
         """Closes the connection without calling outstanding callbacks."""
-        self._waiting.clear()
+        self._callbacks.clear()
         if not self.closed:
             self.closed = True
             self._transport.close()
--- a/src/dewledge/core/pooler/pool/held_connections.py
+++ b/src/dewledge/core/pooler/pool/held_connections.py
@@ -11,13 +11,13 @@
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 
 
-class HeldConnections:
+class PoolConnections:
     """The connections of a pool; `limit` includes those that are being opened."""
 
     def __init__(self, limit: int, idle: IdleConnections, openings: ConnectionOpenings) -> None:
         self.idle = idle
         self.openings = openings
-        self.lent: set[DatabaseConnection] = set()
+        self.in_use_connections: set[DatabaseConnection] = set()
         self._limit = limit
         self._in_use = 0
 
@@ -40,7 +40,7 @@
     def running(self) -> int:
         """The number of single statements with a connection, and of transactions with an unanswered
         statement."""
-        return sum(each.is_single or each.unanswered > 0 for each in self.lent)
+        return sum(each.is_single or each.unanswered > 0 for each in self.in_use_connections)
 
     @property
     def is_below_limit(self) -> bool:
@@ -48,25 +48,25 @@
         return self.size < self._limit
 
     @property
-    def is_cut_off(self) -> bool:
+    def has_no_usable(self) -> bool:
         """Whether no connection can serve waiting statements: none is being opened, and all
         existing ones are retiring."""
-        standing = itertools.chain(self.lent, self.idle)
+        standing = itertools.chain(self.in_use_connections, self.idle)
         return not self.openings.total and all(each.is_retiring for each in standing)
 
     def change_limit(self, limit: int) -> None:
         """Sets another limit; connections beyond it are closed when they are released."""
         self._limit = limit
 
-    def lend(self, connection: DatabaseConnection) -> None:
+    def mark_in_use(self, connection: DatabaseConnection) -> None:
         """Records that a statement uses a connection."""
         self._in_use += 1
-        self.lent.add(connection)
+        self.in_use_connections.add(connection)
 
-    def take_back(self, connection: DatabaseConnection) -> None:
+    def mark_returned(self, connection: DatabaseConnection) -> None:
         """Records that no statement uses a connection; it is not idle yet."""
         self._in_use -= 1
-        self.lent.discard(connection)
+        self.in_use_connections.discard(connection)
 
     def is_reusable(self, connection: DatabaseConnection) -> bool:
         """Tells whether a released connection has a known state and uses the current route."""
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -8,9 +8,9 @@
 from dewledge.core.pooler.load.wait_queue import Charge, WaitQueue
 from dewledge.core.pooler.pool.waiter import Waiter
 
-LEAST_HELD = 2
+MIN_WAITING = 2
 """Statements of a caller that must be waiting for a report; a single one is no backlog."""
-TELL_SPACING_SECONDS = 1.0
+MIN_REPORT_INTERVAL_SECONDS = 1.0
 """Minimum interval between two reports, which limits a busy pool to one log line a second."""
 
 
@@ -30,28 +30,28 @@
     served: str
 
 
-class HeldToShareWatch:
+class FairShareWatch:
     """Checks each statement served from a queue."""
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
-        self._told: Callable[[HeldToShare], None] = lambda held: None
-        self._told_at = -math.inf
+        self._callback: Callable[[HeldToShare], None] = lambda held: None
+        self._reported_at = -math.inf
 
-    def on_held(self, told: Callable[[HeldToShare], None]) -> None:
+    def on_over_share(self, callback: Callable[[HeldToShare], None]) -> None:
         """Sets the callback for reports, which is called at most once a second."""
-        self._told = told
+        self._callback = callback
 
-    def note_served(self, served: Waiter, charge: Charge, now: float) -> None:
+    def check_served(self, served: Waiter, charge: Charge, now: float) -> None:
         """Reports the longest flow that waits behind a served statement."""
-        if now < self._told_at + TELL_SPACING_SECONDS:
+        if now < self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
             return
         longest = self._queue.longest_flow_behind(charge)
         if longest is None:
             return
         first, waiting = longest
-        if waiting < LEAST_HELD or first.deadlines.arrived >= served.deadlines.arrived:
+        if waiting < MIN_WAITING or first.deadlines.arrived >= served.deadlines.arrived:
             return
-        self._told_at = now
+        self._reported_at = now
         waited = now - first.deadlines.came
-        self._told(HeldToShare(first.caller, waiting, waited, served.caller))
+        self._callback(HeldToShare(first.caller, waiting, waited, served.caller))
--- a/src/dewledge/core/pooler/pool/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -11,11 +11,11 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
-IDLE_SECONDS = 1.5
+MAX_IDLE_SECONDS = 1.5
 """Maximum idle time of a connection that belongs to no caller."""
-CALLER_IDLE_SECONDS = 1.5
+MAX_CALLER_IDLE_SECONDS = 1.5
 """Maximum idle time of a connection that belongs to a caller."""
-KEPT_IDLE = 1
+MIN_IDLE_CONNECTIONS = 1
 """Connections that remain open while idle. Few, because a database counts the connections of a
 crashed machine against its limit for seconds."""
 
@@ -39,7 +39,7 @@
 
     def add(self, connection: DatabaseConnection) -> None:
         """Adds a connection that is idle from now on."""
-        connection.rest(self._clock())
+        connection.mark_idle(self._clock())
         self._connections.append(connection)
 
     def discard(self, connection: DatabaseConnection) -> None:
@@ -47,9 +47,9 @@
         if connection in self._connections:
             self._connections.remove(connection)
 
-    def take(self, caller: str, values: dict[str, str]) -> DatabaseConnection | None:
+    def pop_usable(self, caller: str, values: dict[str, str]) -> DatabaseConnection | None:
         """Removes and returns a usable connection of a caller, None if there is none."""
-        while (position := self._best(caller, values)) is not None:
+        while (position := self._find_best(caller, values)) is not None:
             connection = self._connections.pop(position)
             if not connection.closed and not connection.is_retiring:
                 return connection
@@ -59,9 +59,9 @@
     def trim(self) -> None:
         """Closes connections that have been idle for too long, the longest idle first."""
         now = self._clock()
-        while len(self._connections) > KEPT_IDLE:
+        while len(self._connections) > MIN_IDLE_CONNECTIONS:
             oldest = self._connections[0]
-            kept = IDLE_SECONDS if oldest.caller == NO_CALLER else CALLER_IDLE_SECONDS
+            kept = MAX_IDLE_SECONDS if oldest.caller == NO_CALLER else MAX_CALLER_IDLE_SECONDS
             if oldest.idle_since >= now - kept:
                 break
             oldest.close()
@@ -72,7 +72,7 @@
         for connection in connections:
             connection.close()
 
-    def _best(self, caller: str, values: dict[str, str]) -> int | None:
+    def _find_best(self, caller: str, values: dict[str, str]) -> int | None:
         """Returns the position of a caller's newest connection, preferring one with equal session
         values."""
         found = None
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -48,10 +48,10 @@
     ) -> ConnectionPool:
         """Returns a pool of up to `limit` connections."""
         window = self.window(database_id, holding)
-        silence = self._silence(database_id)
+        silence = self._create_silence(database_id)
         rules = PoolRules(silence, self._is_fair)
         pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
-        pool.on_held_to_share(lambda held: self._log_held(database_id, held))
+        pool.on_held_to_share(lambda held: self._log_over_fair_share(database_id, held))
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
@@ -68,14 +68,14 @@
 
         return SlotWindow(holding.connections, changed)
 
-    def _silence(self, database_id: str) -> DatabaseSilence:
+    def _create_silence(self, database_id: str) -> DatabaseSilence:
         def changed(is_silent: bool, seconds: float) -> None:
             lasted_ms = int(seconds * MILLISECONDS)
             self._record(DatabaseSilenceJudged(self._group, database_id, is_silent, lasted_ms))
 
         return DatabaseSilence(self._clock, self._judges_silence, changed)
 
-    def _log_held(self, database_id: str, held: HeldToShare) -> None:
+    def _log_over_fair_share(self, database_id: str, held: HeldToShare) -> None:
         waited_ms = int(held.waited_seconds * MILLISECONDS)
         self._record(
             CallerHeldToShare(
--- a/src/dewledge/core/pooler/pool/pool_slots.py
+++ b/src/dewledge/core/pooler/pool/pool_slots.py
@@ -7,7 +7,7 @@
 import math
 
 from dewledge.core.pooler.load.wait_estimate import Capacity
-from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.held_connections import PoolConnections
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 
@@ -15,8 +15,8 @@
 class PoolSlots:
     """The slot window of a pool, if there is one, together with its connections."""
 
-    def __init__(self, held: HeldConnections, window: SlotWindow | None) -> None:
-        self._held = held
+    def __init__(self, held: PoolConnections, window: SlotWindow | None) -> None:
+        self._connections = held
         self._window = window
 
     @property
@@ -27,7 +27,7 @@
     @property
     def size(self) -> int:
         """How many statements may be at the database concurrently."""
-        limit = self._held.limit
+        limit = self._connections.limit
         return limit if self._window is None else min(self._window.size, limit)
 
     @property
@@ -36,32 +36,34 @@
         return self._window is not None and self._window.is_full
 
     @property
-    def room(self) -> float:
+    def free_slots(self) -> float:
         """How many more statements may be sent to the database; infinite without a window."""
-        return math.inf if self._window is None else self._window.room(self._held.running)
+        return (
+            math.inf if self._window is None else self._window.free_slots(self._connections.running)
+        )
 
-    def has_room(self, waiter: Waiter) -> bool:
+    def may_run(self, waiter: Waiter) -> bool:
         """Tells whether a statement may be sent to the database now; an internal one always may."""
         if self._window is None or waiter.demand is Demand.OWN:
             return True
-        return self._window.allows(self._held.running)
+        return self._window.allows(self._connections.running)
 
     def capacity(self) -> Capacity:
         """Returns the current capacity of the pool."""
-        held = self._held
+        held = self._connections
         is_opening = not held.idle and held.is_below_limit
         return Capacity(held.running, self.size, held.in_use, held.limit, is_opening)
 
-    def renew(self, window: SlotWindow | None) -> None:
+    def replace_window(self, window: SlotWindow | None) -> None:
         """Replaces the window, because the route to the database has changed."""
         self._window = window
 
-    def note_served(self) -> None:
+    def record_served(self) -> None:
         """Records that the database executed a statement."""
         if self._window is not None:
-            self._window.note_served(self._held.limit)
+            self._window.note_served(self._connections.limit)
 
-    def note_refused(self, now: float) -> None:
+    def record_refused(self, now: float) -> None:
         """Records that the database refused a statement because its slots are in use."""
         if self._window is not None:
-            self._window.note_refused(now)
+            self._window.record_refused(now)
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -13,12 +13,12 @@
 from dewledge.core.pooler.load.wait_deadlines import QueuePriority, may_wait, next_check_at
 from dewledge.core.pooler.load.wait_estimate import Capacity, ExpectedWait, SlotRates, WaitEstimate
 from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, single_flow
-from dewledge.core.pooler.pool.held_to_share import HeldToShare, HeldToShareWatch
+from dewledge.core.pooler.pool.held_to_share import FairShareWatch, HeldToShare
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
-LEAST_COST_SECONDS = 0.001
+MIN_COST_SECONDS = 0.001
 """Minimum charge for a statement: fair shares need a cost greater than 0."""
-MOST_COST_RATIO = 8.0
+MAX_COST_RATIO = 8.0
 """Maximum charge for a statement, relative to the usual cost: a statement that hung at the
 database, or in a stalled process, does not block its caller for as long."""
 
@@ -41,11 +41,11 @@
         """
         self._clock = clock
         self._capacity = capacity
-        self._returns = ReturnMoments()
+        self._retry_schedule = ReturnMoments()
         self._estimate = WaitEstimate(capacity)
         self._flow_of = caller_of if is_fair else single_flow
         self.queue: WaitQueue[Waiter] = WaitQueue(self._flow_of, self._usual_cost)
-        self._held = HeldToShareWatch(self.queue)
+        self._fair_share_watch = FairShareWatch(self.queue)
         self.record = WaitRecord()
 
     @property
@@ -53,10 +53,10 @@
         """The usual times of statements, loans and openings."""
         return self._estimate.rates
 
-    def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
+    def on_over_fair_share(self, callback: Callable[[HeldToShare], None]) -> None:
         """Sets a callback that is called, at most once a second, when a caller over its fair share
         waits."""
-        self._held.on_held(told)
+        self._fair_share_watch.on_over_share(callback)
 
     def arrive(self, waiter: Waiter) -> None:
         """Sets the deadlines of an arriving statement."""
@@ -64,25 +64,25 @@
         self.queue.refresh(now)
         waiter.arrive(now, self.rates.slot_seconds)
 
-    def is_first(self, waiter: Waiter) -> bool:
+    def would_be_first(self, waiter: Waiter) -> bool:
         """Tells whether a statement that is not in the queue would be the first."""
         return self.queue.would_be_first(waiter, self._clock())
 
     def add(self, waiter: Waiter) -> Verdict:
         """Adds a statement to the queue, or refuses it at once."""
-        waiter.join(self.queue.remove)
+        waiter.on_queued(self.queue.remove)
         self.queue.add(waiter, self._clock())
-        expected = self._expected(waiter)
-        waiter.expect(expected)
-        return self._judge(waiter, expected)
+        expected = self._expected_wait(waiter)
+        waiter.set_expected_wait(expected)
+        return self._refuse_or_wait(waiter, expected)
 
-    def judge(self, waiter: Waiter) -> Verdict:
+    def recheck(self, waiter: Waiter) -> Verdict:
         """Refuses a waiting statement that can't be served in time; otherwise returns when to check
         again."""
         self.queue.refresh(self._clock())
-        return self._judge(waiter, self._expected(waiter))
+        return self._refuse_or_wait(waiter, self._expected_wait(waiter))
 
-    def promise_return(self, expected: ExpectedWait | None) -> float:
+    def reserve_retry_time(self, expected: ExpectedWait | None) -> float:
         """Reserves a retry time for a refused statement; returns it in seconds from now.
 
         Args:
@@ -90,9 +90,9 @@
         """
         room_in = None if expected is None else expected.seconds
         spacing = self.rates.service_interval(self._capacity().places)
-        return self._returns.promise(self._clock(), room_in, spacing)
+        return self._retry_schedule.promise(self._clock(), room_in, spacing)
 
-    def give(self, waiter: Waiter) -> Charge:
+    def charge_served(self, waiter: Waiter) -> Charge:
         """Records that a statement gets a connection, and returns what its caller is charged.
 
         The charge is the usual cost of a statement; `settle` corrects it.
@@ -103,7 +103,7 @@
             charge = Charge(level, self._flow_of(waiter), self._usual_cost())
         else:
             charge = self.queue.serve(waiter)
-            self._held.note_served(waiter, charge, self._clock())
+            self._fair_share_watch.check_served(waiter, charge, self._clock())
         self._estimate.drain.record_departure(now, len(self.queue))
         if waiter.expected is not None:
             self.record.record_served(waiter.expected.seconds, now - waiter.deadlines.came)
@@ -112,11 +112,11 @@
     def settle(self, charge: Charge, held_seconds: float) -> None:
         """Corrects a charge by the actual slot time. Later statements of the same loan are charged
         in addition."""
-        most = MOST_COST_RATIO * self._usual_cost()
+        most = MAX_COST_RATIO * self._usual_cost()
         self.queue.settle(charge, min(held_seconds, most))
         charge.cost = 0.0
 
-    def note_room(self) -> None:
+    def record_free_slots(self) -> None:
         """Records free slots while no statement waits."""
         self._estimate.drain.record_empty()
         capacity = self._capacity()
@@ -128,7 +128,7 @@
         for waiter in self.queue.drain():
             waiter.deny(denial)
 
-    def _judge(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
+    def _refuse_or_wait(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
         """Refuses a statement whose expected wait is too long; otherwise returns when to check
         again."""
         now = self._clock()
@@ -136,14 +136,14 @@
             return WaitUntil(next_check_at(waiter.deadlines, now, expected))
         self.queue.remove(waiter)
         self.record.record_refused(waiter.deadlines.latest_start)
-        refusal = Refuse(RefusalCause.NO_ROOM_IN_TIME, self.promise_return(expected))
+        refusal = Refuse(RefusalCause.NO_ROOM_IN_TIME, self.reserve_retry_time(expected))
         waiter.deny(Denial.NO_ROOM, refusal, expected)
         return refusal
 
     def _usual_cost(self) -> float:
-        return max(self.rates.slot_seconds, LEAST_COST_SECONDS)
+        return max(self.rates.slot_seconds, MIN_COST_SECONDS)
 
-    def _expected(self, waiter: Waiter) -> ExpectedWait | None:
+    def _expected_wait(self, waiter: Waiter) -> ExpectedWait | None:
         """Returns the remaining wait of a statement in the queue, None if unknown.
 
         A late statement is skipped until it is in order of arrival again, and waits from there.
@@ -156,7 +156,7 @@
         if expected is None or waiter.deadlines.queue_priority(now) is QueuePriority.IN_TIME:
             return expected
         passed = max(waiter.deadlines.arrival_order_from - now, 0.0)
-        ahead_then = self.queue.count_before(waiter, waiter.rank_near_latest_start)
+        ahead_then = self.queue.count_before(waiter, waiter.rank_in_arrival_order)
         then = self._estimate.expected_wait(ahead_then, now)
         if then is None:
             return expected
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -13,18 +13,18 @@
 import math
 from collections.abc import Callable
 
-GROWTH = 0.2
+GROWTH_PER_STATEMENT = 0.2
 """Statements; each executed statement adds this number divided by the size. At 40 statements a
 second, a window of one grows to three within a second."""
-CUT_SHARE = 0.75
+CUT_RATIO = 0.75
 """Part of the size that remains after a refusal. More than the half of TCP, since a refused
 statement costs a few milliseconds and an unused slot a whole statement."""
 CUT_SPACING_SECONDS = 0.05
 """Minimum interval between two cuts: refusals within it have the same cause."""
-LEAST = 1.0
+MIN_SIZE = 1.0
 """Statements that are always allowed: at least one must be sent to find out whether a slot is
 free."""
-TELL_SPACING_SECONDS = 1.0
+MIN_REPORT_INTERVAL_SECONDS = 1.0
 """Minimum interval between two reports that the database is full; `is_full` is not set more
 often."""
 
@@ -36,7 +36,7 @@
     """The limit of statements at a database; it starts at its maximum."""
 
     def __init__(
-        self, widest: int, changed: WindowCallback = lambda is_full, size, widest: None
+        self, max_size: int, on_change: WindowCallback = lambda is_full, size, widest: None
     ) -> None:
         """Creates a window of the maximum size.
 
@@ -45,11 +45,11 @@
             changed: Called when the database becomes full, and when the window is back at its
                 maximum.
         """
-        self._size = float(max(widest, 1))
-        self._widest = widest
-        self._changed = changed
+        self._size = float(max(max_size, 1))
+        self._max_size = max_size
+        self._on_change = on_change
         self._cut_at = -math.inf
-        self._told_at = -math.inf
+        self._reported_at = -math.inf
         self.is_full = False
         """Whether the database has refused a statement since the window was last at its maximum."""
 
@@ -62,24 +62,24 @@
         """Tells whether another statement may be sent beside `running` ones."""
         return running < int(self._size)
 
-    def room(self, running: int) -> int:
+    def free_slots(self, running: int) -> int:
         """Returns how many more statements may be sent beside `running` ones."""
         return max(int(self._size) - running, 0)
 
-    def note_served(self, widest: int) -> None:
+    def note_served(self, max_size: int) -> None:
         """Records an executed statement; `widest` is the current maximum size."""
-        self._widest = widest
-        self._size = min(self._size + GROWTH / self._size, float(max(widest, 1)))
-        if self.is_full and self._size >= widest:
+        self._max_size = max_size
+        self._size = min(self._size + GROWTH_PER_STATEMENT / self._size, float(max(max_size, 1)))
+        if self.is_full and self._size >= max_size:
             self.is_full = False
-            self._changed(False, int(self._size), widest)
+            self._on_change(False, int(self._size), max_size)
 
-    def note_refused(self, now: float) -> None:
+    def record_refused(self, now: float) -> None:
         """Records a statement that the database refused because its slots are in use."""
         if now >= self._cut_at + CUT_SPACING_SECONDS:
             self._cut_at = now
-            self._size = max(self._size * CUT_SHARE, LEAST)
-        if not self.is_full and now >= self._told_at + TELL_SPACING_SECONDS:
+            self._size = max(self._size * CUT_RATIO, MIN_SIZE)
+        if not self.is_full and now >= self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
             self.is_full = True
-            self._told_at = now
-            self._changed(True, int(self._size), self._widest)
+            self._reported_at = now
+            self._on_change(True, int(self._size), self._max_size)
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -16,7 +16,7 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
-MOST_WORK_SHARE = 0.5
+MAX_WORK_RATIO = 0.5
 """Maximum part of a statement's remaining time that is reserved for its execution. Statements with
 shorter deadlines than the usual service time are thus still sent, and show when the database
 becomes faster."""
@@ -54,12 +54,12 @@
     __slots__ = (
         "_deadlines",
         "_is_withdrawn",
-        "_left",
+        "_on_withdrawn",
         "_number",
         "caller",
         "deadlines",
         "demand",
-        "denied",
+        "on_denied",
         "expected",
         "given",
         "priority",
@@ -91,7 +91,7 @@
         self.priority = priority
         self.demand = demand
         self.given = given
-        self.denied = denied
+        self.on_denied = denied
         self.queued_rank: Rank | None = None
         """Its rank while it is in a queue; set by the queue."""
         self.expected: ExpectedWait | None = None
@@ -101,7 +101,7 @@
         self.deadlines = deadlines or WaitDeadlines(0.0, 0.0)
         """When it has to start; valid from its arrival on."""
         self._deadlines = deadlines
-        self._left: Callable[[Waiter], None] | None = None
+        self._on_withdrawn: Callable[[Waiter], None] | None = None
         self._number = next(_numbers)
         self._is_withdrawn = False
 
@@ -113,8 +113,8 @@
     @withdrawn.setter
     def withdrawn(self, is_withdrawn: bool) -> None:
         self._is_withdrawn = is_withdrawn
-        if is_withdrawn and self._left is not None:
-            self._left(self)
+        if is_withdrawn and self._on_withdrawn is not None:
+            self._on_withdrawn(self)
 
     def arrive(self, now: float, service_seconds: float) -> None:
         """Computes its deadlines on arrival, given the usual service time."""
@@ -123,14 +123,14 @@
         else:
             left = max(self._deadlines.latest_start - now, 0.0)
             self.deadlines = self._deadlines.less_service_time(
-                min(service_seconds, left * MOST_WORK_SHARE)
+                min(service_seconds, left * MAX_WORK_RATIO)
             )
 
-    def join(self, left: Callable[["Waiter"], None]) -> None:
+    def on_queued(self, on_withdrawn: Callable[["Waiter"], None]) -> None:
         """Records that it is in a queue; `left` is called if it is withdrawn."""
-        self._left = left
+        self._on_withdrawn = on_withdrawn
 
-    def expect(self, wait: ExpectedWait | None) -> None:
+    def set_expected_wait(self, wait: ExpectedWait | None) -> None:
         """Records its expected wait on arrival."""
         self.expected = wait
 
@@ -140,7 +140,7 @@
         """Denies it a connection."""
         self.refusal = refusal
         self.refused_wait = wait
-        self.denied(denial)
+        self.on_denied(denial)
 
     def rank(self, now: float) -> Rank:
         """Returns its rank at a time; the lowest rank is served first.
@@ -148,12 +148,12 @@
         A late statement that is in order of arrival again ranks with the single statements.
         """
         if self.deadlines.is_late_in_arrival_order(now):
-            return self.rank_near_latest_start
+            return self.rank_in_arrival_order
         queue_priority = self.deadlines.queue_priority(now)
         return (self.priority, queue_priority, self.demand, self.deadlines.arrived, self._number)
 
     @property
-    def rank_near_latest_start(self) -> Rank:
+    def rank_in_arrival_order(self) -> Rank:
         """Its rank once it is late and in order of arrival again."""
         demand = min(self.demand, Demand.SINGLE)
         return (self.priority, QueuePriority.IN_TIME, demand, self.deadlines.arrived, self._number)
--- a/tests/core/pooler/test_connection_shares.py
+++ b/tests/core/pooler/test_connection_shares.py
@@ -34,7 +34,7 @@
             ("more callers than connections", 2, "h", "hab", "abh"),
         ):
             with self.subTest(name):
-                found = shares(limit, lent=lent, waiting=wanted).in_order(wanted)
+                found = shares(limit, lent=lent, waiting=wanted).opening_order(wanted)
                 self.assertEqual("".join(found), order)
 
     def test_who_gives_way_to_one_below_its_share(self) -> None:
@@ -45,7 +45,7 @@
             ("more callers than connections", 2, "a", "b", "abr", "r", "a"),
         ):
             with self.subTest(name):
-                found = shares(limit, idle, lent, waiting).above(caller)
+                found = shares(limit, idle, lent, waiting).find_over_share(caller)
                 self.assertEqual(named(found), gives)
 
     def test_what_nobody_uses_goes_to_who_can_use_it(self) -> None:
@@ -57,7 +57,7 @@
             ("not its own", "r", "", "r", True, ""),
         ):
             with self.subTest(name):
-                found = shares(2, idle, lent, waiting).unused("r", is_fair)
+                found = shares(2, idle, lent, waiting).find_unused("r", is_fair)
                 self.assertEqual(named(found), gives)
 
 
--- a/tests/core/pooler/test_slot_window.py
+++ b/tests/core/pooler/test_slot_window.py
@@ -29,39 +29,39 @@
     def test_refusals_of_one_moment_cut_it_once(self) -> None:
         window = SlotWindow(8)
         for _ in range(20):
-            window.note_refused(100.0)
-        self.assertEqual(window.room(0), 6)
+            window.record_refused(100.0)
+        self.assertEqual(window.free_slots(0), 6)
 
     def test_it_never_closes(self) -> None:
         window = SlotWindow(8)
         for step in range(100):
-            window.note_refused(100.0 + step)
-        self.assertEqual(window.room(0), 1)
+            window.record_refused(100.0 + step)
+        self.assertEqual(window.free_slots(0), 1)
 
     def test_it_tells_once_that_the_database_is_full_and_once_that_it_has_room(self) -> None:
         told: list[tuple[bool, int, int]] = []
         window = SlotWindow(4, lambda *change: told.append(change))
         for step in range(5):
-            window.note_refused(100.0 + 0.01 * step)
+            window.record_refused(100.0 + 0.01 * step)
         self.assertEqual(told, [(True, 3, 4)])
         for _ in range(100):
             window.note_served(4)
         self.assertEqual(told, [(True, 3, 4), (False, 4, 4)])
-        window.note_refused(100.5)
+        window.record_refused(100.5)
         self.assertFalse(window.is_full, "told a moment ago")
-        window.note_refused(101.5)
+        window.record_refused(101.5)
         self.assertEqual(told[-1], (True, 2, 4))
 
     def test_it_opens_again_with_the_statements_that_run(self) -> None:
         window = SlotWindow(8)
         for step in range(100):
-            window.note_refused(100.0 + step)
+            window.record_refused(100.0 + step)
         for _ in range(40):
             window.note_served(8)
-        self.assertGreaterEqual(window.room(0), 3)
+        self.assertGreaterEqual(window.free_slots(0), 3)
         for _ in range(1000):
             window.note_served(8)
-        self.assertEqual(window.room(0), 8)
+        self.assertEqual(window.free_slots(0), 8)
 
 
 class PoolWithWindowTest(unittest.TestCase):
