--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -22,11 +22,15 @@
     """Opens connections of a pool for the callers that have waiting statements."""
 
     def __init__(
-        self, held: PoolConnections, slots: PoolSlots, waiters: WaitQueue[Waiter], is_fair: bool
+        self,
+        connections: PoolConnections,
+        slots: PoolSlots,
+        waiters: WaitQueue[Waiter],
+        is_fair: bool,
     ) -> None:
         """With `is_fair`, callers get fair shares of the connections; otherwise only arrival order
         counts."""
-        self._connections = held
+        self._connections = connections
         self._slots = slots
         self._waiters = waiters
         self._is_fair = is_fair
@@ -39,10 +43,10 @@
             return
         self._is_opening = True
         openings = self._connections.openings
-        asked: Counter[str] = Counter()
+        wanted: Counter[str] = Counter()
         for caller in self._callers_to_open_for():
-            asked[caller] += 1
-            if openings.by_caller[caller] >= asked[caller] or openings.is_unreachable:
+            wanted[caller] += 1
+            if openings.by_caller[caller] >= wanted[caller] or openings.is_unreachable:
                 continue
             if self._connections.is_below_limit or self._close_unused(caller):
                 openings.open(caller)
@@ -59,12 +63,14 @@
         if not self._is_fair or not self._connections.openings.may_open_ahead(caller):
             return False
         was_opening, self._is_opening = self._is_opening, True
-        is_free = self._connections.is_below_limit or self._close_unused(caller)
-        has_room = is_free or self._close_idle(self._connection_shares().find_over_share(caller))
-        if has_room:
+        has_capacity = self._connections.is_below_limit or self._close_unused(caller)
+        may_open = has_capacity or self._close_idle(
+            self._connection_shares().find_over_share(caller)
+        )
+        if may_open:
             self._connections.openings.open(caller)
         self._is_opening = was_opening
-        return has_room
+        return may_open
 
     def _callers_to_open_for(self) -> Sequence[str]:
         """Returns a caller for each connection that should be opened, in the order of opening."""
@@ -75,10 +81,12 @@
 
     def _connection_shares(self) -> ConnectionShares:
         """Computes the fair shares from the current connections and queue."""
-        held = self._connections
+        connections = self._connections
         waiting = {waiter.caller for waiter in self._waiters.unordered()}
-        opening = held.openings.by_caller
-        return ConnectionShares(held.limit, held.idle, held.in_use_connections, opening, waiting)
+        opening = connections.openings.by_caller
+        return ConnectionShares(
+            connections.limit, connections.idle, connections.in_use_connections, opening, waiting
+        )
 
     def _close_unused(self, caller: str) -> bool:
         """Closes an idle connection of another caller that has no waiting statements."""
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -23,21 +23,21 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        held: PoolConnections,
+        connections: PoolConnections,
         slots: PoolSlots,
         waits: PoolWaits,
         openings: CallerOpenings,
     ) -> None:
         self._clock = clock
-        self._connections = held
+        self._connections = connections
         self._slots = slots
         self._waits = waits
         self._openings = openings
 
     def serve_on_arrival(self, waiter: Waiter, values: dict[str, str]) -> bool:
         """Assigns a connection to an arriving statement; False if it has to wait."""
-        may_take = self._waits.would_be_first(waiter) and self._slots.may_run(waiter)
-        connection = self._connections.idle.pop_usable(waiter.caller, values) if may_take else None
+        may_serve = self._waits.would_be_first(waiter) and self._slots.may_run(waiter)
+        connection = self._connections.idle.pop_usable(waiter.caller, values) if may_serve else None
         if connection is None:
             return False
         self._assign(connection, waiter)
@@ -55,17 +55,17 @@
 
     def _serve_first(self) -> bool:
         """Serves the first waiting statement that can be served; False if there is none."""
-        without: set[str] = set()
+        skipped_callers: set[str] = set()
         for waiter in self._waits.queue:
             if not self._slots.may_run(waiter):
                 return False
-            if waiter.caller in without:
+            if waiter.caller in skipped_callers:
                 continue
             connection = self._connections.idle.pop_usable(waiter.caller, {})
             if connection is not None:
                 self._assign(connection, waiter)
                 return True
-            without.add(waiter.caller)
+            skipped_callers.add(waiter.caller)
             if self._openings.open_ahead(waiter.caller):
                 return True
         return False
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -251,8 +251,8 @@
         self._connections.mark_returned(connection)
         self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
         connection.end_loan()
-        is_kept = not self.is_retired and self._connections.is_below_limit
-        if is_kept and self._connections.is_reusable(connection):
+        has_capacity = not self.is_retired and self._connections.is_below_limit
+        if has_capacity and self._connections.is_reusable(connection):
             self._connections.idle.add(connection)
         else:
             connection.close()
--- a/src/dewledge/core/pooler/pool/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -46,13 +46,13 @@
         Args:
             callers: One caller for each statement that lacks a connection, in queue order.
         """
-        held = Counter(self._connections)
-        within: list[str] = []
-        beyond: list[str] = []
+        counts = Counter(self._connections)
+        within_share: list[str] = []
+        over_share: list[str] = []
         for caller in callers:
-            held[caller] += 1
-            (within if held[caller] <= max(self._share, 1.0) else beyond).append(caller)
-        return within + beyond
+            counts[caller] += 1
+            (within_share if counts[caller] <= max(self._share, 1.0) else over_share).append(caller)
+        return within_share + over_share
 
     def find_unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
         """Returns an idle connection of another caller without waiting statements, None if there is
@@ -65,8 +65,8 @@
             for each in self._idle
             if each.caller != caller and each.caller not in self._waiting
         ]
-        above = [each for each in others if is_fair and self._is_over_share(each.caller)]
-        return next(iter(above or others), None)
+        over_share = [each for each in others if is_fair and self._is_over_share(each.caller)]
+        return next(iter(over_share or others), None)
 
     def find_over_share(self, caller: str) -> DatabaseConnection | None:
         """Returns the longest idle connection of a caller over its share, for a caller below its
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -124,8 +124,8 @@
     def on_closed(self) -> None:
         """Records the end of the connection and calls the outstanding callbacks with None."""
         self.closed = True
-        waiting, self._callbacks = self._callbacks, deque()
-        for callback in waiting:
+        callbacks, self._callbacks = self._callbacks, deque()
+        for callback in callbacks:
             callback(None)
 
     def close(self) -> None:
--- a/src/dewledge/core/pooler/pool/held_connections.py
+++ b/src/dewledge/core/pooler/pool/held_connections.py
@@ -51,8 +51,8 @@
     def has_no_usable(self) -> bool:
         """Whether no connection can serve waiting statements: none is being opened, and all
         existing ones are retiring."""
-        standing = itertools.chain(self.in_use_connections, self.idle)
-        return not self.openings.total and all(each.is_retiring for each in standing)
+        existing = itertools.chain(self.in_use_connections, self.idle)
+        return not self.openings.total and all(each.is_retiring for each in existing)
 
     def change_limit(self, limit: int) -> None:
         """Sets another limit; connections beyond it are closed when they are released."""
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -35,7 +35,7 @@
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
-        self._callback: Callable[[HeldToShare], None] = lambda held: None
+        self._callback: Callable[[HeldToShare], None] = lambda report: None
         self._reported_at = -math.inf
 
     def on_over_share(self, callback: Callable[[HeldToShare], None]) -> None:
@@ -43,7 +43,7 @@
         self._callback = callback
 
     def check_served(self, served: Waiter, charge: Charge, now: float) -> None:
-        """Reports the longest flow that waits behind a served statement."""
+        """Reports the longest flow that waits behind a served statement, if it is a backlog."""
         if now < self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
             return
         longest = self._queue.longest_flow_behind(charge)
--- a/src/dewledge/core/pooler/pool/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -61,8 +61,8 @@
         now = self._clock()
         while len(self._connections) > MIN_IDLE_CONNECTIONS:
             oldest = self._connections[0]
-            kept = MAX_IDLE_SECONDS if oldest.caller == NO_CALLER else MAX_CALLER_IDLE_SECONDS
-            if oldest.idle_since >= now - kept:
+            max_idle = MAX_IDLE_SECONDS if oldest.caller == NO_CALLER else MAX_CALLER_IDLE_SECONDS
+            if oldest.idle_since >= now - max_idle:
                 break
             oldest.close()
 
@@ -75,13 +75,13 @@
     def _find_best(self, caller: str, values: dict[str, str]) -> int | None:
         """Returns the position of a caller's newest connection, preferring one with equal session
         values."""
-        found = None
+        best = None
         has_same_values = False
         for index, connection in enumerate(self._connections):
             if connection.caller != caller:
                 continue
             is_same = connection.values == values
             if is_same or not has_same_values:
-                found = index
+                best = index
                 has_same_values = is_same
-        return found
+        return best
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -51,7 +51,7 @@
         silence = self._create_silence(database_id)
         rules = PoolRules(silence, self._is_fair)
         pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
-        pool.on_held_to_share(lambda held: self._log_over_fair_share(database_id, held))
+        pool.on_held_to_share(lambda report: self._log_over_fair_share(database_id, report))
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
@@ -75,11 +75,11 @@
 
         return DatabaseSilence(self._clock, self._judges_silence, changed)
 
-    def _log_over_fair_share(self, database_id: str, held: HeldToShare) -> None:
-        waited_ms = int(held.waited_seconds * MILLISECONDS)
+    def _log_over_fair_share(self, database_id: str, report: HeldToShare) -> None:
+        waited_ms = int(report.waited_seconds * MILLISECONDS)
         self._record(
             CallerHeldToShare(
-                self._group, database_id, held.caller, held.waiting, waited_ms, held.served
+                self._group, database_id, report.caller, report.waiting, waited_ms, report.served
             )
         )
 
--- a/src/dewledge/core/pooler/pool/pool_slots.py
+++ b/src/dewledge/core/pooler/pool/pool_slots.py
@@ -15,8 +15,8 @@
 class PoolSlots:
     """The slot window of a pool, if there is one, together with its connections."""
 
-    def __init__(self, held: PoolConnections, window: SlotWindow | None) -> None:
-        self._connections = held
+    def __init__(self, connections: PoolConnections, window: SlotWindow | None) -> None:
+        self._connections = connections
         self._window = window
 
     @property
@@ -50,9 +50,11 @@
 
     def capacity(self) -> Capacity:
         """Returns the current capacity of the pool."""
-        held = self._connections
-        is_opening = not held.idle and held.is_below_limit
-        return Capacity(held.running, self.size, held.in_use, held.limit, is_opening)
+        connections = self._connections
+        is_opening = not connections.idle and connections.is_below_limit
+        return Capacity(
+            connections.running, self.size, connections.in_use, connections.limit, is_opening
+        )
 
     def replace_window(self, window: SlotWindow | None) -> None:
         """Replaces the window, because the route to the database has changed."""
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -88,9 +88,9 @@
         Args:
             expected: The wait of the statement in this queue, None if unknown.
         """
-        room_in = None if expected is None else expected.seconds
+        drained_in = None if expected is None else expected.seconds
         spacing = self.rates.service_interval(self._capacity().places)
-        return self._retry_schedule.promise(self._clock(), room_in, spacing)
+        return self._retry_schedule.promise(self._clock(), drained_in, spacing)
 
     def charge_served(self, waiter: Waiter) -> Charge:
         """Records that a statement gets a connection, and returns what its caller is charged.
@@ -112,8 +112,8 @@
     def settle(self, charge: Charge, held_seconds: float) -> None:
         """Corrects a charge by the actual slot time. Later statements of the same loan are charged
         in addition."""
-        most = MAX_COST_RATIO * self._usual_cost()
-        self.queue.settle(charge, min(held_seconds, most))
+        max_cost = MAX_COST_RATIO * self._usual_cost()
+        self.queue.settle(charge, min(held_seconds, max_cost))
         charge.cost = 0.0
 
     def record_free_slots(self) -> None:
@@ -155,9 +155,12 @@
         expected = self._estimate.expected_wait(ahead, now)
         if expected is None or waiter.deadlines.queue_priority(now) is QueuePriority.IN_TIME:
             return expected
-        passed = max(waiter.deadlines.arrival_order_from - now, 0.0)
+        skipped_seconds = max(waiter.deadlines.arrival_order_from - now, 0.0)
         ahead_then = self.queue.count_before(waiter, waiter.rank_in_arrival_order)
-        then = self._estimate.expected_wait(ahead_then, now)
-        if then is None:
+        expected_then = self._estimate.expected_wait(ahead_then, now)
+        if expected_then is None:
             return expected
-        return ExpectedWait(min(expected.seconds, passed + then.seconds), then.age_seconds)
+        return ExpectedWait(
+            min(expected.seconds, skipped_seconds + expected_then.seconds),
+            expected_then.age_seconds,
+        )
--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -11,7 +11,7 @@
 ) -> WaitRefused:
     """Returns the event of a statement that was refused at `now` (steady clock, seconds)."""
     refusal, wait = waiter.refusal, waiter.refused_wait
-    left = waiter.deadlines.latest_start - now
+    remaining = waiter.deadlines.latest_start - now
     return WaitRefused(
         group=group,
         database=database,
@@ -19,6 +19,6 @@
         cause=RefusalCause.NO_ROOM_IN_TIME if refusal is None else refusal.cause,
         expected_ms=-1 if wait is None else int(wait.seconds * MILLISECONDS),
         age_ms=0 if wait is None else int(wait.age_seconds * MILLISECONDS),
-        left_ms=int(left * MILLISECONDS),
+        left_ms=int(remaining * MILLISECONDS),
         come_back_ms=0 if refusal is None else int(refusal.come_back_seconds * MILLISECONDS),
     )
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -121,9 +121,9 @@
         if self._deadlines is None:
             self.deadlines = WaitDeadlines(now, now)
         else:
-            left = max(self._deadlines.latest_start - now, 0.0)
+            remaining = max(self._deadlines.latest_start - now, 0.0)
             self.deadlines = self._deadlines.less_service_time(
-                min(service_seconds, left * MAX_WORK_RATIO)
+                min(service_seconds, remaining * MAX_WORK_RATIO)
             )
 
     def on_queued(self, on_withdrawn: Callable[["Waiter"], None]) -> None:
