--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -13,7 +13,7 @@
 from dewledge.core.pooler.load.wait_queue import WaitQueue
 from dewledge.core.pooler.pool.connection_shares import ConnectionShares
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import PoolConnections
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.pool.caller_openings import CallerOpenings
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import PoolConnections
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -2,7 +2,7 @@
 
 `ConnectionPool` combines these parts:
 
-- `held_connections`: the connections, their number and limit; `connection_openings` opens them.
+- `pool_connections`: the connections, their number and limit; `connection_openings` opens them.
 - `pool_slots`: how many statements may be at the database concurrently.
 - `connection_dispatch`: which statement gets a connection next.
 - `caller_openings`: for which callers connections are opened and closed.
@@ -22,10 +22,10 @@
 from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
 from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import PoolConnections
 from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.slot_window import SlotWindow
--- a/src/dewledge/core/pooler/pool/pool_slots.py
+++ b/src/dewledge/core/pooler/pool/pool_slots.py
@@ -7,7 +7,7 @@
 import math
 
 from dewledge.core.pooler.load.wait_estimate import Capacity
-from dewledge.core.pooler.pool.held_connections import PoolConnections
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 
