--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -1,4 +1,4 @@
-"""The order of databases under load: patterns in, order out; bounds on herds as properties."""
+"""Order of databases for reads, and its spread over processes that have the same reports."""
 
 import itertools
 import random
@@ -21,15 +21,17 @@
 ROUNDS = 200
 
 
-def firsts(completions: dict[str, Completion], seed: int = 7, count: int = 10_000) -> Counter[str]:
+def count_firsts(
+    completions: dict[str, Completion], seed: int = 7, count: int = 10_000
+) -> Counter[str]:
     """Returns how often each database comes first."""
     source = random.Random(seed)
     candidates = [Candidate(name, completion) for name, completion in completions.items()]
     return Counter(order(candidates, source.random)[0].database_id for _ in range(count))
 
 
-class LoadPatternsTest(unittest.TestCase):
-    def test_which_database_gets_nearly_all(self) -> None:
+class ReadOrderTest(unittest.TestCase):
+    def test_clearly_best_database_is_first(self) -> None:
         full = Completion(NEAR, 0.2, WORK, displacing=2 * WORK)
         cases = (
             ("a full primary", {"p": full, "r": Completion(FAR, 0.0, WORK)}, "r"),
@@ -49,12 +51,12 @@
                 "r",
             ),
             (
-                "a replica that fails half of what it gets",
+                "a replica that fails half of its statements",
                 {"grey": Completion(NEAR, 0.0, WORK, detour=0.05), "r": Completion(FAR, 0.0, WORK)},
                 "r",
             ),
             (
-                "a primary with room, the replica as near",
+                "a primary with free slots, a replica at the same distance",
                 {
                     "p": Completion(NEAR, 0.0, WORK, displacing=WORK),
                     "r": Completion(NEAR, 0.0, WORK),
@@ -77,9 +79,9 @@
         )
         for title, completions, expected in cases:
             with self.subTest(title):
-                self.assertGreater(firsts(completions)[expected] / 10_000, 0.95)
+                self.assertGreater(count_firsts(completions)[expected] / 10_000, 0.95)
 
-    def test_others_follow_by_completion(self) -> None:
+    def test_remaining_candidates_are_sorted_by_completion(self) -> None:
         waits = {"a": 0.3, "b": 0.1, "c": 0.2, "d": 0.4}
         candidates = [Candidate(name, Completion(NEAR, wait, WORK)) for name, wait in waits.items()]
         for drawn in (0.0, 0.3, 0.6, 0.99):
@@ -89,15 +91,15 @@
                 self.assertEqual(seconds, sorted(seconds))
                 self.assertEqual(len({head.database_id, *(each.database_id for each in others)}), 4)
 
-    def test_the_same_draws_give_the_same_order(self) -> None:
+    def test_order_is_deterministic_for_equal_draws(self) -> None:
         completions = {"a": Completion(NEAR, 0.1, WORK), "b": Completion(NEAR, 0.0, WORK)}
-        self.assertEqual(firsts(completions, 3), firsts(completions, 3))
+        self.assertEqual(count_firsts(completions, 3), count_firsts(completions, 3))
 
 
 class HerdTest(unittest.TestCase):
-    def test_processes_with_the_same_word_do_not_all_go_to_one(self) -> None:
-        """Fifty processes heard that one of three has no queue; nobody has newer word."""
-        shares = firsts(
+    def test_equal_reports_do_not_send_all_to_one(self) -> None:
+        """All processes have the same report that one of three databases has no queue."""
+        shares = count_firsts(
             {
                 name: Completion(NEAR, wait, WORK)
                 for name, wait in {"a": 0.0, "b": 0.1, "c": 0.1}.items()
@@ -106,25 +108,26 @@
         self.assertLess(shares["a"] / 10_000, 0.7)
         self.assertGreater(min(shares["a"], shares["b"]) / 10_000, 0.2)
 
-    def test_three_alike_share(self) -> None:
-        shares = firsts({name: Completion(NEAR, 0.0, WORK) for name in "abc"})
+    def test_equal_databases_share_the_load(self) -> None:
+        shares = count_firsts({name: Completion(NEAR, 0.0, WORK) for name in "abc"})
         for name in "ab":
             self.assertGreater(shares[name] / 10_000, 0.25)
 
-    def test_shares_stay_bounded_while_word_comes_with_answers(self) -> None:
-        """Each round all processes send one statement; word tells the queue of the last round."""
+    def test_load_stays_balanced_with_delayed_reports(self) -> None:
+        """In each round every process sends a statement; reports show the queues of the last
+        round."""
         source = random.Random(5)
-        books = [LoadTable() for _ in range(PROCESSES)]
+        tables = [LoadTable() for _ in range(PROCESSES)]
         queued = dict.fromkeys("abc", 0)
         total: Counter[str] = Counter()
         worst = 0
         for round_ in range(ROUNDS):
             sent: Counter[str] = Counter()
-            for book in books:
+            for table in tables:
                 candidates = []
                 for name in "abc":
-                    known = book.known(name, float(round_))
-                    wait = 0.0 if known is None else known.expected_wait(0, 0).seconds
+                    estimate = table.known(name, float(round_))
+                    wait = 0.0 if estimate is None else estimate.expected_wait(0, 0).seconds
                     candidates.append(Candidate(name, Completion(NEAR, wait, WORK)))
                 chosen = order(candidates, source.random)[0].database_id
                 sent[chosen] += 1
@@ -132,42 +135,42 @@
             for name in "abc":
                 queued[name] = max(queued[name] + sent[name] - PROCESSES // 3, 0)
             worst = max(worst, *sent.values())
-            for book in books:
+            for table in tables:
                 for name in "abc":
-                    word = LoadReport(queued[name], 0, 6, 6, 0, 10)
-                    book.take(name, "h", word, float(round_))
+                    report = LoadReport(queued[name], 0, 6, 6, 0, 10)
+                    table.take(name, "h", report, float(round_))
         self.assertLess(worst / PROCESSES, 0.9)
         for name in "abc":
             self.assertLess(abs(total[name] / (PROCESSES * ROUNDS) - 1 / 3), 0.1)
 
 
 class FailuresTest(unittest.TestCase):
-    def test_one_that_fails_costs_more_and_is_forgiven(self) -> None:
+    def test_cost_of_failures_decays(self) -> None:
         failures = ShownFailures()
         self.assertEqual(failures.detour("d", 0.0), 0.0)
         for number in range(20):
             failures.note("d", number % 2 == 0, 10.0)
-        grey = failures.detour("d", 10.0)
-        self.assertGreater(grey, 0.03)
-        self.assertLess(failures.detour("d", 20.0), grey / 20)
+        cost = failures.detour("d", 10.0)
+        self.assertGreater(cost, 0.03)
+        self.assertLess(failures.detour("d", 20.0), cost / 20)
         for _ in range(40):
             failures.note("d", has_failed=True, now=30.0)
         self.assertLessEqual(failures.detour("d", 30.0), 0.451)
 
-    def test_a_failure_that_shows_late_costs_its_time(self) -> None:
+    def test_late_failures_cost_more(self) -> None:
         early, late = ShownFailures(), ShownFailures()
         for _ in range(20):
             early.note("d", has_failed=True, now=1.0, seconds=0.01)
             late.note("d", has_failed=True, now=1.0, seconds=0.2)
         self.assertGreater(late.detour("d", 1.0), 3 * early.detour("d", 1.0))
 
-    def test_its_state_is_bounded_and_healthy_ones_take_none(self) -> None:
+    def test_only_failing_databases_are_tracked_up_to_a_bound(self) -> None:
         failures = ShownFailures()
         for number in range(1400):
-            failures.note(f"well{number}", has_failed=False, now=0.0)
+            failures.note(f"healthy{number}", has_failed=False, now=0.0)
         self.assertEqual(len(failures), 0)
         for number in range(1400):
-            failures.note(f"ill{number}", has_failed=True, now=0.0)
+            failures.note(f"failing{number}", has_failed=True, now=0.0)
         self.assertEqual(len(failures), MAX_DATABASES)
 
 
@@ -180,10 +183,12 @@
 
 class OrderPropertiesTest(unittest.TestCase):
     @given(st.lists(completions, max_size=6), draws)
-    def test_all_stay_in_the_list_and_none_that_is_better_in_all_comes_later(
-        self, known: list[Completion], drawn: list[float]
+    def test_order_is_a_permutation_and_no_later_candidate_dominates(
+        self, candidate_completions: list[Completion], drawn: list[float]
     ) -> None:
-        candidates = [Candidate(f"d{number}", each) for number, each in enumerate(known)]
+        candidates = [
+            Candidate(f"d{number}", each) for number, each in enumerate(candidate_completions)
+        ]
         ordered = order(candidates, iter(drawn).__next__)
         self.assertEqual(sorted(ordered, key=lambda each: each.database_id), candidates)
         for earlier, later in itertools.combinations(ordered, 2):
--- a/tests/core/pooler/load/test_drain_rate.py
+++ b/tests/core/pooler/load/test_drain_rate.py
@@ -1,4 +1,4 @@
-"""The measured rate at which a queue drains, and the wait that follows from it."""
+"""Drain rate of a queue and the expected wait derived from it."""
 
 import unittest
 
@@ -8,47 +8,48 @@
 from dewledge.core.pooler.load.wait_estimate import MAX_DRAIN_AGE_SECONDS, DrainRate
 
 
-def drained(interval: float, count: int) -> DrainRate:
-    """One leaves every `interval` seconds from 10.0 on, while others wait."""
+def drained_rate(interval: float, count: int) -> DrainRate:
+    """Returns the rate after departures every `interval` seconds from 10.0 on, while others
+    wait."""
     rate = DrainRate()
-    for place in range(count):
-        rate.record_departure(10.0 + place * interval, waiting=5)
+    for index in range(count):
+        rate.record_departure(10.0 + index * interval, waiting=5)
     return rate
 
 
 class DrainRateTest(unittest.TestCase):
-    def test_the_wait_is_that_of_all_ahead(self) -> None:
-        rate = drained(0.05, 20)
+    def test_wait_is_proportional_to_statements_ahead(self) -> None:
+        rate = drained_rate(0.05, 20)
         now = 10.0 + 19 * 0.05
         for ahead, expected in ((0, 0.05), (9, 0.5)):
             found = rate.expected_wait(ahead, now)
             assert found is not None
             self.assertAlmostEqual(found.seconds, expected)
 
-    def test_what_has_passed_of_the_wait_counts(self) -> None:
-        rate = drained(0.05, 20)
+    def test_time_since_last_departure_is_deducted(self) -> None:
+        rate = drained_rate(0.05, 20)
         found = rate.expected_wait(1, 10.0 + 19 * 0.05 + 0.04)
         assert found is not None
         self.assertAlmostEqual(found.seconds, 0.06)
 
-    def test_nothing_is_known_without_a_backlog_or_of_long_ago(self) -> None:
+    def test_no_estimate_without_backlog_or_recent_departure(self) -> None:
         self.assertIsNone(DrainRate().expected_wait(0, 10.0))
-        self.assertIsNone(drained(0.05, 1).expected_wait(0, 10.0))
-        self.assertIsNone(drained(0.05, 5).expected_wait(0, 12.0 + MAX_DRAIN_AGE_SECONDS))
-        empty = drained(0.05, 5)
+        self.assertIsNone(drained_rate(0.05, 1).expected_wait(0, 10.0))
+        self.assertIsNone(drained_rate(0.05, 5).expected_wait(0, 12.0 + MAX_DRAIN_AGE_SECONDS))
+        empty = drained_rate(0.05, 5)
         empty.record_empty()
         self.assertIsNone(empty.expected_wait(0, 10.21))
 
-    def test_the_time_in_which_nobody_waited_measures_nothing(self) -> None:
-        rate = drained(0.05, 20)
+    def test_interval_of_an_empty_queue_is_not_a_sample(self) -> None:
+        rate = drained_rate(0.05, 20)
         rate.record_empty()
         rate.record_departure(20.0, waiting=3)
         found = rate.expected_wait(0, 20.0)
         assert found is not None
         self.assertAlmostEqual(found.seconds, 0.05)
 
-    def test_a_queue_that_turns_slow_is_soon_known_as_such(self) -> None:
-        rate = drained(0.01, 50)
+    def test_estimate_follows_a_slower_queue(self) -> None:
+        rate = drained_rate(0.01, 50)
         now = 10.49
         for _ in range(10):
             now += 0.2
@@ -58,7 +59,9 @@
         self.assertGreater(found.seconds, 0.14)
 
     @given(st.lists(st.floats(0, 0.5), min_size=2, max_size=40), st.integers(0, 100))
-    def test_it_is_within_the_intervals_seen(self, intervals: list[float], ahead: int) -> None:
+    def test_estimate_is_within_observed_intervals(
+        self, intervals: list[float], ahead: int
+    ) -> None:
         rate, now = DrainRate(), 10.0
         for interval in intervals:
             now += interval
--- a/tests/core/pooler/load/test_failed_login_throttle.py
+++ b/tests/core/pooler/load/test_failed_login_throttle.py
@@ -1,4 +1,4 @@
-"""How soon refusals are told: tries in, pauses out. The load: clients that come back at once."""
+"""Throttling of answers to failed logins, against clients that retry at once."""
 
 import unittest
 
@@ -10,47 +10,47 @@
 )
 
 
-class RefusalPaceTest(unittest.TestCase):
-    def test_by_tries(self) -> None:
+class FailedLoginThrottleTest(unittest.TestCase):
+    def test_delays_by_number_of_refusals(self) -> None:
         first = int(ANSWERS_PER_SECOND)
         rows: list[tuple[str, int, int, int]] = [
-            ("a mistaken client", 1, 0, 0),
-            ("as many as are told at once", first, 0, 0),
-            ("more are told after a pause", first + 50, 50, 0),
+            ("one refusal", 1, 0, 0),
+            ("a full bucket", first, 0, 0),
+            ("further answers are delayed", first + 50, 50, 0),
             (
-                "very many are closed untold",
+                "too many are closed without an answer",
                 first + MAX_DELAYED_REFUSALS + 700,
                 MAX_DELAYED_REFUSALS,
                 700,
             ),
         ]
-        for name, tries, held, closed in rows:
+        for name, refusals, delayed, closed in rows:
             with self.subTest(name):
-                pace = FailedLoginThrottle()
-                pauses = [pace.pause(100.0) for _ in range(tries)]
-                self.assertEqual(pauses.count(PAUSE_SECONDS), held)
+                throttle = FailedLoginThrottle()
+                pauses = [throttle.pause(100.0) for _ in range(refusals)]
+                self.assertEqual(pauses.count(PAUSE_SECONDS), delayed)
                 self.assertEqual(pauses.count(None), closed)
-                self.assertEqual(pauses.count(0.0), tries - held - closed)
+                self.assertEqual(pauses.count(0.0), refusals - delayed - closed)
 
-    def test_told_ones_make_room_and_time_fills_up(self) -> None:
-        pace = FailedLoginThrottle()
+    def test_answered_refusals_free_places_and_bucket_refills(self) -> None:
+        throttle = FailedLoginThrottle()
         for _ in range(int(ANSWERS_PER_SECOND) + MAX_DELAYED_REFUSALS):
-            pace.pause(100.0)
-        self.assertIsNone(pace.pause(100.0))
-        pace.told()
-        self.assertEqual(pace.pause(100.0), PAUSE_SECONDS)
-        self.assertEqual(pace.pause(100.2), 0.0)
-
-    def test_a_client_that_comes_back_at_once_is_bounded_by_the_pause(self) -> None:
-        pace, now, tries = FailedLoginThrottle(), 100.0, 0
+            throttle.pause(100.0)
+        self.assertIsNone(throttle.pause(100.0))
+        throttle.told()
+        self.assertEqual(throttle.pause(100.0), PAUSE_SECONDS)
+        self.assertEqual(throttle.pause(100.2), 0.0)
+
+    def test_retry_rate_of_a_client_is_limited_by_the_delay(self) -> None:
+        throttle, now, refusals = FailedLoginThrottle(), 100.0, 0
         while now < 200.0:
-            pause = pace.pause(now)
-            tries += 1
+            pause = throttle.pause(now)
+            refusals += 1
             assert pause is not None
             if pause:
-                pace.told()
+                throttle.told()
             now += pause + 0.001
-        self.assertLess(tries, 100 * (ANSWERS_PER_SECOND + 2))
+        self.assertLess(refusals, 100 * (ANSWERS_PER_SECOND + 2))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/load/test_slot_use.py
+++ b/tests/core/pooler/load/test_slot_use.py
@@ -1,4 +1,4 @@
-"""Slot time by caller: bounded, and what is told of the largest."""
+"""Slot time by caller with bounded memory."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class SlotUseTest(unittest.TestCase):
-    def test_the_largest_is_found_among_more_callers_than_are_kept(self) -> None:
+    def test_largest_caller_is_found_among_more_callers_than_counted(self) -> None:
         use = SlotUse()
         for number in range(10 * MAX_CALLERS):
             use.record(f"caller {number}", 0.01)
@@ -16,7 +16,7 @@
         self.assertGreaterEqual(use.largest_seconds, hot - 1e-6)
         self.assertLessEqual(use.largest_seconds, hot + use.total_seconds / MAX_CALLERS)
 
-    def test_nothing_was_used(self) -> None:
+    def test_no_slot_time(self) -> None:
         self.assertEqual((SlotUse().total_seconds, SlotUse().largest_seconds), (0.0, 0.0))
 
 
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when a statement may wait and where it stands: tables of moments. Moments of return."""
+"""Deadlines of waiting statements, retry times, tickets and counters of expected waits."""
 
 import math
 import unittest
@@ -21,12 +21,12 @@
 )
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
 
-HURRIED = WaitDeadlines(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
+DEADLINES = WaitDeadlines(arrived=10.0, came=10.0, in_time_until=11.0, latest_start=13.0)
 SECONDS = st.floats(0, 20, allow_nan=False)
 
 
-class PatienceTest(unittest.TestCase):
-    def test_it_waits_while_the_expected_wait_ends_in_its_time(self) -> None:
+class WaitDeadlinesTest(unittest.TestCase):
+    def test_statement_may_wait_while_expected_wait_fits(self) -> None:
         for now, expected, waits in (
             (10.0, None, True),
             (12.9, None, True),
@@ -38,27 +38,27 @@
         ):
             with self.subTest(now=now, expected=expected):
                 wait = None if expected is None else ExpectedWait(expected)
-                self.assertEqual(may_wait(HURRIED, now, wait), waits)
+                self.assertEqual(may_wait(DEADLINES, now, wait), waits)
 
-    def test_the_late_stands_last_until_near_its_latest_start(self) -> None:
-        for now, standing in ((10.9, 0), (11.1, 1), (12.4, 1), (12.5, 0), (12.9, 0)):
-            self.assertEqual(HURRIED.queue_priority(now), QueuePriority(standing), now)
+    def test_late_statement_has_low_priority_until_near_latest_start(self) -> None:
+        for now, priority in ((10.9, 0), (11.1, 1), (12.4, 1), (12.5, 0), (12.9, 0)):
+            self.assertEqual(DEADLINES.queue_priority(now), QueuePriority(priority), now)
 
-    def test_one_that_has_come_back_is_not_passed_over_again(self) -> None:
-        returned = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
+    def test_retried_statement_keeps_its_priority_when_late(self) -> None:
+        retried = WaitDeadlines(arrived=7.0, came=10.0, in_time_until=8.0, latest_start=12.0)
         for now in (10.0, 11.4, 11.6):
-            self.assertEqual(returned.queue_priority(now), QueuePriority.IN_TIME, now)
-            self.assertTrue(returned.is_late_in_arrival_order(now))
+            self.assertEqual(retried.queue_priority(now), QueuePriority.IN_TIME, now)
+            self.assertTrue(retried.is_late_in_arrival_order(now))
 
-    def test_without_a_target_or_a_time_nothing_is_late(self) -> None:
-        endless = WaitDeadlines(1.0, 1.0)
-        self.assertTrue(may_wait(endless, 1e9, ExpectedWait(1e9)))
-        self.assertEqual(endless.queue_priority(1e9), QueuePriority.IN_TIME)
-        self.assertEqual(endless.next_change(5.0), math.inf)
-        self.assertEqual(next_check_at(endless, 5.0, None), math.inf)
+    def test_statement_without_deadlines_may_always_wait(self) -> None:
+        unlimited = WaitDeadlines(1.0, 1.0)
+        self.assertTrue(may_wait(unlimited, 1e9, ExpectedWait(1e9)))
+        self.assertEqual(unlimited.queue_priority(1e9), QueuePriority.IN_TIME)
+        self.assertEqual(unlimited.next_change(5.0), math.inf)
+        self.assertEqual(next_check_at(unlimited, 5.0, None), math.inf)
 
     @given(SECONDS, SECONDS, SECONDS, SECONDS)
-    def test_its_standing_changes_when_it_says_so_and_at_most_twice(
+    def test_priority_changes_as_announced_at_most_twice(
         self, came: float, in_time: float, latest: float, now: float
     ) -> None:
         deadlines = WaitDeadlines(came, came, in_time, latest)
@@ -72,45 +72,45 @@
         self.assertEqual(deadlines.queue_priority(max(now, latest)), QueuePriority.IN_TIME)
 
     @given(SECONDS, st.one_of(st.none(), SECONDS))
-    def test_it_is_judged_a_few_times_and_never_after_its_time(
+    def test_few_checks_and_none_after_latest_start(
         self, latest: float, expected: float | None
     ) -> None:
         deadlines = WaitDeadlines(0.0, 0.0, latest_start=latest)
         wait = None if expected is None else ExpectedWait(expected)
-        now, judgements = 0.0, 0
+        now, checks = 0.0, 0
         while may_wait(deadlines, now, wait):
-            again = next_check_at(deadlines, now, wait)
-            self.assertGreater(again, now)
-            self.assertLessEqual(again, latest)
-            now = again
-            judgements += 1
-        self.assertLess(judgements, 20)
+            next_check = next_check_at(deadlines, now, wait)
+            self.assertGreater(next_check, now)
+            self.assertLessEqual(next_check, latest)
+            now = next_check
+            checks += 1
+        self.assertLess(checks, 20)
 
 
-class ReturnTest(unittest.TestCase):
+class RetryTest(unittest.TestCase):
     @given(st.lists(st.tuples(st.floats(0, 0.5), st.floats(0, 2)), max_size=50))
-    def test_the_moments_told_are_apart_until_the_horizon_is_full(
+    def test_retry_times_are_spaced_until_the_range_is_full(
         self, refusals: list[tuple[float, float]]
     ) -> None:
-        returns, now, spacing = ReturnMoments(), 0.0, 0.02
-        moments: list[float] = []
-        for pause, room_in in refusals:
+        schedule, now, spacing = ReturnMoments(), 0.0, 0.02
+        times: list[float] = []
+        for pause, drained_in in refusals:
             now += pause
-            told = returns.promise(now, room_in, spacing)
-            self.assertGreaterEqual(told, MIN_RETRY_SECONDS - 1e-6)
-            self.assertLessEqual(told, MAX_RETRY_SECONDS + 1e-6)
-            moments.append(now + told)
-        near = [b - a for a, b in zip(moments, moments[1:], strict=False) if b >= a]
+            delay = schedule.promise(now, drained_in, spacing)
+            self.assertGreaterEqual(delay, MIN_RETRY_SECONDS - 1e-6)
+            self.assertLessEqual(delay, MAX_RETRY_SECONDS + 1e-6)
+            times.append(now + delay)
+        near = [b - a for a, b in zip(times, times[1:], strict=False) if b >= a]
         self.assertTrue(all(gap >= spacing - 1e-9 for gap in near))
 
-    def test_who_is_refused_in_one_moment_returns_one_after_the_other(self) -> None:
-        returns = ReturnMoments()
-        told = [returns.promise(5.0, 1.0, 0.02) for _ in range(50)]
+    def test_simultaneous_refusals_get_successive_retry_times(self) -> None:
+        schedule = ReturnMoments()
+        delays = [schedule.promise(5.0, 1.0, 0.02) for _ in range(50)]
         self.assertEqual(
-            [round(each, 3) for each in told], [round(1 + n * 0.02, 3) for n in range(50)]
+            [round(each, 3) for each in delays], [round(1 + n * 0.02, 3) for n in range(50)]
         )
 
-    def test_a_ticket_holds_for_who_comes_back_as_told(self) -> None:
+    def test_ticket_applies_to_timely_retry_of_same_priority(self) -> None:
         ticket = Ticket(arrived=10.0, return_at=12.0, priority=1)
         for now, priority, arrived in (
             (12.0, 1, 10.0),
@@ -121,20 +121,20 @@
         ):
             with self.subTest(now, priority=priority):
                 self.assertEqual(arrival_of(ticket, priority, now), arrived)
-        old = Ticket(arrived=0.0, return_at=12.5, priority=1)
-        self.assertEqual(arrival_of(old, 1, 12.5), 12.5)
+        expired = Ticket(arrived=0.0, return_at=12.5, priority=1)
+        self.assertEqual(arrival_of(expired, 1, 12.5), 12.5)
         self.assertEqual(arrival_of(None, 1, 3.0), 3.0)
 
 
-class CountsTest(unittest.TestCase):
-    def test_how_good_the_expected_waits_were(self) -> None:
+class WaitRecordTest(unittest.TestCase):
+    def test_accuracy_of_expected_waits(self) -> None:
         record = WaitRecord()
         for expected, real in ((0.1, 0.11), (0.1, 0.15), (0.1, 0.3), (0.001, 0.002)):
             record.record_served(expected, real)
         counts = record.counts
         self.assertEqual((counts.served, counts.within_quarter, counts.within_double), (3, 1, 2))
 
-    def test_a_place_that_stands_free_counts_for_one_refused_whose_time_is_not_over(self) -> None:
+    def test_free_slot_counts_for_refusal_before_its_deadline(self) -> None:
         record = WaitRecord()
         for latest in (1.0, 3.0, 3.0):
             record.record_refused(latest)
--- a/tests/core/pooler/load/test_wait_summaries.py
+++ b/tests/core/pooler/load/test_wait_summaries.py
@@ -1,4 +1,4 @@
-"""What is told of the queues before databases, and how the lines are summed up."""
+"""Summaries of the waits for databases, and `explain --waits`, which adds them up."""
 
 import io
 import tempfile
@@ -23,7 +23,7 @@
 
 
 class WaitSummariesTest(unittest.TestCase):
-    def test_each_line_holds_what_came_since_the_last(self) -> None:
+    def test_summary_holds_difference_to_the_last(self) -> None:
         summaries = WaitSummaries()
         counts = WaitCounts(5, 3, 4, 2, 1)
         self.assertEqual(
@@ -35,24 +35,24 @@
             summaries.collect({QUEUE: counts}), [WaitsCounted("sales", "i-1", 1, 0, 1, 0, 0)]
         )
 
-    def test_a_queue_that_counted_nothing_writes_no_line(self) -> None:
+    def test_unchanged_queue_has_no_summary(self) -> None:
         summaries = WaitSummaries()
         counts = WaitCounts(5, 3, 4, 2, 1)
         summaries.collect({QUEUE: counts})
         self.assertEqual(summaries.collect({QUEUE: counts}), [])
 
-    def test_another_queue_before_the_same_database_begins_anew(self) -> None:
+    def test_replaced_queue_restarts_its_counters(self) -> None:
         summaries = WaitSummaries()
         summaries.collect({QUEUE: WaitCounts(5, 3, 4, 2, 1)})
-        (line,) = summaries.collect({QUEUE: WaitCounts(2, 1, 1, 0, 0)})
-        self.assertEqual((line.served, line.within_quarter, line.refused), (2, 1, 0))
+        (summary,) = summaries.collect({QUEUE: WaitCounts(2, 1, 1, 0, 0)})
+        self.assertEqual((summary.served, summary.within_quarter, summary.refused), (2, 1, 0))
 
-    def test_a_queue_that_is_gone_is_forgotten(self) -> None:
+    def test_removed_queue_is_forgotten(self) -> None:
         summaries = WaitSummaries()
         summaries.collect({QUEUE: WaitCounts(5, 3, 4, 2, 1)})
         summaries.collect({})
-        (line,) = summaries.collect({QUEUE: WaitCounts(5, 3, 4, 2, 1)})
-        self.assertEqual(line.served, 5)
+        (summary,) = summaries.collect({QUEUE: WaitCounts(5, 3, 4, 2, 1)})
+        self.assertEqual(summary.served, 5)
 
 
 class ExplainWaitsTest(unittest.TestCase):
@@ -65,7 +65,7 @@
                 code = run(["explain", "--waits", *options, "--log", str(log)])
         return code, output.getvalue()
 
-    def test_sums_by_group_and_of_all(self) -> None:
+    def test_sums_by_group_and_in_total(self) -> None:
         code, text = self.explain()
         self.assertEqual(code, 0)
         archive, sales, total = text.splitlines()
@@ -75,12 +75,12 @@
         self.assertIn("all: 10 waits were expected", total)
         self.assertIn("8 refused", total)
 
-    def test_json(self) -> None:
+    def test_json_output(self) -> None:
         code, text = self.explain("--json")
         self.assertEqual(code, 0)
         self.assertIn('"group":"all","served":10,"within_quarter":5', text)
 
-    def test_a_log_as_an_argument_is_an_error_with_its_place(self) -> None:
+    def test_positional_log_argument_is_an_error(self) -> None:
         errors = io.StringIO()
         with redirect_stderr(errors):
             code, _ = self.explain("other.log")
