--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -28,8 +28,8 @@
         waiters: WaitQueue[Waiter],
         is_fair: bool,
     ) -> None:
-        """With `is_fair`, callers get fair shares of the connections; otherwise only arrival order
-        counts."""
+        """With `is_fair`, callers get fair shares of the connections; otherwise arrival order
+        decides."""
         self._connections = connections
         self._slots = slots
         self._waiters = waiters
@@ -53,7 +53,7 @@
         self._is_opening = False
 
     def open_ahead(self, caller: str) -> bool:
-        """Opens a connection for a caller that is skipped because it has none; True if one was
+        """Opens a connection for a caller that is skipped because it has none; False if none was
         opened.
 
         Otherwise the caller would have no connection when its turn comes, and would be skipped for
@@ -105,7 +105,7 @@
 
     Args:
         waiters: The waiting statements in queue order.
-        room: The number of free slots. Internal statements need none and come first.
+        free_slots: The number of free slots. Internal statements need none and come first.
     """
     servable: list[str] = []
     for waiter in waiters:
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -44,7 +44,7 @@
         return True
 
     def serve_waiters(self) -> None:
-        """Assigns idle connections to waiting statements, then opens the connections that are
+        """Assigns idle connections to waiting statements and opens the connections that are
         missing."""
         self._waits.queue.refresh(self._clock())
         while self._connections.idle and self._serve_first():
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -20,7 +20,7 @@
 from dewledge.errors import ErrorCode
 
 OPEN_BACKOFF_SECONDS = 0.25
-"""Time after a failed opening in which no connection is opened."""
+"""Time after a failed opening in which no other connection is opened."""
 LIMIT_BACKOFF_SECONDS = 0.3
 """The same after the database refused an opening because of its connection limit."""
 MOST_OPENED_AHEAD = 2
@@ -75,8 +75,7 @@
         return self._clock() < self._next_attempt_at
 
     def may_open_ahead(self, caller: str) -> bool:
-        """Tells whether to open a connection for a caller that has none and still waits for a
-        slot."""
+        """Tells whether to open a connection for a caller without one before a slot is free."""
         is_free = self.total < MOST_OPENED_AHEAD and not self.by_caller[caller]
         return is_free and not self.is_unreachable
 
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -40,8 +40,8 @@
 
     Attributes:
         silence: Detects that the database has stopped answering; None disables it.
-        is_fair: Whether callers get fair shares of slots and connections; otherwise only arrival
-            order counts.
+        is_fair: Whether callers get fair shares of slots and connections; otherwise arrival order
+            decides.
     """
 
     silence: DatabaseSilence | None = None
@@ -49,7 +49,7 @@
 
 
 class ConnectionPool:
-    """Assigns connections to statements, the most recently used first, preferring equal session
+    """Assigns connections to statements: the most recently used first, preferring equal session
     values.
 
     A connection belongs to one caller. Times are of the steady clock, in seconds.
@@ -191,7 +191,7 @@
             self._dispatch.serve_waiters()
 
     def judge(self, waiter: Waiter) -> Verdict:
-        """Refuses a waiting statement that can't be served in time; otherwise returns when to check
+        """Refuses a waiting statement that can't be served in time, or returns when to check
         again."""
         if self._rejects_waiting(waiter):
             self._waits.queue.remove(waiter)
@@ -203,13 +203,12 @@
         return verdict
 
     def promise_return(self) -> float:
-        """Reserves a retry time for a statement that gave up here; returns it in seconds from
-        now."""
+        """Reserves a retry time for a statement that gave up here, in seconds from now."""
         return self._waits.reserve_retry_time(None)
 
     def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
-        """Sets a callback that is called, at most once a second, when a caller over its fair share
-        waits."""
+        """Sets the callback for callers over their fair share, which is called at most once a
+        second."""
         self._waits.on_over_fair_share(told)
 
     def note_answer(
@@ -219,8 +218,7 @@
         held_seconds: float | None = None,
         connection: DatabaseConnection | None = None,
     ) -> None:
-        """Records the answer to a statement on a connection of this pool, and serves waiting
-        statements.
+        """Records the answer to a statement, and serves waiting statements.
 
         Between the statements of a transaction its slot is free for others.
 
@@ -229,7 +227,7 @@
             reply: The answer of the database.
             held_seconds: How long the statement held its slot, including attempts that the database
                 refused.
-            connection: The connection of the statement.
+            connection: The connection of this pool that the statement used.
         """
         self._silence.note_sign()
         is_served = kind in TAKES_SLOT and reply.failure is None
--- a/src/dewledge/core/pooler/pool/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -29,7 +29,7 @@
         Args:
             limit: The maximum number of connections of the pool.
             idle: The idle connections, the longest idle first.
-            lent: The connections in use.
+            in_use: The connections in use.
             opening: The number of connections being opened, by caller.
             waiting: The callers with waiting statements.
         """
@@ -41,10 +41,10 @@
         self._connections.update(each.caller for each in idle)
 
     def opening_order(self, callers: Sequence[str]) -> Sequence[str]:
-        """Returns the callers in the order of opening: those over their share come last.
+        """Returns the callers in the order of opening: callers over their share come last.
 
         Args:
-            callers: One caller for each statement that lacks a connection, in queue order.
+            callers: The caller of each statement that lacks a connection, in queue order.
         """
         counts = Counter(self._connections)
         within_share: list[str] = []
@@ -55,8 +55,7 @@
         return within_share + over_share
 
     def find_unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
-        """Returns an idle connection of another caller without waiting statements, None if there is
-        none.
+        """Returns an idle connection of another caller without waiting statements, or None.
 
         The longest idle one is preferred; with `is_fair`, first those of callers over their share.
         """
@@ -69,8 +68,10 @@
         return next(iter(over_share or others), None)
 
     def find_over_share(self, caller: str) -> DatabaseConnection | None:
-        """Returns the longest idle connection of a caller over its share, for a caller below its
-        own."""
+        """Returns the longest idle connection of a caller over its share, or None.
+
+        None also if `caller` is not below its own share.
+        """
         if self._count(caller) >= self._share:
             return None
         return next((each for each in self._idle if self._is_over_share(each.caller)), None)
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -1,5 +1,4 @@
-"""A connection to a database: it sends statements, matches replies in order and holds session
-state.
+"""A connection to a database: sends statements, matches replies in order, holds session state.
 
 The shell transports the bytes (`DatabaseTransport`).
 """
@@ -80,8 +79,7 @@
         return len(self._callbacks)
 
     def assign(self, caller: str, generation: int) -> None:
-        """Records the caller and the generation of the route for which the connection was
-        opened."""
+        """Records the caller for whom it was opened, and the generation of the route."""
         self.caller = caller
         self.generation = generation
 
@@ -103,7 +101,7 @@
     def send(
         self, statement: Statement, callback: ReplyCallback, floor: LogPosition | None = None
     ) -> None:
-        """Sends a statement; `callback` is called once."""
+        """Sends a statement. `callback` is called once, or never if `close` is called first."""
         if self.closed:
             callback(None)
             return
--- a/src/dewledge/core/pooler/pool/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -73,8 +73,7 @@
             connection.close()
 
     def _find_best(self, caller: str, values: dict[str, str]) -> int | None:
-        """Returns the position of a caller's newest connection, preferring one with equal session
-        values."""
+        """Returns the position of a caller's newest connection, preferring equal session values."""
         best = None
         has_same_values = False
         for index, connection in enumerate(self._connections):
--- a/src/dewledge/core/pooler/pool/pool_connections.py
+++ b/src/dewledge/core/pooler/pool/pool_connections.py
@@ -1,6 +1,6 @@
 """The connections of a pool: idle, in use or being opened, and the limit on their number.
 
-The class only counts. `connection_dispatch` assigns connections to statements, and
+This module only counts. `connection_dispatch` assigns connections to statements, and
 `caller_openings` decides for which callers they are opened.
 """
 
@@ -12,7 +12,7 @@
 
 
 class PoolConnections:
-    """The connections of a pool; `limit` includes those that are being opened."""
+    """The connections of a pool. The limit includes connections that are being opened."""
 
     def __init__(self, limit: int, idle: IdleConnections, openings: ConnectionOpenings) -> None:
         self.idle = idle
@@ -49,8 +49,7 @@
 
     @property
     def has_no_usable(self) -> bool:
-        """Whether no connection can serve waiting statements: none is being opened, and all
-        existing ones are retiring."""
+        """Whether no connection is being opened and all existing ones are retiring."""
         existing = itertools.chain(self.in_use_connections, self.idle)
         return not self.openings.total and all(each.is_retiring for each in existing)
 
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -55,14 +55,14 @@
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
-        """Returns the limit of concurrent statements; None on a route through holders, which apply
-        their own."""
+        """Returns the limit of concurrent statements; None if connection holders apply their
+        own."""
         if not holding.is_direct:
             return None
 
-        def changed(is_full: bool, size: int, widest: int) -> None:
+        def changed(is_full: bool, size: int, max_size: int) -> None:
             if is_full:
-                self._record(DatabaseFull(self._group, database_id, size, widest))
+                self._record(DatabaseFull(self._group, database_id, size, max_size))
             else:
                 self._record(DatabaseHasRoom(self._group, database_id))
 
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -54,8 +54,8 @@
         return self._estimate.rates
 
     def on_over_fair_share(self, callback: Callable[[HeldToShare], None]) -> None:
-        """Sets a callback that is called, at most once a second, when a caller over its fair share
-        waits."""
+        """Sets the callback for callers over their fair share, which is called at most once a
+        second."""
         self._fair_share_watch.on_over_share(callback)
 
     def arrive(self, waiter: Waiter) -> None:
@@ -77,7 +77,7 @@
         return self._refuse_or_wait(waiter, expected)
 
     def recheck(self, waiter: Waiter) -> Verdict:
-        """Refuses a waiting statement that can't be served in time; otherwise returns when to check
+        """Refuses a waiting statement that can't be served in time, or returns when to check
         again."""
         self.queue.refresh(self._clock())
         return self._refuse_or_wait(waiter, self._expected_wait(waiter))
@@ -129,8 +129,7 @@
             waiter.deny(denial)
 
     def _refuse_or_wait(self, waiter: Waiter, expected: ExpectedWait | None) -> Verdict:
-        """Refuses a statement whose expected wait is too long; otherwise returns when to check
-        again."""
+        """Refuses a statement whose expected wait is too long, or returns when to check again."""
         now = self._clock()
         if may_wait(waiter.deadlines, now, expected):
             return WaitUntil(next_check_at(waiter.deadlines, now, expected))
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -15,7 +15,7 @@
 
 GROWTH_PER_STATEMENT = 0.2
 """Statements; each executed statement adds this number divided by the size. At 40 statements a
-second, a window of one grows to three within a second."""
+second, the size grows from one to three within a second."""
 CUT_RATIO = 0.75
 """Part of the size that remains after a refusal. More than the half of TCP, since a refused
 statement costs a few milliseconds and an unused slot a whole statement."""
@@ -36,13 +36,13 @@
     """The limit of statements at a database; it starts at its maximum."""
 
     def __init__(
-        self, max_size: int, on_change: WindowCallback = lambda is_full, size, widest: None
+        self, max_size: int, on_change: WindowCallback = lambda is_full, size, max_size: None
     ) -> None:
         """Creates a window of the maximum size.
 
         Args:
-            widest: The maximum size, the number of connections of the pool.
-            changed: Called when the database becomes full, and when the window is back at its
+            max_size: The maximum size, the number of connections of the pool.
+            on_change: Called when the database becomes full, and when the window is back at its
                 maximum.
         """
         self._size = float(max(max_size, 1))
@@ -67,7 +67,7 @@
         return max(int(self._size) - running, 0)
 
     def note_served(self, max_size: int) -> None:
-        """Records an executed statement; `widest` is the current maximum size."""
+        """Records an executed statement; `max_size` is the current maximum size."""
         self._max_size = max_size
         self._size = min(self._size + GROWTH_PER_STATEMENT / self._size, float(max(max_size, 1)))
         if self.is_full and self._size >= max_size:
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -33,14 +33,14 @@
 
 
 class Demand(IntEnum):
-    """What a statement needs from a database that may be full; at equal urgency the lower value is
+    """What a statement needs from a database that may be full. At equal urgency, lower values come
     first.
 
     Attributes:
         OWN: An internal statement of the proxy, which needs no slot.
         SINGLE: A single statement.
-        TRANSACTION: Many statements of one caller. Transactions come last, so that more callers are
-            served if not all can be.
+        TRANSACTION: Many statements of a caller. They come last, so that more callers are served if
+            not all can be.
     """
 
     OWN = 0
@@ -127,7 +127,7 @@
             )
 
     def on_queued(self, on_withdrawn: Callable[["Waiter"], None]) -> None:
-        """Records that it is in a queue; `left` is called if it is withdrawn."""
+        """Records that it is in a queue; `on_withdrawn` is called if it is withdrawn."""
         self._on_withdrawn = on_withdrawn
 
     def set_expected_wait(self, wait: ExpectedWait | None) -> None:
