--- a/src/dewledge/core/pooler/load/failed_login_throttle.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -1,10 +1,10 @@
 """Delays the answers to failed logins, so that clients that retry at once cost little.
 
-A token bucket lets `ANSWERS_PER_SECOND` refusals be answered immediately. Further refusals are
-answered after `PAUSE_SECONDS`; beyond `MAX_DELAYED_REFUSALS` pending answers, connections are
-closed without an answer. The load of clients with a revoked key is therefore bounded by their
-number, and not by how fast they retry. Clients with a valid key are never delayed, and the delay
-reveals nothing that the answer does not.
+A token bucket lets `ANSWERS_PER_SECOND` refusals be answered immediately; further ones are answered
+after a delay. Beyond `MAX_DELAYED_REFUSALS` pending answers, connections are closed without an
+answer. The load of clients with a revoked key is therefore bounded by their number, and not by how
+fast they retry. Clients with a valid key are never delayed, and the delay reveals nothing that the
+answer does not.
 """
 
 ANSWERS_PER_SECOND = 20.0
@@ -28,7 +28,7 @@
     def pause(self, now: float) -> float | None:
         """Returns the delay before the answer in seconds, None to close without an answer.
 
-        The caller must call `on_delay_ended` once for each delayed refusal.
+        A delayed refusal takes a place that the caller must release once it is answered.
         """
         gained = max(now - self._refilled_at, 0.0) * ANSWERS_PER_SECOND
         self._available_answers = min(self._available_answers + gained, ANSWERS_PER_SECOND)
@@ -42,6 +42,6 @@
         return PAUSE_SECONDS
 
     def told(self) -> None:
-        """Releases the place of a delayed refusal that was answered, or whose client
+        """Releases the place of a delayed refusal that was answered or whose client
         disconnected."""
         self.held -= 1
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -1,6 +1,6 @@
 """Decides when a connection holder attaches a load report to a reply: only if the load has changed.
 
-A report is sent if a number differs by more than `MIN_COUNT_CHANGE` and `MIN_CHANGE_RATIO`, or if
+A report is sent if a number other than `urgent_waiting` differs by more than both tolerances, or if
 the last report is as old as its half-life, after which the receiver gives it half the weight. At
 constant load a peer receives at most two reports a second, at any rate of replies.
 """
@@ -8,9 +8,9 @@
 from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
-MIN_COUNT_CHANGE = 1
+COUNT_TOLERANCE = 1
 """Statements or connections; a difference up to this number is not reported."""
-MIN_CHANGE_RATIO = 0.25
+TOLERANCE_RATIO = 0.25
 """Relative difference of a count or a service time up to which it is not reported."""
 MAX_REPORTED_COUNT = 255
 """Statements or connections; larger numbers are reported as this one, which fits into two bytes. A
@@ -27,8 +27,8 @@
         self._last_report_at = 0.0
 
     def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
-        """Returns the report to attach to a reply now, None for none. `now`: steady clock in
-        seconds."""
+        """Returns the report to attach to a reply at `now` (steady clock, seconds), None for
+        none."""
         last_report = self._last_report
         is_old = now >= self._last_report_at + REPORT_HALF_LIFE_SECONDS
         if last_report is not None and not is_old and not _differs(last_report, report):
@@ -64,4 +64,4 @@
         (last_report.openings, report.openings),
         (last_report.service_ms, report.service_ms),
     )
-    return any(abs(new - old) > max(MIN_COUNT_CHANGE, MIN_CHANGE_RATIO * old) for old, new in pairs)
+    return any(abs(new - old) > max(COUNT_TOLERANCE, TOLERANCE_RATIO * old) for old, new in pairs)
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -1,9 +1,8 @@
-"""Holds the load reports on databases that other processes hold connections to.
+"""Estimates the load of databases from the reports of their connection holders.
 
-The table estimates the wait and the service time at such a database. The weight of a report
-decreases with its age, since a queue soon changes; the count of this process's own statements takes
-its place. The design follows Prequal (probe results that are reused and age) and C3 (queue length
-and service time sent with each reply, own statements added).
+The weight of a report decreases with its age, since a queue soon changes; the count of this
+process's own statements takes its place. The design follows Prequal (probe results that are reused
+and age) and C3 (queue length and service time sent with each reply, own statements added).
 """
 
 from statistics import median
--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/return_moments.py
@@ -14,7 +14,7 @@
 import math
 
 MAX_RETRY_SECONDS = 3.0
-"""Latest retry time: no statement has a longer deadline, and a longer forecast would rest on an
+"""Latest retry time: the longest usual timeout of a statement. A longer forecast would rest on an
 outdated service rate."""
 MIN_RETRY_SECONDS = 0.03
 """Earliest retry time: a round trip between regions."""
@@ -30,17 +30,17 @@
     def __init__(self) -> None:
         self._last_reserved_at = -math.inf
 
-    def promise(self, now: float, room_in: float | None, spacing: float = 0.0) -> float:
+    def promise(self, now: float, drained_in: float | None, spacing: float = 0.0) -> float:
         """Reserves the next free retry time and returns it in seconds from now.
 
         Args:
             now: The steady clock in seconds.
-            room_in: Seconds until the current queue has drained, None if unknown.
+            drained_in: Seconds until the current queue has drained, None if unknown.
             spacing: Seconds in which the queue serves one statement.
         """
         latest = now + MAX_RETRY_SECONDS
         spacing = max(spacing, MIN_RETRY_SPACING_SECONDS)
-        soonest = DEFAULT_RETRY_SECONDS if room_in is None else room_in
+        soonest = DEFAULT_RETRY_SECONDS if drained_in is None else drained_in
         first = now + min(max(soonest, MIN_RETRY_SECONDS), MAX_RETRY_SECONDS)
         moment = max(first, self._last_reserved_at + spacing)
         if moment > latest:
--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -55,8 +55,7 @@
         self.counts.within_double += expected / DOUBLE_FACTOR <= real <= expected * DOUBLE_FACTOR
 
     def record_refused(self, latest_start: float) -> None:
-        """Counts a refused statement whose latest start was `latest_start` (steady clock,
-        seconds)."""
+        """Counts a refused statement and remembers its latest start (steady clock, seconds)."""
         self.counts.refused += 1
         self._refused_latest_starts.append(latest_start)
 
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -163,8 +163,9 @@
     def longest_flow_behind(self, charge: Charge) -> tuple[Waiter, int] | None:
         """Returns the first waiter and the length of the longest flow behind a served one.
 
-        Only flows that have received more than their fair share so far are considered. A flow that
-        was skipped because it can't be served at the moment is not one of them.
+        Only flows are considered whose start tag is past the virtual time: they have received more
+        than their fair share. A flow that was skipped because it can't be served now is not one of
+        them.
         """
         level = self._levels.get(charge.level)
         if level is None:
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -206,10 +206,10 @@
         """Reserves a retry time for a statement that gave up here, in seconds from now."""
         return self._waits.reserve_retry_time(None)
 
-    def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
+    def on_held_to_share(self, callback: Callable[[HeldToShare], None]) -> None:
         """Sets the callback for callers over their fair share, which is called at most once a
         second."""
-        self._waits.on_over_fair_share(told)
+        self._waits.on_over_fair_share(callback)
 
     def note_answer(
         self,
