--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/return_moments.py
@@ -6,9 +6,9 @@
 `MAX_RETRY_SECONDS` from now. Once the range is full, reservations restart at its beginning, halfway
 between the earlier ones.
 
-Pools use one schedule for each queue. Each group has another one for statements that find no
-primary. `statements/come_back` selects among several retry times; retry times of rate limits are in
-`rate_limits/told_moments`.
+Each pool has a schedule for its queue. Each group has one for statements to which no queue gave a
+retry time, for example without a primary (`statements/come_back`). Retry times of rate limits are
+in `rate_limits/told_moments`.
 """
 
 import math
