--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/return_moments.py
@@ -8,7 +8,7 @@
 
 Each pool has a schedule for its queue. Each group has one for statements to which no queue gave a
 retry time, for example without a primary (`statements/come_back`). Retry times of rate limits are
-in `rate_limits/told_moments`.
+in `rate_limits/return_times`.
 """
 
 import math
