--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -1,18 +1,14 @@
-"""Whether a process that holds connections to databases answers, judged by its link alone.
-
-Inputs: the moments at which bytes came from it, at which an answer, a ping or a dial became due
-(steady clock, seconds), and its usual round trip, measured by pings and dials of this process.
-Decision: any byte is a sign of life. While an answer is due and nothing came for `ping_after`, a
-ping goes out; without an answer in time the holder is doubted, later silent, after
-`LOST_AFTER_SECONDS` the link is given up. A look that comes late, because this process itself stood
-still, judges nothing.
-What follows: while it is doubted or silent nothing new goes there but a probe (the ping that is
-due, or a dial after the link was lost), and only a probe, never a client's statement, finds out
-that it is there again. The event is `HolderJudged`. One verdict serves all statements on the link.
-
-A late answer of a database says nothing here, since the holder answers a ping meanwhile: databases
-are judged by `databases/database_silence` in the process that holds the connections, and by
-`databases/answer_watch`. Switched off by `[load] silent_holders` (`WITHOUT_PROBES`).
+"""Judges by its link whether a connection holder, a process with database connections, is alive.
+
+Any byte received is a sign of life. While a reply is outstanding and nothing has arrived for
+`ping_after`, a ping is sent. If no sign of life follows in time, the holder is first suspected and
+then silent; after `LOST_AFTER_SECONDS` of silence the link is closed. A health check that runs
+late, because this process itself was stalled, draws no conclusion.
+
+No new statement is sent to a holder that is suspected or silent. Only a probe (the pending ping, or
+a dial after the link was lost) can find that it is usable again, never a client's statement. A slow
+database is not a silent holder, because its holder still answers pings; databases are judged by
+`databases/database_silence` and `databases/answer_watch`.
 """
 
 import math
@@ -23,41 +19,44 @@
 
 from dewledge.core.shared.service_rate import UsualTime
 
-HELD_UP_SECONDS = 0.4
-"""Seconds; a look that comes so late shows that this process itself stood still: silence counts
-anew."""
-LATE_SECONDS = 0.03
-"""Seconds; a look that comes later than this judges nothing, since what came meanwhile may not be
-read yet; the time by which it is late does not count as silence."""
-LATE_LOOK_SECONDS = 0.05
-"""Seconds until the look after a late one: time to read what has come."""
+MIN_LONG_STALL_SECONDS = 0.4
+"""A check that is later than this shows that this process was stalled: the measurement of silence
+restarts."""
+MAX_CHECK_DELAY_SECONDS = 0.03
+"""A check that is later than this draws no conclusion, since received bytes may still be unread;
+the delay does not count as silence."""
+RECHECK_DELAY_SECONDS = 0.05
+"""Delay until the check after a late one: time to read what has arrived."""
 LOST_AFTER_SECONDS = 1.2
-"""Seconds; a link that is silent for so long is given up, and what is on it is in doubt. Longer
-than the doubt and silence of any rules."""
-LEAST_LOOK_SECONDS = 0.001
-"""Seconds between two looks at least: a timer is no more exact."""
-LEAST_PAUSE_SHARE = 0.75
-"""Ratio; share of a pause between two dials that is kept at least, so that processes spread their
-dials."""
-PAUSE_SPREAD = 0.5
-"""Ratio; share of a pause by which it varies at random: a quarter either way."""
-SMOOTHING = 0.2
-"""Ratio; share of each measured round trip in the usual one: half of the mean is of the last
-three."""
+"""A link that is silent for this time is closed, and the results of its statements are unknown.
+Longer than the time to silence under any `HolderRules`."""
+MIN_CHECK_INTERVAL_SECONDS = 0.001
+"""Minimum delay between two checks: the resolution of timers."""
+MIN_PAUSE_RATIO = 0.75
+"""Minimum part of the pause between two dials that remains after jitter."""
+PAUSE_JITTER_RATIO = 0.5
+"""Width of the jitter as a part of the pause, so that processes spread their dials."""
+ROUND_TRIP_SMOOTHING_RATIO = 0.2
+"""Weight of each round-trip sample in the moving average."""
 
 
 class HolderRules(msgspec.Struct, frozen=True):
-    """When a holder is doubted, and how it is tried again; times in seconds.
-
-    ping_after: quiet while an answer is due, then a ping goes out: longer than most statements.
-    round_trips: usual ones that a sign of life may take. least_timeout, longest_timeout: bounds
-    of that: the least for the scheduling of slow machines, the longest so that a statement with a
-    timeout of 0.8 s, or a target of 0.6 s, has most of its time left for another holder.
-    silent_timeouts: so many of them without a sign of life make a doubted holder a silent one.
-    is_probed: whether a lost holder must answer a dial before a statement goes there.
-    first_pause, longest_pause: between dials that fail; the longest is half of what most callers
-    have for an operation, and 850 processes that miss one then dial it 400 times a second in all.
-    pause_growth: the factor by which pauses grow; 0 has them grow by `first_pause` each time.
+    """When a holder is judged silent and how it is probed; times in seconds.
+
+    Attributes:
+        ping_after: Silence with a reply outstanding after which a ping is sent; longer than most
+            statements.
+        round_trips: Timeout of a ping or dial, in multiples of the usual round trip.
+        least_timeout: Lower bound of that timeout, for scheduling delays of slow machines.
+        longest_timeout: Upper bound of that timeout, so that a statement with a timeout of 0.8 s
+            has most of it left for another holder.
+        silent_timeouts: Timeouts without a sign of life after which a suspected holder is silent.
+        is_probed: Whether a lost holder must answer a dial before a statement is sent to it.
+        first_pause: Pause after the first failed dial.
+        longest_pause: Upper bound of the pause: short compared with the timeout of most operations,
+            and long enough to bound the dial rate of hundreds of processes.
+        pause_growth: Factor by which the pause grows with each failure; 0 adds `first_pause` each
+            time.
     """
 
     ping_after: float = 0.1
@@ -72,20 +71,26 @@
 
 
 WITHOUT_PROBES = HolderRules(0.25, 0.0, 0.25, 0.25, 1.0, False, 0.5, 4.0, 0.0)
-"""Times in seconds, as they were before holders were judged by probes: silent after half a second,
-and lost ones are tried again by the next statement after a pause."""
+"""Rules for `[load] silent_holders = false`: a holder is silent after half a second, and a lost one
+is tried again by the next statement after a pause."""
 
 
 class HolderState(StrEnum):
-    """USABLE: takes what is new. DOUBTED: its sign of life is late. SILENT: far too late."""
+    """USABLE: accepts new statements. DOUBTED: its sign of life is late. SILENT: it is overdue."""
 
     USABLE = "usable"
     DOUBTED = "doubted"
     SILENT = "silent"
 
 
-class Look(msgspec.Struct, frozen=True):
-    """What follows from a look. again: seconds until the next one, None if nothing is due."""
+class CheckResult(msgspec.Struct, frozen=True):
+    """The result of a health check.
+
+    Attributes:
+        sends_ping: Whether to send a ping now.
+        is_lost: Whether to close the link.
+        again: Seconds until the next check, None if no reply is outstanding.
+    """
 
     sends_ping: bool = False
     is_lost: bool = False
@@ -93,39 +98,41 @@
 
 
 class HolderHealth:
-    """What all statements on one link know of its other end; times of the steady clock, seconds."""
+    """The health of a connection holder, judged by its link; times of the steady clock in
+    seconds."""
 
     def __init__(self, rules: HolderRules, jitter: Callable[[], float]) -> None:
-        """`jitter`: numbers from 0 to 1 that spread the probes of many processes."""
+        """Starts as usable. `jitter` returns numbers in [0, 1] that spread the dials of many
+        processes."""
         self._rules = rules
         self._jitter = jitter
-        self._round_trip = UsualTime(SMOOTHING)
+        self._round_trip = UsualTime(ROUND_TRIP_SMOOTHING_RATIO)
         self.state = HolderState.USABLE
-        self.since = 0.0
-        """When the state began."""
+        self.state_since = 0.0
+        """When the current state began."""
         self.due = 0
-        """The answers that are awaited."""
-        self._due_since = 0.0
-        self._heard_at = -math.inf
-        self._asked_at: float | None = None
-        """When the ping or dial went out that has no answer."""
-        self._next_look: float | None = None
+        """The number of replies that are outstanding."""
+        self._outstanding_since = 0.0
+        self._last_received_at = -math.inf
+        self._probe_sent_at: float | None = None
+        """When the ping or dial that is still unanswered was sent."""
+        self._next_check_at: float | None = None
         self._failures = 0
-        self._not_before = -math.inf
+        self._next_dial_at = -math.inf
 
     @property
     def heard_at(self) -> float:
-        """When the last sign of life came."""
-        return self._heard_at
+        """When the last sign of life was received."""
+        return self._last_received_at
 
     @property
     def usual_round_trip(self) -> float:
-        """The usual time of a sign of life, 0 while none was measured."""
+        """The usual time until a sign of life, 0 before the first sample."""
         return self._round_trip.seconds
 
     @property
-    def sign_timeout(self) -> float:
-        """How long a sign of life may take that was asked for."""
+    def probe_timeout(self) -> float:
+        """The time that the answer to a ping or dial may take."""
         rules = self._rules
         usual = self._round_trip.seconds
         if usual == 0.0:
@@ -133,139 +140,149 @@
         return min(max(rules.round_trips * usual, rules.least_timeout), rules.longest_timeout)
 
     def silence(self, now: float) -> float:
-        """Returns the seconds without a sign of life while one is due, 0 if none is."""
-        if not self._is_awaiting:
+        """Returns the seconds without a sign of life while one is outstanding, otherwise 0."""
+        if not self._awaits_reply:
             return 0.0
-        asked = math.inf if self._asked_at is None else self._asked_at
-        due = self._due_since if self.due else math.inf
-        return max(now - max(self._heard_at, min(asked, due)), 0.0)
+        probe_sent = math.inf if self._probe_sent_at is None else self._probe_sent_at
+        outstanding = self._outstanding_since if self.due else math.inf
+        return max(now - max(self._last_received_at, min(probe_sent, outstanding)), 0.0)
 
     def is_usable(self, now: float) -> bool:
-        """Whether something new may begin."""
+        """Tells whether new statements may be sent."""
         if self._rules.is_probed:
             return self.state is HolderState.USABLE
-        return self.state is HolderState.USABLE and now >= self._not_before
+        return self.state is HolderState.USABLE and now >= self._next_dial_at
 
     def may_probe(self, now: float) -> bool:
-        """Whether a dial may be made only to see whether the holder is there."""
+        """Tells whether to dial the holder only to find out whether it answers."""
         is_silent = self.state is not HolderState.USABLE
-        return self._rules.is_probed and is_silent and now >= self._not_before
+        return self._rules.is_probed and is_silent and now >= self._next_dial_at
 
     def dialled(self, now: float) -> float | None:
-        """A dial goes out; returns the seconds until the next look, None if its limit is enough."""
+        """Records that a dial began.
+
+        Returns the delay until the first check, None if the timeout of the dial is sufficient.
+        """
         if not self._rules.is_probed:
             return None
-        self._asked_at = now
-        return self._plan(now, self.sign_timeout)
+        self._probe_sent_at = now
+        return self._schedule_check(now, self.probe_timeout)
 
     def opened(self, now: float) -> None:
-        """The link stands: a sign of life."""
-        if self._asked_at is not None:
-            self._round_trip.note(max(now - self._asked_at, 0.0))
-        self._asked_at = None
-        self._next_look = None
+        """Records that the link was opened, which is a sign of life."""
+        if self._probe_sent_at is not None:
+            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+        self._probe_sent_at = None
+        self._next_check_at = None
         self.due = 0
         self._failures = 0
-        self._not_before = -math.inf
+        self._next_dial_at = -math.inf
         self.heard(now)
 
     def ended(self, now: float, is_dial: bool) -> None:
-        """The link was lost, or a dial failed; after a loss the first probe need not wait."""
+        """Records that the link was lost or a dial failed.
+
+        With probes, a lost link may be dialled again at once, and a failed dial is repeated after a
+        pause.
+        """
         self.due = 0
-        self._asked_at = None
-        self._next_look = None
+        self._probe_sent_at = None
+        self._next_check_at = None
         if is_dial or not self._rules.is_probed:
-            self._not_before = now + self._pause()
+            self._next_dial_at = now + self._dial_pause()
             self._failures += 1
-        self._enter(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
+        self._set_state(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
 
     def sent(self, now: float) -> float | None:
-        """An answer is due from now on; returns the seconds to the first look, None if planned."""
+        """Records a request; returns the delay until the first check, None if one is scheduled."""
         if self.due == 0:
-            self._due_since = now
+            self._outstanding_since = now
         self.due += 1
-        if self._next_look is not None:
+        if self._next_check_at is not None:
             return None
-        return self._plan(now, self._rules.ping_after)
+        return self._schedule_check(now, self._rules.ping_after)
 
     def answered(self, count: int = 1) -> None:
-        """So many answers have come, or are not awaited any more."""
+        """Records replies that arrived or are no longer awaited."""
         self.due = max(self.due - count, 0)
 
     def heard(self, now: float) -> None:
-        """Bytes came: the holder is there."""
-        self._heard_at = now
-        self._enter(HolderState.USABLE, now)
+        """Records that bytes arrived."""
+        self._last_received_at = now
+        self._set_state(HolderState.USABLE, now)
 
     def ponged(self, now: float) -> None:
-        """The answer to the ping came."""
-        if self._asked_at is not None:
-            self._round_trip.note(max(now - self._asked_at, 0.0))
-            self._asked_at = None
-
-    def look(self, now: float) -> Look:
-        """Judges the holder now."""
-        late = 0.0 if self._next_look is None else now - self._next_look
-        self._next_look = None
-        if not self._is_awaiting:
-            return Look()
-        if late > LATE_SECONDS:
-            self._forgive(now, late)
-            return Look(again=self._plan(now, LATE_LOOK_SECONDS))
+        """Records the answer to a ping."""
+        if self._probe_sent_at is not None:
+            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+            self._probe_sent_at = None
+
+    def look(self, now: float) -> CheckResult:
+        """Updates the state and returns what to do next."""
+        delay = 0.0 if self._next_check_at is None else now - self._next_check_at
+        self._next_check_at = None
+        if not self._awaits_reply:
+            return CheckResult()
+        if delay > MAX_CHECK_DELAY_SECONDS:
+            self._discount_stall(now, delay)
+            return CheckResult(again=self._schedule_check(now, RECHECK_DELAY_SECONDS))
         silence = self.silence(now)
         if silence >= LOST_AFTER_SECONDS:
-            return Look(is_lost=True)
-        if self._asked_at is None:
+            return CheckResult(is_lost=True)
+        if self._probe_sent_at is None:
             remaining = self._rules.ping_after - silence
             if remaining > 0:
-                return Look(again=self._plan(now, remaining))
-            self._asked_at = now
-            return Look(sends_ping=True, again=self._plan(now, self.sign_timeout))
-        return Look(again=self._plan(now, self._judge(now, self._asked_at)))
-
-    def _judge(self, now: float, asked_at: float) -> float:
-        """Judges by a ping or dial without an answer; returns the seconds until the next look."""
-        waited = now - max(asked_at, self._heard_at)
-        until_doubt = self.sign_timeout - waited
-        until_silence = self.sign_timeout * self._rules.silent_timeouts - waited
-        if until_silence <= 0:
-            self._enter(HolderState.SILENT, now)
+                return CheckResult(again=self._schedule_check(now, remaining))
+            self._probe_sent_at = now
+            return CheckResult(sends_ping=True, again=self._schedule_check(now, self.probe_timeout))
+        return CheckResult(
+            again=self._schedule_check(now, self._judge_by_probe(now, self._probe_sent_at))
+        )
+
+    def _judge_by_probe(self, now: float, probe_sent_at: float) -> float:
+        """Updates the state by an unanswered ping or dial; returns the delay until the next
+        check."""
+        waited = now - max(probe_sent_at, self._last_received_at)
+        until_suspected = self.probe_timeout - waited
+        until_silent = self.probe_timeout * self._rules.silent_timeouts - waited
+        if until_silent <= 0:
+            self._set_state(HolderState.SILENT, now)
             return LOST_AFTER_SECONDS - self.silence(now)
-        if until_doubt <= 0:
+        if until_suspected <= 0:
             if self.state is HolderState.USABLE:
-                self._enter(HolderState.DOUBTED, now)
-            return until_silence
-        return until_doubt
+                self._set_state(HolderState.DOUBTED, now)
+            return until_silent
+        return until_suspected
 
     @property
-    def _is_awaiting(self) -> bool:
-        return self.due > 0 or self._asked_at is not None
+    def _awaits_reply(self) -> bool:
+        return self.due > 0 or self._probe_sent_at is not None
 
-    def _plan(self, now: float, seconds: float) -> float:
-        delay = max(seconds, LEAST_LOOK_SECONDS)
-        self._next_look = now + delay
+    def _schedule_check(self, now: float, seconds: float) -> float:
+        delay = max(seconds, MIN_CHECK_INTERVAL_SECONDS)
+        self._next_check_at = now + delay
         return delay
 
-    def _forgive(self, now: float, late: float) -> None:
-        """This process stood still for a while, which is no silence of the other."""
-        if late > HELD_UP_SECONDS:
-            self._due_since = self._heard_at = now
-            self._asked_at = None if self._asked_at is None else now
+    def _discount_stall(self, now: float, delay: float) -> None:
+        """Deducts a stall of this process from the silence of the holder."""
+        if delay > MIN_LONG_STALL_SECONDS:
+            self._outstanding_since = self._last_received_at = now
+            self._probe_sent_at = None if self._probe_sent_at is None else now
             return
-        self._due_since = min(self._due_since + late, now)
-        self._heard_at = min(self._heard_at + late, now)
-        if self._asked_at is not None:
-            self._asked_at = min(self._asked_at + late, now)
+        self._outstanding_since = min(self._outstanding_since + delay, now)
+        self._last_received_at = min(self._last_received_at + delay, now)
+        if self._probe_sent_at is not None:
+            self._probe_sent_at = min(self._probe_sent_at + delay, now)
 
-    def _enter(self, state: HolderState, now: float) -> None:
+    def _set_state(self, state: HolderState, now: float) -> None:
         if state is not self.state:
             self.state = state
-            self.since = now
+            self.state_since = now
 
-    def _pause(self) -> float:
+    def _dial_pause(self) -> float:
         rules = self._rules
         if rules.pause_growth == 0.0:
             return min(rules.first_pause * (self._failures + 1), rules.longest_pause)
         longest = math.log(rules.longest_pause / rules.first_pause, rules.pause_growth)
         pause: float = rules.first_pause * rules.pause_growth ** min(self._failures, longest)
-        return pause * (LEAST_PAUSE_SHARE + PAUSE_SPREAD * self._jitter())
+        return pause * (MIN_PAUSE_RATIO + PAUSE_JITTER_RATIO * self._jitter())
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -1,11 +1,8 @@
-"""What holders reported of the load before databases, kept with its age by each process.
-
-Inputs: load reports, with the moment at which they came (steady clock, seconds), and this process's
-own statements sent to the database.
-Decision: the expected wait and service time of a database that this process does not hold. A report
-counts less the older it is, and the own statements take its place. Reason: the report of a queue is
-soon out of date. The ideas are those of Prequal (probes that are reused and age) and C3 (queue and
-service time told with each answer, own statements added).
+"""Estimates the load of databases from the reports of their connection holders.
+
+The weight of a report decreases with its age, since a queue soon changes; the count of this
+process's own statements takes its place. The design follows Prequal (probe results that are reused
+and age) and C3 (queue length and service time sent with each reply, own statements added).
 """
 
 from statistics import median
@@ -17,33 +14,34 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 REPORT_HALF_LIFE_SECONDS = 0.5
-"""Seconds; half-life of the report of a queue. A statement waits for a quarter of its target or
-more, 0.1 to 0.25 s on the routes seen, so that all that stood in a queue has left it within about
-twice that."""
+"""Half-life of a reported queue length. Statements typically wait up to 0.25 s, so that a reported
+queue has drained after about twice that."""
 SERVICE_HALF_LIFE_SECONDS = 4.0
-"""Seconds; half-life of the report of a service time: machines stay slow for seconds. A database
-that was slow is tried again after some of these, which is how it shows that it is well."""
-MOST_DATABASES = 64
-"""Databases of one group that are remembered; a group has fewer, so only what left is dropped.
-Bounds memory."""
-MOST_HOLDERS = 8
-"""Holders of one database that are remembered: a process goes to the same few for its callers.
-Bounds memory."""
-USUAL_SERVICE_SECONDS = 0.01
-"""Seconds; reckoned with until a service time was told or measured."""
-NO_CONNECTION_SECONDS = 1.0
-"""Seconds; added while a holder can open no connection: more than any queue that is worth its
-wait."""
-LEAST_WINDOW = 0.5
-"""Connections, the mean over holders; below this most of those that reported can open none."""
+"""Half-life of a reported service time: machines stay slow for seconds. As the report ages, a
+database that was slow is tried again."""
+MAX_DATABASES = 64
+"""Databases of a group in the table; bounds its memory. A group has fewer, so that only removed
+databases are dropped."""
+MAX_HOLDERS = 8
+"""Holders of a database in the table; bounds its memory."""
+DEFAULT_SERVICE_SECONDS = 0.01
+"""Default service time, used until one is reported."""
+NO_CONNECTION_WAIT_SECONDS = 1.0
+"""Extra wait while a holder can open no connection: more than any wait that a statement accepts."""
+MIN_WINDOW = 0.5
+"""Connections, as the mean over the holders; below it most holders can open no connection."""
 
 
 class KnownLoad(msgspec.Struct, frozen=True):
-    """The load before one database, for one holder.
-
-    waiting, running: statements. window: how many may run; 0 while no connection can be opened.
-    service_seconds: how long one holds a slot. weight: of the report, from 1 down to 0 as it ages.
-    age_seconds: of the newest report; 0 for the process's own count.
+    """The estimated load of a database.
+
+    Attributes:
+        waiting: Statements in the queue.
+        running: Statements that the database executes.
+        window: Statements that may run concurrently, 0 while no connection can be opened.
+        service_seconds: How long a statement holds a slot.
+        weight: Weight of the report, from 1 down to 0 as it ages.
+        age_seconds: Age of the newest report; 0 for the process's own count.
     """
 
     waiting: float
@@ -54,118 +52,128 @@
     age_seconds: float = 0.0
 
     def expected_wait(self, sent_since: int, in_flight: int) -> ExpectedWait:
-        """Returns the time until a slot is free for one more statement.
+        """Returns the expected time until a slot is free for one more statement.
+
+        While statements wait, no more can run than those that run now, whatever the window is.
 
-        While some wait, no more can run than those that do, whatever the window is.
-        sent_since: own statements sent that the report does not count. in_flight: all own ones.
+        Args:
+            sent_since: Statements that this process has sent since the report.
+            in_flight: All statements of this process that are waiting or running there.
         """
         window = max(self.window, 1.0)
         slots = window if self.waiting < 1.0 else min(window, max(self.running, 1.0))
-        told = _wait(self.waiting + self.running + sent_since, slots, self.service_seconds)
-        if self.window < LEAST_WINDOW:
-            told += NO_CONNECTION_SECONDS
-        own = _wait(in_flight, window, self.service_seconds)
-        seconds = self.weight * told + (1.0 - self.weight) * own
+        reported_seconds = _queueing_seconds(
+            self.waiting + self.running + sent_since, slots, self.service_seconds
+        )
+        if self.window < MIN_WINDOW:
+            reported_seconds += NO_CONNECTION_WAIT_SECONDS
+        counted_seconds = _queueing_seconds(in_flight, window, self.service_seconds)
+        seconds = self.weight * reported_seconds + (1.0 - self.weight) * counted_seconds
         return ExpectedWait(seconds, self.age_seconds)
 
 
-def _wait(ahead: float, slots: float, service_seconds: float) -> float:
+def _queueing_seconds(ahead: float, slots: float, service_seconds: float) -> float:
     return max(ahead + 1.0 - slots, 0.0) * service_seconds / slots
 
 
-class _Heard(msgspec.Struct, frozen=True):
+class _ReceivedReport(msgspec.Struct, frozen=True):
+    """A load report and the time at which it arrived."""
+
     report: LoadReport
     heard_at: float
 
 
-class _Entry:
-    """One database: the last report of each holder, and what was sent since the newest."""
+class _DatabaseEntry:
+    """The last report of each holder of a database, and the statements sent since the newest
+    report."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, _Heard] = {}
+        self.reports: dict[str, _ReceivedReport] = {}
         self.sent_since = 0
-        self.heard_at = 0.0
+        self.newest_at = 0.0
 
-    def take(self, holder: str, heard: _Heard) -> None:
+    def update(self, holder: str, received: _ReceivedReport) -> None:
         self.reports.pop(holder, None)
-        if len(self.reports) >= MOST_HOLDERS:
+        if len(self.reports) >= MAX_HOLDERS:
             del self.reports[next(iter(self.reports))]
-        self.reports[holder] = heard
+        self.reports[holder] = received
         self.sent_since = 0
-        self.heard_at = heard.heard_at
+        self.newest_at = received.heard_at
 
 
 class LoadTable:
-    """The databases of one group. Times: the steady clock, seconds. Bounded in size."""
+    """The load reports on the databases of a group; times of the steady clock in seconds."""
 
     def __init__(self) -> None:
-        self._entries: dict[str, _Entry] = {}
-        self._usual_service: float | None = None
-        """Kept until the next report: reads are ordered more often than reports come."""
+        self._entries: dict[str, _DatabaseEntry] = {}
+        self._usual_service_seconds: float | None = None
+        """Cached until the next report, since it is read more often than reports arrive."""
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def take(self, database_id: str, holder: str, report: LoadReport, now: float) -> None:
-        """Takes what `holder` reported with an answer that came at `now`."""
-        self._usual_service = None
-        entry = self._entries.pop(database_id, None) or _Entry()
-        if len(self._entries) >= MOST_DATABASES:
+        """Stores a report of `holder` that arrived at `now`."""
+        self._usual_service_seconds = None
+        entry = self._entries.pop(database_id, None) or _DatabaseEntry()
+        if len(self._entries) >= MAX_DATABASES:
             del self._entries[next(iter(self._entries))]
-        # The newest report stands last, so that what is dropped is the oldest.
+        # Reinserted at the end, so that the least recently updated entry is dropped first.
         self._entries[database_id] = entry
-        entry.take(holder, _Heard(report, now))
+        entry.update(holder, _ReceivedReport(report, now))
 
     def note_sent(self, database_id: str) -> None:
-        """A statement of this process goes to a database: no report counts it yet."""
+        """Counts a statement sent by this process that no report includes yet."""
         entry = self._entries.get(database_id)
         if entry is not None:
             entry.sent_since += 1
 
     def sent_since(self, database_id: str) -> int:
-        """Returns how many statements went to a database since its newest report."""
+        """Returns the number of statements sent to a database since its newest report."""
         entry = self._entries.get(database_id)
         return 0 if entry is None else entry.sent_since
 
     def known(self, database_id: str, now: float) -> KnownLoad | None:
-        """Returns what is known of a database, None if nobody reported it.
+        """Returns the estimated load of a database, None without a report.
 
-        Where several holders reported, the newer report counts more, by the same half-life.
+        If several holders have reported, their reports are weighted by age.
         """
         entry = self._entries.get(database_id)
         if entry is None:
             return None
-        newest = max(now - entry.heard_at, 0.0)
+        age = max(now - entry.newest_at, 0.0)
         waiting = running = window = service = total = 0.0
-        for heard in entry.reports.values():
-            # Relative to the newest, so that the sum is never next to nothing.
-            share = _halved(now - heard.heard_at - newest, REPORT_HALF_LIFE_SECONDS)
-            total += share
-            waiting += share * heard.report.waiting
-            running += share * heard.report.running
-            window += share * heard.report.window
-            service += share * heard.report.service_ms / MILLISECONDS
-        kept = _halved(newest, SERVICE_HALF_LIFE_SECONDS)
+        for received in entry.reports.values():
+            # Relative to the newest report, so that the total is at least 1.
+            weight = _decay(now - received.heard_at - age, REPORT_HALF_LIFE_SECONDS)
+            total += weight
+            waiting += weight * received.report.waiting
+            running += weight * received.report.running
+            window += weight * received.report.window
+            service += weight * received.report.service_ms / MILLISECONDS
+        service_weight = _decay(age, SERVICE_HALF_LIFE_SECONDS)
         return KnownLoad(
             waiting / total,
             running / total,
             window / total,
-            kept * service / total + (1.0 - kept) * self.usual_service(),
-            _halved(newest, REPORT_HALF_LIFE_SECONDS),
-            newest,
+            service_weight * service / total + (1.0 - service_weight) * self.usual_service(),
+            _decay(age, REPORT_HALF_LIFE_SECONDS),
+            age,
         )
 
     def usual_service(self) -> float:
-        """Returns the service time, seconds, that is reckoned with where none was told."""
-        if self._usual_service is None:
-            told = [
-                heard.report.service_ms
+        """Returns the median of the reported service times, in seconds."""
+        if self._usual_service_seconds is None:
+            reported = [
+                received.report.service_ms
                 for entry in self._entries.values()
-                for heard in entry.reports.values()
+                for received in entry.reports.values()
             ]
-            self._usual_service = median(told) / MILLISECONDS if told else USUAL_SERVICE_SECONDS
-        return self._usual_service
+            self._usual_service_seconds = (
+                median(reported) / MILLISECONDS if reported else DEFAULT_SERVICE_SECONDS
+            )
+        return self._usual_service_seconds
 
 
-def _halved(age: float, half_life: float) -> float:
+def _decay(age: float, half_life: float) -> float:
     return float(0.5 ** (max(age, 0.0) / half_life))
--- a/src/dewledge/core/pooler/load/slot_use.py
+++ b/src/dewledge/core/pooler/load/slot_use.py
@@ -1,12 +1,16 @@
-"""How much slot time of one database went to which caller, for metrics; bounded in memory."""
+"""Slot time of a database by caller, for metrics; bounded in memory."""
 
-MOST_CALLERS = 64
-"""Callers counted one by one; of more, the one with least makes room and its time is another's:
-what is told of the largest is too much by at most a 64th of all."""
+MAX_CALLERS = 64
+"""Callers that are counted separately. The largest total is overestimated by at most 1/64 of all
+slot time."""
 
 
 class SlotUse:
-    """Seconds since the pool began. The space-saving summary of Metwally et al."""
+    """Slot time since the pool was created, in seconds.
+
+    Uses the space-saving summary of Metwally et al.: a new caller replaces the one with the least
+    time and inherits its total.
+    """
 
     def __init__(self) -> None:
         self.total_seconds = 0.0
@@ -14,14 +18,14 @@
 
     @property
     def largest_seconds(self) -> float:
-        """Of the caller that used most, at most."""
+        """Upper bound of the slot time of the caller that used most."""
         return max(self._by_caller.values(), default=0.0)
 
-    def note(self, caller: str, seconds: float) -> None:
-        """A statement of a caller held a slot for so long."""
+    def record(self, caller: str, seconds: float) -> None:
+        """Adds the time for which a statement of a caller held a slot."""
         self.total_seconds += seconds
-        known = self._by_caller.get(caller)
-        if known is None and len(self._by_caller) >= MOST_CALLERS:
-            least = min(self._by_caller, key=lambda name: self._by_caller[name])
-            known = self._by_caller.pop(least)
-        self._by_caller[caller] = (known or 0.0) + seconds
+        previous = self._by_caller.get(caller)
+        if previous is None and len(self._by_caller) >= MAX_CALLERS:
+            smallest = min(self._by_caller, key=lambda name: self._by_caller[name])
+            previous = self._by_caller.pop(smallest)
+        self._by_caller[caller] = (previous or 0.0) + seconds
--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -1,30 +1,33 @@
-"""How good the expected waits of one queue were, and whom it refused without need.
+"""Counts how accurate the expected waits of a queue were, and which refusals were unnecessary.
 
-Counted for metrics and the log line `WaitsCounted`. It decides nothing and is bounded in memory.
+The counts are exported as metrics and logged as `WaitsCounted`. No decision depends on them, and
+their memory is bounded.
 """
 
 from collections import deque
 
 import msgspec
 
-LEAST_COUNTED_SECONDS = 0.01
-"""Seconds; shorter waits, expected and real, are of one kind: they are served at once."""
-QUARTER = 0.25
-"""Ratio; share of the expected wait; a real wait that differs by no more counts as within a
-quarter."""
-DOUBLE = 2.0
-"""Factor; a real wait within it of the expected one, either way, counts as within double."""
-MAX_REFUSED_KEPT = 256
-"""Statements that were refused and are remembered until their time is over. Bounds memory."""
+MIN_COUNTED_SECONDS = 0.01
+"""Shorter waits, expected or actual, are not distinguished: such a statement is served at once."""
+QUARTER_RATIO = 0.25
+"""Relative error of the expected wait up to which it counts as within a quarter."""
+DOUBLE_FACTOR = 2.0
+"""Factor between the expected and the actual wait, either way, up to which they count as within
+double."""
+MAX_REMEMBERED_REFUSALS = 256
+"""Statements that were refused and are remembered until their deadline; bounds memory."""
 
 
 class WaitCounts(msgspec.Struct):
-    """Counts since the queue began.
+    """Counters since the queue was created.
 
-    served: waits that were expected and then known. within_quarter, within_double: the real wait
-    was within a quarter, within a factor of two of what was expected on arrival.
-    refused: told that there is no room in their time. refused_with_room: of those, how many could
-    have had a slot that was free within their time.
+    Attributes:
+        served: Statements that were served after an expected wait.
+        within_quarter: Those whose actual wait was within a quarter of the expected one.
+        within_double: Those whose actual wait was within a factor of two of the expected one.
+        refused: Statements that were refused because no slot was expected to be free in time.
+        refused_with_room: Those for which a slot was free before their deadline after all.
     """
 
     served: int = 0
@@ -35,30 +38,30 @@
 
 
 class WaitRecord:
-    """Keeps the counts of one queue."""
+    """Maintains the counters of a queue."""
 
     def __init__(self) -> None:
         self.counts = WaitCounts()
-        self._refused_until: deque[float] = deque(maxlen=MAX_REFUSED_KEPT)
+        self._refused_latest_starts: deque[float] = deque(maxlen=MAX_REMEMBERED_REFUSALS)
 
-    def note_served(self, expected_seconds: float, real_seconds: float) -> None:
-        """A statement was served whose wait was expected when it came."""
-        if max(expected_seconds, real_seconds) < LEAST_COUNTED_SECONDS:
+    def record_served(self, expected_seconds: float, real_seconds: float) -> None:
+        """Counts a served statement with its expected and its actual wait."""
+        if max(expected_seconds, real_seconds) < MIN_COUNTED_SECONDS:
             return
-        expected = max(expected_seconds, LEAST_COUNTED_SECONDS)
-        real = max(real_seconds, LEAST_COUNTED_SECONDS)
+        expected = max(expected_seconds, MIN_COUNTED_SECONDS)
+        real = max(real_seconds, MIN_COUNTED_SECONDS)
         self.counts.served += 1
-        self.counts.within_quarter += abs(real - expected) <= QUARTER * expected
-        self.counts.within_double += expected / DOUBLE <= real <= expected * DOUBLE
+        self.counts.within_quarter += abs(real - expected) <= QUARTER_RATIO * expected
+        self.counts.within_double += expected / DOUBLE_FACTOR <= real <= expected * DOUBLE_FACTOR
 
-    def note_refused(self, latest_start: float) -> None:
-        """One was refused that would have had to start by `latest_start` (steady clock)."""
+    def record_refused(self, latest_start: float) -> None:
+        """Counts a refused statement and remembers its latest start (steady clock, seconds)."""
         self.counts.refused += 1
-        self._refused_until.append(latest_start)
+        self._refused_latest_starts.append(latest_start)
 
-    def note_free(self, now: float, places: int) -> None:
-        """So many slots are free while nobody waits for them."""
-        while self._refused_until and places > 0:
-            if self._refused_until.popleft() >= now:
+    def record_free_slots(self, now: float, free_slots: int) -> None:
+        """Counts refused statements that could have used slots which are now free."""
+        while self._refused_latest_starts and free_slots > 0:
+            if self._refused_latest_starts.popleft() >= now:
                 self.counts.refused_with_room += 1
-                places -= 1
+                free_slots -= 1
--- a/src/dewledge/core/pooler/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -1,7 +1,7 @@
-"""The log line on the waits before each database: what was counted since the last one.
+"""Summaries of the waits for each database, logged periodically.
 
-Inputs: the counts of all queues of this process now. It remembers what was told of each, forgets
-queues that are gone, and leaves out those that counted nothing.
+Each summary holds the difference to the last one. Queues that counted nothing are left out, and
+removed queues are forgotten.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,21 +11,19 @@
 from dewledge.core.pooler.load.wait_counts import WaitCounts
 
 SUMMARY_SECONDS = 5.0
-"""Seconds between two lines of one database: as often as a collector of metrics usually asks."""
+"""Interval between two summaries of a database, as often as metrics are usually collected."""
 
 
 class QueueName(msgspec.Struct, frozen=True):
-    """The queue of this process before one database."""
+    """Identifies the queue of this process for one database."""
 
     group: str
     database: str
 
 
 class WaitsCounted(msgspec.Struct, frozen=True):
-    """What the queue before a database counted since its last line; the counts of `WaitCounts`.
-
-    Logged as it is. served: waits that were expected and then known.
-    """
+    """What the queue for a database counted since its last summary; see `WaitCounts`. Logged as it
+    is."""
 
     group: str
     database: str
@@ -37,28 +35,28 @@
 
 
 class WaitSummaries:
-    """Remembers what was told of each queue; those that are gone are forgotten."""
+    """Remembers the counters of each queue at its last summary."""
 
     def __init__(self) -> None:
-        self._told: dict[QueueName, WaitCounts] = {}
+        self._last_counts: dict[QueueName, WaitCounts] = {}
 
     def collect(self, counts: Mapping[QueueName, WaitCounts]) -> Sequence[WaitsCounted]:
-        """Returns what has been counted since the last call, of queues that counted anything."""
-        found = [self._since_told(name, now) for name, now in counts.items()]
-        self._told = {name: msgspec.structs.replace(now) for name, now in counts.items()}
-        return [summary for summary in found if summary.served or summary.refused]
-
-    def _since_told(self, name: QueueName, now: WaitCounts) -> WaitsCounted:
-        told = self._told.get(name, WaitCounts())
-        if told.served > now.served or told.refused > now.refused:
-            # Another queue before the same database: it began anew.
-            told = WaitCounts()
+        """Returns what was counted since the last call, for queues that counted anything."""
+        summaries = [self._since_last(name, now) for name, now in counts.items()]
+        self._last_counts = {name: msgspec.structs.replace(now) for name, now in counts.items()}
+        return [summary for summary in summaries if summary.served or summary.refused]
+
+    def _since_last(self, name: QueueName, current: WaitCounts) -> WaitsCounted:
+        last = self._last_counts.get(name, WaitCounts())
+        if last.served > current.served or last.refused > current.refused:
+            # The queue was replaced, and its counters restarted at zero.
+            last = WaitCounts()
         return WaitsCounted(
             group=name.group,
             database=name.database,
-            served=now.served - told.served,
-            within_quarter=now.within_quarter - told.within_quarter,
-            within_double=now.within_double - told.within_double,
-            refused=now.refused - told.refused,
-            refused_with_room=max(now.refused_with_room - told.refused_with_room, 0),
+            served=current.served - last.served,
+            within_quarter=current.within_quarter - last.within_quarter,
+            within_double=current.within_double - last.within_double,
+            refused=current.refused - last.refused,
+            refused_with_room=max(current.refused_with_room - last.refused_with_room, 0),
         )
--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -1,11 +1,10 @@
-"""For whom a pool opens connections, and which idle one it closes to make room for another caller.
+"""Decides for which callers a pool opens connections, and which idle ones it closes to make room.
 
-A connection belongs to one caller. One is opened for each statement that waits for nothing but a
-connection, as long as the pool is below its limit. At the limit an idle connection of a caller that
-waits for nothing is closed first; for a caller that others pass in the queue because it has no
-connection, also one of a caller above its share. `connection_shares` computes the shares.
-
-Inputs: the queue of the pool, its connections and slots, all of this moment.
+Each connection belongs to one caller. Below its limit, the pool opens a connection for every
+waiting statement that has a slot and lacks only a connection. At the limit, it first closes an idle
+connection of a caller without waiting statements. For a caller that is skipped in the queue because
+it has no connection, it also closes an idle connection of a caller over its fair share.
+`connection_shares` computes the shares.
 """
 
 from collections import Counter
@@ -14,90 +13,105 @@
 from dewledge.core.pooler.load.wait_queue import WaitQueue
 from dewledge.core.pooler.pool.connection_shares import ConnectionShares
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import HeldConnections
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 
 
 class CallerOpenings:
-    """Opens connections of one pool for the callers that wait there."""
+    """Opens connections of a pool for the callers that have waiting statements."""
 
     def __init__(
-        self, held: HeldConnections, slots: PoolSlots, waiters: WaitQueue[Waiter], is_fair: bool
+        self,
+        connections: PoolConnections,
+        slots: PoolSlots,
+        waiters: WaitQueue[Waiter],
+        is_fair: bool,
     ) -> None:
-        """`is_fair`: callers get fair shares of the connections; else arrival alone decides."""
-        self._held = held
+        """With `is_fair`, callers get fair shares of the connections; otherwise arrival order
+        decides."""
+        self._connections = connections
         self._slots = slots
         self._waiters = waiters
         self._is_fair = is_fair
         self._is_opening = False
-        """Guards against an opening that ends within the call that begins it."""
+        """Prevents reentrance if an opening ends within the call that starts it."""
 
     def open_if_useful(self) -> None:
-        """Opens a connection for each statement that waits for nothing else."""
+        """Opens a connection for each statement that lacks only a connection."""
         if self._is_opening:
             return
         self._is_opening = True
-        openings = self._held.openings
-        asked: Counter[str] = Counter()
-        for caller in self._wanted():
-            asked[caller] += 1
-            if openings.by_caller[caller] >= asked[caller] or openings.is_unreachable:
+        openings = self._connections.openings
+        wanted: Counter[str] = Counter()
+        for caller in self._callers_to_open_for():
+            wanted[caller] += 1
+            if openings.by_caller[caller] >= wanted[caller] or openings.is_unreachable:
                 continue
-            if self._held.is_below_limit or self._make_room(caller):
+            if self._connections.is_below_limit or self._close_unused(caller):
                 openings.open(caller)
         self._is_opening = False
 
     def open_ahead(self, caller: str) -> bool:
-        """Opens a connection for a caller that others pass as it has none; True if it did.
+        """Opens a connection for a caller that is skipped because it has none; False if none was
+        opened.
 
-        Else it would have none when its turn comes, and be passed for as long as others wait. At
-        the limit it has one of a caller above its share, if it is below its own.
+        Otherwise the caller would have no connection when its turn comes, and would be skipped for
+        as long as others wait. At the limit, a connection of a caller over its fair share is
+        closed, if this caller is below its own.
         """
-        if not self._is_fair or not self._held.openings.may_open_ahead(caller):
+        if not self._is_fair or not self._connections.openings.may_open_ahead(caller):
             return False
         was_opening, self._is_opening = self._is_opening, True
-        is_free = self._held.is_below_limit or self._make_room(caller)
-        has_room = is_free or self._end(self._shares().above(caller))
-        if has_room:
-            self._held.openings.open(caller)
+        has_capacity = self._connections.is_below_limit or self._close_unused(caller)
+        may_open = has_capacity or self._close_idle(
+            self._connection_shares().find_over_share(caller)
+        )
+        if may_open:
+            self._connections.openings.open(caller)
         self._is_opening = was_opening
-        return has_room
+        return may_open
 
-    def _wanted(self) -> Sequence[str]:
-        """For whom connections are wanted, a caller for each; who comes first is first."""
-        servable = _servable_callers(self._waiters, self._slots.room)
+    def _callers_to_open_for(self) -> Sequence[str]:
+        """Returns a caller for each connection that should be opened, in the order of opening."""
+        servable = _servable_callers(self._waiters, self._slots.free_slots)
         if self._is_fair and len(set(servable)) > 1:
-            return self._shares().in_order(servable)
+            return self._connection_shares().opening_order(servable)
         return list(Counter(servable).elements())
 
-    def _shares(self) -> ConnectionShares:
-        held = self._held
-        waiting = {waiter.caller for waiter in self._waiters.everyone()}
-        opening = held.openings.by_caller
-        return ConnectionShares(held.limit, held.idle, held.lent, opening, waiting)
-
-    def _make_room(self, caller: str) -> bool:
-        """Closes an idle connection of another caller that waits for nothing."""
-        return self._end(self._shares().unused(caller, self._is_fair))
-
-    def _end(self, connection: DatabaseConnection | None) -> bool:
+    def _connection_shares(self) -> ConnectionShares:
+        """Computes the fair shares from the current connections and queue."""
+        connections = self._connections
+        waiting = {waiter.caller for waiter in self._waiters.unordered()}
+        opening = connections.openings.by_caller
+        return ConnectionShares(
+            connections.limit, connections.idle, connections.in_use_connections, opening, waiting
+        )
+
+    def _close_unused(self, caller: str) -> bool:
+        """Closes an idle connection of another caller that has no waiting statements."""
+        return self._close_idle(self._connection_shares().find_unused(caller, self._is_fair))
+
+    def _close_idle(self, connection: DatabaseConnection | None) -> bool:
+        """Closes an idle connection; False if there is none."""
         if connection is None:
             return False
-        self._held.close_idle(connection)
+        self._connections.close_idle(connection)
         return True
 
 
-def _servable_callers(waiters: Iterable[Waiter], room: float) -> Sequence[str]:
-    """Returns the callers of the statements that only lack a connection, in their order.
+def _servable_callers(waiters: Iterable[Waiter], free_slots: float) -> Sequence[str]:
+    """Returns the callers of the statements that lack only a connection, in queue order.
 
-    room: how many slots are free. Questions of the proxy's own need none and are the most urgent.
+    Args:
+        waiters: The waiting statements in queue order.
+        free_slots: The number of free slots. Internal statements need none and come first.
     """
     servable: list[str] = []
     for waiter in waiters:
         if waiter.demand is not Demand.OWN:
-            if room < 1:
+            if free_slots < 1:
                 break
-            room -= 1
+            free_slots -= 1
         servable.append(waiter.caller)
     return servable
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -1,12 +1,12 @@
-"""The pool of one database: what this process's statements ask for, and what they get.
+"""The connection pool for one database.
 
-`ConnectionPool` joins the parts and decides little itself:
+`ConnectionPool` combines these parts:
 
-- `held_connections`: the connections, their count and limit; `connection_openings` opens them.
-- `pool_slots`: how many statements may be at the database at once.
-- `connection_dispatch`: who gets a connection next.
-- `caller_openings`: for whom one is opened, and who gives way for it.
-- `pool_waits`: how long the wait is, who is refused, and when a refused caller may come back.
+- `pool_connections`: the connections, their number and limit; `connection_openings` opens them.
+- `pool_slots`: how many statements may be at the database concurrently.
+- `connection_dispatch`: which statement gets a connection next.
+- `caller_openings`: for which callers connections are opened and closed.
+- `pool_waits`: the queue, expected waits, refusals and retry times.
 - `databases/database_silence`: whether the database has stopped answering.
 """
 
@@ -22,10 +22,10 @@
 from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
 from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_connections import HeldConnections
 from dewledge.core.pooler.pool.held_to_share import HeldToShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
+from dewledge.core.pooler.pool.pool_connections import PoolConnections
 from dewledge.core.pooler.pool.pool_slots import PoolSlots
 from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.slot_window import SlotWindow
@@ -36,10 +36,12 @@
 
 
 class PoolRules(msgspec.Struct, frozen=True):
-    """By what one pool decides.
+    """Optional rules of a pool.
 
-    silence: judges whether the database has fallen silent; None if that is not judged. is_fair:
-    callers get fair shares of slots and connections; else by arrival alone.
+    Attributes:
+        silence: Detects that the database has stopped answering; None disables it.
+        is_fair: Whether callers get fair shares of slots and connections; otherwise arrival order
+            decides.
     """
 
     silence: DatabaseSilence | None = None
@@ -47,9 +49,10 @@
 
 
 class ConnectionPool:
-    """Idle connections are given out last in, first out, the one of the same values first.
+    """Assigns connections to statements: the most recently used first, preferring equal session
+    values.
 
-    A connection belongs to one caller. Times: the steady clock, seconds.
+    A connection belongs to one caller. Times are of the steady clock, in seconds.
     """
 
     def __init__(
@@ -61,136 +64,152 @@
         window: SlotWindow | None = None,
         rules: PoolRules = PoolRules(),
     ) -> None:
-        """`window`: bounds the statements at the database; None where other processes do so."""
+        """Creates an empty pool.
+
+        Args:
+            database_id: The database that the connections lead to.
+            limit: The maximum number of connections or channels.
+            opener: Opens connections.
+            clock: Returns the time of the steady clock.
+            window: Limits the statements at the database; None if connection holders limit them.
+            rules: Optional rules.
+        """
         self.database_id = database_id
-        self.retired = False
+        self.is_retired = False
         self.served_at = -float("inf")
-        """When the database last ran a statement of this process."""
+        """When the database last executed a statement of this process."""
         self.slot_use = SlotUse()
         """Slot time by caller."""
         self._clock = clock
         self._silence = rules.silence or DatabaseSilence(clock, is_judged=False)
-        outcomes = OpeningOutcomes(self._opened, self._failed, self._closed)
+        outcomes = OpeningOutcomes(self._on_opened, self._on_failed, self._on_closed)
         self._openings = ConnectionOpenings(database_id, opener, clock, self._silence, outcomes)
-        self._held = HeldConnections(limit, IdleConnections(clock), self._openings)
-        self._slots = PoolSlots(self._held, window)
+        self._connections = PoolConnections(limit, IdleConnections(clock), self._openings)
+        self._slots = PoolSlots(self._connections, window)
         self._waits = PoolWaits(clock, self._slots.capacity, rules.is_fair)
-        self._more = CallerOpenings(self._held, self._slots, self._waits.queue, rules.is_fair)
-        self._dispatch = ConnectionDispatch(clock, self._held, self._slots, self._waits, self._more)
+        self._caller_openings = CallerOpenings(
+            self._connections, self._slots, self._waits.queue, rules.is_fair
+        )
+        self._dispatch = ConnectionDispatch(
+            clock, self._connections, self._slots, self._waits, self._caller_openings
+        )
 
     @property
     def limit(self) -> int:
-        """The most connections, or channels, that the pool may hold."""
-        return self._held.limit
+        """The maximum number of connections or channels."""
+        return self._connections.limit
 
     @property
     def in_use(self) -> int:
-        """The connections that statements use."""
-        return self._held.in_use
+        """The number of connections that statements use."""
+        return self._connections.in_use
 
     @property
     def size(self) -> int:
-        """All connections, those being opened included."""
-        return self._held.size
+        """The number of all connections, including those being opened."""
+        return self._connections.size
 
     @property
     def waiting(self) -> int:
-        """The statements that wait for a connection."""
+        """The number of statements that wait for a connection."""
         return len(self._waits.queue)
 
     @property
     def urgent_waiting(self) -> int:
-        """Those of them that are as urgent as the most urgent one."""
-        return self._waits.queue.most_urgent
+        """The number of waiting statements with the urgency of the most urgent one."""
+        return self._waits.queue.most_urgent_count
 
     @property
     def running(self) -> int:
-        """The statements that are at the database, or were sent there."""
-        return self._held.running
+        """The number of statements that are at the database or about to be sent there."""
+        return self._connections.running
 
     @property
     def openings(self) -> int:
-        """The connections that are being opened."""
+        """The number of connections that are being opened."""
         return self._openings.total
 
     @property
     def window_size(self) -> int:
-        """How many statements may be at the database at once."""
+        """How many statements may be at the database concurrently."""
         return self._slots.size
 
     @property
     def service_rate(self) -> ServiceRate:
-        """How long a statement usually holds a slot, from first being sent to its answer."""
+        """The usual time for which a statement holds a slot, from its first sending to its
+        answer."""
         return self._waits.rates.service
 
     @property
     def wait_counts(self) -> WaitCounts:
-        """How good the expected waits were."""
+        """Counters of the accuracy of expected waits."""
         return self._waits.record.counts
 
     @property
     def load(self) -> int:
-        """The statements that use a connection or wait for one."""
-        return self._held.in_use + len(self._waits.queue)
+        """The number of statements that use a connection or wait for one."""
+        return self._connections.in_use + len(self._waits.queue)
 
     @property
     def is_full(self) -> bool:
-        """Whether the database refuses statements for want of slots."""
+        """Whether the database refuses statements because its slots are in use."""
         return self._slots.is_full
 
     @property
     def is_unreachable(self) -> bool:
-        """Whether the last attempt to open a connection failed a moment ago."""
+        """Whether an attempt to open a connection has just failed."""
         return self._openings.is_unreachable
 
     @property
     def is_silent(self) -> bool:
-        """Whether answers are awaited and the database gives none."""
-        return self._silent_at() <= self._clock()
+        """Whether replies are outstanding and the database has stopped answering."""
+        return self._silent_from() <= self._clock()
 
     def has_idle(self, caller: str) -> bool:
-        """Tells whether a statement of `caller` needs no connection to be opened."""
-        return self._held.idle.has(caller)
+        """Tells whether there is an idle connection of a caller."""
+        return self._connections.idle.has(caller)
 
     def change_limit(self, limit: int) -> None:
-        """Sets another limit; connections beyond it are closed as they come back."""
-        self._held.change_limit(limit)
+        """Sets another limit; connections beyond it are closed when they are released."""
+        self._connections.change_limit(limit)
 
     def acquire(self, waiter: Waiter, values: dict[str, str]) -> None:
-        """Gives a connection now or later, or denies one."""
-        if self.retired:
+        """Assigns a connection now or later, or denies it."""
+        if self.is_retired:
             waiter.deny(Denial.CLOSED)
             return
-        if self._turns_away(waiter) and not self._silence.may_probe():
+        if self._rejects_waiting(waiter) and not self._silence.may_probe():
             waiter.deny(Denial.UNREACHABLE)
             return
         self._waits.arrive(waiter)
         if self._dispatch.serve_on_arrival(waiter, values):
             return
-        if self._held.is_cut_off and self.is_unreachable:
+        if self._connections.has_no_usable and self.is_unreachable:
             waiter.deny(Denial.UNREACHABLE)
             return
         if isinstance(self._waits.add(waiter), WaitUntil):
             self._dispatch.serve_waiters()
 
     def judge(self, waiter: Waiter) -> Verdict:
-        """Refuses one that waits and can't be served in its time; else tells when to ask again."""
-        if self._turns_away(waiter):
+        """Refuses a waiting statement that can't be served in time, or returns when to check
+        again."""
+        if self._rejects_waiting(waiter):
             self._waits.queue.remove(waiter)
             waiter.deny(Denial.UNREACHABLE)
             return Refuse(RefusalCause.NO_CONNECTION, 0.0)
-        verdict = self._waits.judge(waiter)
+        verdict = self._waits.recheck(waiter)
         if isinstance(verdict, WaitUntil):
-            return WaitUntil(min(verdict.at, self._silent_at()))
+            return WaitUntil(min(verdict.at, self._silent_from()))
         return verdict
 
     def promise_return(self) -> float:
-        """Returns the seconds after which one that gave up here may come back."""
-        return self._waits.promise_return(None)
+        """Reserves a retry time for a statement that gave up here, in seconds from now."""
+        return self._waits.reserve_retry_time(None)
 
-    def on_held_to_share(self, told: Callable[[HeldToShare], None]) -> None:
-        """`told` is called when a caller is held to its share, once a second at most."""
-        self._waits.on_held_to_share(told)
+    def on_held_to_share(self, callback: Callable[[HeldToShare], None]) -> None:
+        """Sets the callback for callers over their fair share, which is called at most once a
+        second."""
+        self._waits.on_over_fair_share(callback)
 
     def note_answer(
         self,
@@ -199,95 +218,105 @@
         held_seconds: float | None = None,
         connection: DatabaseConnection | None = None,
     ) -> None:
-        """Takes the answer to a statement on a connection given here.
+        """Records the answer to a statement, and serves waiting statements.
+
+        Between the statements of a transaction its slot is free for others.
 
-        A transaction that rests now leaves its slot to one that waits.
-        held_seconds: for how long the statement held its slot, tries without one included.
+        Args:
+            kind: The kind of the statement.
+            reply: The answer of the database.
+            held_seconds: How long the statement held its slot, including attempts that the database
+                refused.
+            connection: The connection of this pool that the statement used.
         """
         self._silence.note_sign()
         is_served = kind in TAKES_SLOT and reply.failure is None
         if is_served:
             self.served_at = self._clock()
             if held_seconds is not None:
-                self._waits.rates.note_slot(held_seconds, self._clock())
+                self._waits.rates.record_slot_time(held_seconds, self._clock())
                 self._settle(connection, held_seconds)
         if not self._slots.is_bounded:
             return
         if is_served:
-            self._slots.note_served()
+            self._slots.record_served()
         elif reply.failure is not None and reply.failure.code is ErrorCode.OVERLOADED:
-            self._slots.note_refused(self._clock())
+            self._slots.record_refused(self._clock())
         self._dispatch.serve_waiters()
 
     def release(self, connection: DatabaseConnection) -> None:
-        """Takes a connection back; one of unknown state is closed, never given out again."""
-        self._held.take_back(connection)
-        self._waits.rates.note_lent(self._clock() - connection.lent_at)
+        """Returns a connection to the pool; it is closed if its state is unknown."""
+        self._connections.mark_returned(connection)
+        self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
         connection.end_loan()
-        is_kept = not self.retired and self._held.is_below_limit
-        if is_kept and self._held.is_reusable(connection):
-            self._held.idle.add(connection)
+        has_capacity = not self.is_retired and self._connections.is_below_limit
+        if has_capacity and self._connections.is_reusable(connection):
+            self._connections.idle.add(connection)
         else:
             connection.close()
         self._dispatch.serve_waiters()
 
     def trim(self) -> None:
-        """Closes connections that have been idle for a while, the longest idle first."""
-        self._held.idle.trim()
+        """Closes connections that have been idle for too long, the longest idle first."""
+        self._connections.idle.trim()
 
     def renew(self, window: SlotWindow | None = None) -> None:
-        """The database is reached by another route: connections of the old one are closed."""
+        """Switches to another route to the database: connections of the old route are closed."""
         self._openings.begin_generation()
-        self._slots.renew(window)
-        self._openings.forget_failure()
+        self._slots.replace_window(window)
+        self._openings.clear_failure()
         self.close_idle()
 
     def retire(self) -> None:
-        """Gives out no more connections; those in use end when they come back."""
-        self.retired = True
-        self._held.idle.close_all()
+        """Stops assigning connections; those in use are closed when they are released."""
+        self.is_retired = True
+        self._connections.idle.close_all()
         self._waits.deny_all(Denial.CLOSED)
 
     def forget_failure(self) -> None:
-        """The route to the database has changed: it is tried again at once."""
-        self._openings.forget_failure()
+        """Allows openings again at once, because the route to the database has changed."""
+        self._openings.clear_failure()
 
     def close_idle(self) -> None:
-        """Closes the connections that are not in use: their state is in doubt."""
-        self._held.idle.close_all()
+        """Closes all idle connections, because their state is unknown."""
+        self._connections.idle.close_all()
 
-    def _silent_at(self) -> float:
-        """Returns when the database will be taken for silent if it answers nothing.
+    def _silent_from(self) -> float:
+        """Returns when the database will count as silent if it answers nothing until then.
 
-        Never where other processes hold the connections: they judge the database, and this process
-        judges them by the links (`load/holder_health`).
+        Infinite if other processes hold the connections: they judge the database, and this process
+        judges them by their links (`load/holder_health`).
         """
         if not self._slots.is_bounded:
             return float("inf")
-        return self._silence.begins_at(self._held.lent, self._waits.rates.slot_seconds)
+        return self._silence.begins_at(
+            self._connections.in_use_connections, self._waits.rates.slot_seconds
+        )
 
-    def _turns_away(self, waiter: Waiter) -> bool:
-        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_at())
+    def _rejects_waiting(self, waiter: Waiter) -> bool:
+        """Tells whether a statement may not wait because the database is silent."""
+        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_from())
 
     def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
+        """Charges the caller of a statement for its actual slot time."""
         if connection is not None and connection.charge is not None:
             self._waits.settle(connection.charge, held_seconds)
-            self.slot_use.note(connection.caller, held_seconds)
+            self.slot_use.record(connection.caller, held_seconds)
 
-    def _opened(self, connection: DatabaseConnection, seconds: float) -> None:
-        self._waits.rates.note_opening(seconds)
-        if self.retired or connection.generation != self._openings.generation:
+    def _on_opened(self, connection: DatabaseConnection, seconds: float) -> None:
+        self._waits.rates.record_opening_time(seconds)
+        if self.is_retired or connection.generation != self._openings.generation:
             connection.close()
-            self._more.open_if_useful()
+            self._caller_openings.open_if_useful()
             return
-        self._openings.forget_failure()
-        self._held.idle.add(connection)
+        self._openings.clear_failure()
+        self._connections.idle.add(connection)
         self._dispatch.serve_waiters()
 
-    def _failed(self) -> None:
-        if self._held.is_cut_off:
+    def _on_failed(self) -> None:
+        if self._connections.has_no_usable:
             self._waits.deny_all(Denial.UNREACHABLE)
 
-    def _closed(self, connection: DatabaseConnection) -> None:
-        self._held.idle.discard(connection)
-        self._more.open_if_useful()
+    def _on_closed(self, connection: DatabaseConnection) -> None:
+        self._connections.idle.discard(connection)
+        self._caller_openings.open_if_useful()
--- a/src/dewledge/core/pooler/pool/connection_shares.py
+++ b/src/dewledge/core/pooler/pool/connection_shares.py
@@ -1,12 +1,10 @@
-"""Fair shares of a pool's connections among callers: who opens first, whose idle one is closed.
+"""Fair shares of a pool's connections: whose are opened first, and whose idle ones are closed.
 
-Inputs, of this moment: the limit of the pool, its connections idle, in use and being opened, by
-caller, and the callers with statements that wait.
-Decision: the share is the limit over the callers that have connections in use or wait. Openings for
-callers above their share come last (`in_order`); to make room an idle connection of a caller that
-waits for nothing is closed, of one above its share first (`unused`, `above`). Reason: what callers
-hold that use nothing is free for those that can use it. Computed when it is needed, so that nothing
-is kept of callers.
+The fair share is the limit divided by the number of callers that use connections or have waiting
+statements; connections of inactive callers are available to the others. Openings for callers over
+their share come last. To make room, an idle connection of a caller without waiting statements is
+closed, preferably of a caller over its share. Shares are computed on demand, so that no state is
+kept for each caller.
 """
 
 from collections import Counter
@@ -16,61 +14,70 @@
 
 
 class ConnectionShares:
-    """The shares at one moment, between the callers that have connections in use or wait."""
+    """The shares at one moment of the callers that use connections or have waiting statements."""
 
     def __init__(
         self,
         limit: int,
         idle: Iterable[DatabaseConnection],
-        lent: Iterable[DatabaseConnection],
+        in_use: Iterable[DatabaseConnection],
         opening: Mapping[str, int],
         waiting: Collection[str],
     ) -> None:
-        """`idle`: the one idle for longest first. opening: how many, by caller.
+        """Counts the connections of each caller.
 
-        waiting: the callers with statements that wait.
+        Args:
+            limit: The maximum number of connections of the pool.
+            idle: The idle connections, the longest idle first.
+            in_use: The connections in use.
+            opening: The number of connections being opened, by caller.
+            waiting: The callers with waiting statements.
         """
         self._idle = idle
         self._waiting = waiting
         self._opening = Counter(opening)
-        self._connections = Counter(each.caller for each in lent)
+        self._connections = Counter(each.caller for each in in_use)
         self._share = limit / max(len({*self._connections, *waiting}), 1)
         self._connections.update(each.caller for each in idle)
 
-    def in_order(self, callers: Sequence[str]) -> Sequence[str]:
-        """Returns the callers of statements that want connections, those above their share last.
+    def opening_order(self, callers: Sequence[str]) -> Sequence[str]:
+        """Returns the callers in the order of opening: callers over their share come last.
 
-        callers: one for each statement, in their order.
+        Args:
+            callers: The caller of each statement that lacks a connection, in queue order.
         """
-        held = Counter(self._connections)
-        within: list[str] = []
-        beyond: list[str] = []
+        counts = Counter(self._connections)
+        within_share: list[str] = []
+        over_share: list[str] = []
         for caller in callers:
-            held[caller] += 1
-            (within if held[caller] <= max(self._share, 1.0) else beyond).append(caller)
-        return within + beyond
+            counts[caller] += 1
+            (within_share if counts[caller] <= max(self._share, 1.0) else over_share).append(caller)
+        return within_share + over_share
 
-    def unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
-        """Returns an idle connection of another caller with nothing waiting, None without one.
+    def find_unused(self, caller: str, is_fair: bool) -> DatabaseConnection | None:
+        """Returns an idle connection of another caller without waiting statements, or None.
 
-        The one idle for longest; where shares are kept, one of a caller above its share first.
+        The longest idle one is preferred; with `is_fair`, first those of callers over their share.
         """
         others = [
             each
             for each in self._idle
             if each.caller != caller and each.caller not in self._waiting
         ]
-        above = [each for each in others if is_fair and self._is_above(each.caller)]
-        return next(iter(above or others), None)
+        over_share = [each for each in others if is_fair and self._is_over_share(each.caller)]
+        return next(iter(over_share or others), None)
 
-    def above(self, caller: str) -> DatabaseConnection | None:
-        """Returns the oldest idle connection of one above its share, for a caller below its own."""
-        if self._held(caller) >= self._share:
+    def find_over_share(self, caller: str) -> DatabaseConnection | None:
+        """Returns the longest idle connection of a caller over its share, or None.
+
+        None also if `caller` is not below its own share.
+        """
+        if self._count(caller) >= self._share:
             return None
-        return next((each for each in self._idle if self._is_above(each.caller)), None)
+        return next((each for each in self._idle if self._is_over_share(each.caller)), None)
 
-    def _held(self, caller: str) -> int:
+    def _count(self, caller: str) -> int:
         return self._connections[caller] + self._opening[caller]
 
-    def _is_above(self, caller: str) -> bool:
-        return self._held(caller) > self._share
+    def _is_over_share(self, caller: str) -> bool:
+        return self._count(caller) > self._share
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -1,4 +1,4 @@
-"""Tells when fair shares have a caller of one pool wait behind others (`CallerHeldToShare`)."""
+"""Reports when a caller over its fair share of a pool waits behind others (`CallerHeldToShare`)."""
 
 import math
 from collections.abc import Callable
@@ -8,19 +8,20 @@
 from dewledge.core.pooler.load.wait_queue import Charge, WaitQueue
 from dewledge.core.pooler.pool.waiter import Waiter
 
-LEAST_HELD = 2
-"""Statements; of a caller that is held to its share so many wait at least: one alone is no
-backlog."""
-TELL_SPACING_SECONDS = 1.0
-"""Seconds; callers that are held to their shares are told of no more often, so that a busy pool
-writes one line a second."""
+MIN_WAITING = 2
+"""Statements of a caller that must be waiting for a report; a single one is no backlog."""
+MIN_REPORT_INTERVAL_SECONDS = 1.0
+"""Minimum interval between two reports, which limits a busy pool to one log line a second."""
 
 
 class HeldToShare(msgspec.Struct, frozen=True):
-    """A statement was served before earlier ones of a caller above its share.
+    """A statement was served before earlier ones of a caller over its fair share.
 
-    waiting: how many of that caller wait, the first of them for `waited_seconds`. served: the
-    caller whose statement went first.
+    Attributes:
+        caller: The caller over its fair share.
+        waiting: The number of its waiting statements.
+        waited_seconds: How long the first of them has waited.
+        served: The caller whose statement was served.
     """
 
     caller: str
@@ -29,28 +30,28 @@
     served: str
 
 
-class HeldToShareWatch:
-    """Looks at each statement that is served from one queue."""
+class FairShareWatch:
+    """Checks each statement served from a queue."""
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
-        self._told: Callable[[HeldToShare], None] = lambda held: None
-        self._told_at = -math.inf
+        self._callback: Callable[[HeldToShare], None] = lambda report: None
+        self._reported_at = -math.inf
 
-    def on_held(self, told: Callable[[HeldToShare], None]) -> None:
-        """`told` is called when a caller is held to its share, once a second at most."""
-        self._told = told
+    def on_over_share(self, callback: Callable[[HeldToShare], None]) -> None:
+        """Sets the callback for reports, which is called at most once a second."""
+        self._callback = callback
 
-    def note_served(self, served: Waiter, charge: Charge, now: float) -> None:
-        """A statement was served from the queue for a charge."""
-        if now < self._told_at + TELL_SPACING_SECONDS:
+    def check_served(self, served: Waiter, charge: Charge, now: float) -> None:
+        """Reports the longest flow that waits behind a served statement, if it is a backlog."""
+        if now < self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
             return
-        longest = self._queue.longest_flow(charge)
+        longest = self._queue.longest_flow_behind(charge)
         if longest is None:
             return
         first, waiting = longest
-        if waiting < LEAST_HELD or first.deadlines.arrived >= served.deadlines.arrived:
+        if waiting < MIN_WAITING or first.deadlines.arrived >= served.deadlines.arrived:
             return
-        self._told_at = now
+        self._reported_at = now
         waited = now - first.deadlines.came
-        self._told(HeldToShare(first.caller, waiting, waited, served.caller))
+        self._callback(HeldToShare(first.caller, waiting, waited, served.caller))
--- a/src/dewledge/core/pooler/pool/idle_connections.py
+++ b/src/dewledge/core/pooler/pool/idle_connections.py
@@ -1,8 +1,9 @@
-"""The connections of one pool that nobody uses now: which one is given out, which are closed.
+"""The idle connections of a pool: which one is assigned, and which are closed.
 
-Decision: last in, first out, the one with the same session values first, each to its caller only;
-what has been idle for longer than `IDLE_SECONDS` is closed, but for `KEPT_IDLE`. Reason: a database
-counts the connections of a machine that lost power for seconds, and its successor needs room.
+Connections are assigned last in, first out, preferring equal session values, and only to their
+caller. Those that have been idle for too long are closed, down to `MIN_IDLE_CONNECTIONS`: a
+database counts the connections of a crashed machine against its limit for seconds, and the
+machine's successor needs them.
 """
 
 from collections.abc import Callable, Iterator
@@ -10,18 +11,17 @@
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import NO_CALLER
 
-IDLE_SECONDS = 1.5
-"""Seconds; a connection that has been idle for longer is closed. A database goes on counting the
-connections of a machine that lost power against its limit."""
-CALLER_IDLE_SECONDS = 1.5
-"""Seconds; the same for a connection that only one caller's statements may use."""
-KEPT_IDLE = 1
-"""Connections that stay open while idle. Few: a database goes on counting those of a machine that
-lost power for seconds, and its successor needs room under the same limit."""
+MAX_IDLE_SECONDS = 1.5
+"""Maximum idle time of a connection that belongs to no caller."""
+MAX_CALLER_IDLE_SECONDS = 1.5
+"""Maximum idle time of a connection that belongs to a caller."""
+MIN_IDLE_CONNECTIONS = 1
+"""Connections that remain open while idle. Few, because a database counts the connections of a
+crashed machine against its limit for seconds."""
 
 
 class IdleConnections:
-    """Given out last in, first out, the one of the same values first; each to its caller only."""
+    """The idle connections, in the order in which they became idle."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -34,22 +34,22 @@
         return iter(self._connections)
 
     def has(self, caller: str) -> bool:
-        """Tells whether one is of a caller."""
+        """Tells whether there is an idle connection of a caller."""
         return any(connection.caller == caller for connection in self._connections)
 
     def add(self, connection: DatabaseConnection) -> None:
-        """Nobody uses a connection from now on."""
-        connection.rest(self._clock())
+        """Adds a connection that is idle from now on."""
+        connection.mark_idle(self._clock())
         self._connections.append(connection)
 
     def discard(self, connection: DatabaseConnection) -> None:
-        """Forgets a connection; one that is not here is no error."""
+        """Removes a connection; does nothing if it is not idle."""
         if connection in self._connections:
             self._connections.remove(connection)
 
-    def take(self, caller: str, values: dict[str, str]) -> DatabaseConnection | None:
-        """Returns a caller's connection, None if there is none that can be used."""
-        while (position := self._best(caller, values)) is not None:
+    def pop_usable(self, caller: str, values: dict[str, str]) -> DatabaseConnection | None:
+        """Removes and returns a usable connection of a caller, None if there is none."""
+        while (position := self._find_best(caller, values)) is not None:
             connection = self._connections.pop(position)
             if not connection.closed and not connection.is_retiring:
                 return connection
@@ -57,29 +57,30 @@
         return None
 
     def trim(self) -> None:
-        """Closes those that have been idle for a while, the longest idle first."""
+        """Closes connections that have been idle for too long, the longest idle first."""
         now = self._clock()
-        while len(self._connections) > KEPT_IDLE:
+        while len(self._connections) > MIN_IDLE_CONNECTIONS:
             oldest = self._connections[0]
-            kept = IDLE_SECONDS if oldest.caller == NO_CALLER else CALLER_IDLE_SECONDS
-            if oldest.idle_since >= now - kept:
+            max_idle = MAX_IDLE_SECONDS if oldest.caller == NO_CALLER else MAX_CALLER_IDLE_SECONDS
+            if oldest.idle_since >= now - max_idle:
                 break
             oldest.close()
 
     def close_all(self) -> None:
-        """Closes and forgets all."""
+        """Closes and removes all connections."""
         connections, self._connections = self._connections, []
         for connection in connections:
             connection.close()
 
-    def _best(self, caller: str, values: dict[str, str]) -> int | None:
-        found = None
+    def _find_best(self, caller: str, values: dict[str, str]) -> int | None:
+        """Returns the position of a caller's newest connection, preferring equal session values."""
+        best = None
         has_same_values = False
         for index, connection in enumerate(self._connections):
             if connection.caller != caller:
                 continue
             is_same = connection.values == values
             if is_same or not has_same_values:
-                found = index
+                best = index
                 has_same_values = is_same
-        return found
+        return best
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -1,7 +1,7 @@
-"""Makes the pools of one group: their windows, what judges a database's silence, what is logged.
+"""Creates the pools of a group and logs what they report.
 
-It translates what the parts of a pool tell (full or not, silent or not, held to its share) into the
-events of the log.
+Translates reports of a pool (database full, database silent, caller over its fair share) into log
+events.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 from dewledge.core.shared.units import MILLISECONDS
 
 CHANNELS_PER_DATABASE = 64
-"""Statements that may be under way through holders of one database; the queue is at the holder.
-Bounds the channels of one process to a database."""
+"""Statements that a process may send through the holders of a database concurrently; the holders
+queue them. Bounds the number of channels."""
 
 
 class PoolFactory:
-    """Called for a pool."""
+    """Creates the pool for a database when called."""
 
     def __init__(
         self,
@@ -48,41 +48,42 @@
     ) -> ConnectionPool:
         """Returns a pool of up to `limit` connections."""
         window = self.window(database_id, holding)
-        silence = self._silence(database_id)
+        silence = self._create_silence(database_id)
         rules = PoolRules(silence, self._is_fair)
         pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
-        pool.on_held_to_share(lambda held: self._log_held(database_id, held))
+        pool.on_held_to_share(lambda report: self._log_over_fair_share(database_id, report))
         return pool
 
     def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
-        """Returns none for a route through holders: statements wait for slots there."""
+        """Returns the limit of concurrent statements; None if connection holders apply their
+        own."""
         if not holding.is_direct:
             return None
 
-        def changed(is_full: bool, size: int, widest: int) -> None:
+        def changed(is_full: bool, size: int, max_size: int) -> None:
             if is_full:
-                self._record(DatabaseFull(self._group, database_id, size, widest))
+                self._record(DatabaseFull(self._group, database_id, size, max_size))
             else:
                 self._record(DatabaseHasRoom(self._group, database_id))
 
         return SlotWindow(holding.connections, changed)
 
-    def _silence(self, database_id: str) -> DatabaseSilence:
+    def _create_silence(self, database_id: str) -> DatabaseSilence:
         def changed(is_silent: bool, seconds: float) -> None:
             lasted_ms = int(seconds * MILLISECONDS)
             self._record(DatabaseSilenceJudged(self._group, database_id, is_silent, lasted_ms))
 
         return DatabaseSilence(self._clock, self._judges_silence, changed)
 
-    def _log_held(self, database_id: str, held: HeldToShare) -> None:
-        waited_ms = int(held.waited_seconds * MILLISECONDS)
+    def _log_over_fair_share(self, database_id: str, report: HeldToShare) -> None:
+        waited_ms = int(report.waited_seconds * MILLISECONDS)
         self._record(
             CallerHeldToShare(
-                self._group, database_id, held.caller, held.waiting, waited_ms, held.served
+                self._group, database_id, report.caller, report.waiting, waited_ms, report.served
             )
         )
 
 
 def pool_limit(holding: Holding) -> int:
-    """Returns how many connections or channels a pool may have."""
+    """Returns the maximum number of connections or channels of a pool."""
     return holding.connections if holding.is_direct else CHANNELS_PER_DATABASE
--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -1,4 +1,4 @@
-"""The log event of a statement that a pool's queue refused, with the wait and the return moment."""
+"""Creates the log event of a statement that was refused in the queue of a pool."""
 
 from dewledge.core.pooler.events import WaitRefused
 from dewledge.core.pooler.load.verdict import RefusalCause
@@ -9,9 +9,9 @@
 def wait_refused(
     group: str, database: str, statement: str, waiter: Waiter, now: float
 ) -> WaitRefused:
-    """Returns the event of a waiter that was denied for want of room at `now` (steady clock)."""
+    """Returns the event of a statement that was refused at `now` (steady clock, seconds)."""
     refusal, wait = waiter.refusal, waiter.refused_wait
-    left = waiter.deadlines.latest_start - now
+    remaining = waiter.deadlines.latest_start - now
     return WaitRefused(
         group=group,
         database=database,
@@ -19,6 +19,6 @@
         cause=RefusalCause.NO_ROOM_IN_TIME if refusal is None else refusal.cause,
         expected_ms=-1 if wait is None else int(wait.seconds * MILLISECONDS),
         age_ms=0 if wait is None else int(wait.age_seconds * MILLISECONDS),
-        left_ms=int(left * MILLISECONDS),
+        left_ms=int(remaining * MILLISECONDS),
         come_back_ms=0 if refusal is None else int(refusal.come_back_seconds * MILLISECONDS),
     )
--- a/tests/core/pooler/test_connection_pool.py
+++ b/tests/core/pooler/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool: limits, waiting by urgency, connections of doubtful state, databases that leave."""
+"""Connection pool: limits, queue order, broken connections and changed routes."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 class ConnectionPoolTest(PoolCase):
-    def test_no_more_connections_than_the_limit_are_opened(self) -> None:
+    def test_open_connections_do_not_exceed_limit(self) -> None:
         for name in "abc":
             self.acquire(name)
         self.assertEqual([name for name, _ in self.given], ["a", "b"])
@@ -36,7 +36,7 @@
         self.pool.release(self.given[0][1])
         self.assertEqual(self.given[2][0], "c")
 
-    def test_the_more_urgent_waiter_comes_first_then_the_earlier(self) -> None:
+    def test_waiters_are_served_by_priority_then_arrival(self) -> None:
         for name in "ab":
             self.acquire(name)
         for name, priority in (("late", 2), ("later", 2), ("urgent", 0)):
@@ -45,15 +45,15 @@
             self.pool.release(self.given[index][1])
         self.assertEqual([name for name, _ in self.given[2:]], ["urgent", "late", "later"])
 
-    def test_a_waiter_that_withdrew_is_passed_over(self) -> None:
+    def test_withdrawn_waiter_is_skipped(self) -> None:
         for name in "ab":
             self.acquire(name)
-        self.acquire("gone").withdrawn = True
+        self.acquire("withdrawn").withdrawn = True
         self.acquire("next")
         self.pool.release(self.given[0][1])
         self.assertEqual(self.given[2][0], "next")
 
-    def test_a_connection_that_broke_is_replaced_for_who_waits(self) -> None:
+    def test_broken_connection_is_replaced_for_waiter(self) -> None:
         for name in "abc":
             self.acquire(name)
         connection = self.given[0][1]
@@ -63,7 +63,7 @@
         self.assertEqual(self.given[2][0], "c")
         self.assertIsNot(self.given[2][1], connection)
 
-    def test_an_unreachable_database_denies_at_once_and_is_tried_again_later(self) -> None:
+    def test_unreachable_database_denies_then_is_retried(self) -> None:
         self.model.databases["p"].refuse_connections = True
         self.acquire("a")
         self.acquire("b", wait=0.0)
@@ -73,7 +73,7 @@
         self.acquire("c")
         self.assertEqual(self.given[0][0], "c")
 
-    def test_a_database_at_its_own_limit_is_not_asked_at_every_statement(self) -> None:
+    def test_no_repeated_openings_at_database_connection_limit(self) -> None:
         self.model.databases["p"].max_connections = 1
         for name in "ab":
             self.acquire(name)
@@ -83,7 +83,7 @@
         self.pool.release(self.given[0][1])
         self.assertEqual(self.given[1][0], "b")
 
-    def test_a_retired_pool_gives_nothing_and_ends_its_connections(self) -> None:
+    def test_retired_pool_denies_and_closes_connections(self) -> None:
         self.acquire("a")
         self.acquire("b")
         self.pool.release(self.given[0][1])
@@ -93,7 +93,7 @@
         self.pool.release(self.given[1][1])
         self.assertEqual(self.model.databases["p"].open_connections, 0)
 
-    def test_a_smaller_share_closes_connections_as_they_come_back(self) -> None:
+    def test_reduced_limit_closes_released_connections(self) -> None:
         for name in "ab":
             self.acquire(name)
         self.pool.change_limit(1)
@@ -103,7 +103,7 @@
 
 
 class TrimTest(PoolCase):
-    def test_all_but_one_idle_connection_are_closed_after_a_while(self) -> None:
+    def test_trim_closes_all_but_one_idle_connection(self) -> None:
         for name in "ab":
             self.acquire(name)
         for _, connection in self.given:
@@ -114,7 +114,7 @@
         self.pool.trim()
         self.assertEqual(self.model.databases["p"].open_connections, 1)
 
-    def test_one_in_use_is_never_closed(self) -> None:
+    def test_trim_keeps_connections_in_use(self) -> None:
         for name in "ab":
             self.acquire(name)
         self.scheduler.advance(9.0)
@@ -122,8 +122,8 @@
         self.assertEqual(self.model.databases["p"].open_connections, 2)
 
 
-class RenewTest(PoolCase):
-    def test_connections_of_an_older_way_are_not_given_out_again(self) -> None:
+class RouteChangeTest(PoolCase):
+    def test_connections_of_old_route_are_not_reused(self) -> None:
         self.acquire("a")
         self.acquire("b")
         self.pool.release(self.given[0][1])
@@ -133,14 +133,14 @@
         self.acquire("c")
         self.assertNotIn(self.given[2][1], [given for _, given in self.given[:2]])
 
-    def test_one_that_was_being_opened_is_closed_and_another_opened(self) -> None:
+    def test_connection_being_opened_by_old_route_is_replaced(self) -> None:
         self.acquire("a", wait=0.0)
         self.pool.renew()
         self.scheduler.advance(0.1)
         self.assertEqual([name for name, _ in self.given], ["a"])
         self.assertEqual(self.model.databases["p"].open_connections, 1)
 
-    def test_one_that_retires_is_closed_when_it_comes_back_or_would_be_given(self) -> None:
+    def test_retiring_connection_is_not_reused(self) -> None:
         self.acquire("a")
         self.given[0][1].is_retiring = True
         self.pool.release(self.given[0][1])
