--- a/src/dewledge/core/pooler/statements/retry_rule.py
+++ b/src/dewledge/core/pooler/statements/retry_rule.py
@@ -56,7 +56,7 @@
 """Pause before another attempt at the same database, and the minimum time left for a rerun: about a
 round trip between regions."""
 MAX_READ_RERUNS = 2
-"""Maximum reruns of a read to which databases return failures, counting reruns after a timeout.
+"""Retries of a read to which databases return failures, including earlier reruns after a timeout.
 Limits the load caused by a read that always fails."""
 
 
