--- a/src/dewledge/core/pooler/load/flow_queue.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -34,7 +34,7 @@
         self.waiters.insert(position, waiter)
 
     def remove(self, position: int) -> None:
-        """Removes the waiter at a position."""
+        """Removes the waiter at a position, counted from 0."""
         del self.ranks[position]
         del self.waiters[position]
 
@@ -49,10 +49,10 @@
         return position if is_here else None
 
     def count_ahead_of(self, key: FlowKey, tag: float, step: float) -> int:
-        """Returns the number of waiters that are served before a key.
+        """Returns how many waiters of this flow are served before a waiter of another flow.
 
         Args:
-            key: The start tag and rank to compare with.
+            key: The start tag and rank of the waiter of the other flow.
             tag: The start tag of the first waiter of this flow.
             step: The difference between the start tags of successive waiters.
         """
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -1,4 +1,6 @@
-"""Judges by its link whether a connection holder, a process with database connections, is alive.
+"""Detects from the traffic on a link whether the connection holder at its other end is alive.
+
+A connection holder is a process that holds database connections for others.
 
 Any byte received is a sign of life. While a reply is outstanding and nothing has arrived for
 `ping_after`, a ping is sent. If no sign of life follows in time, the holder is first suspected and
@@ -20,11 +22,11 @@
 from dewledge.core.shared.service_rate import UsualTime
 
 MIN_LONG_STALL_SECONDS = 0.4
-"""A check that is later than this shows that this process was stalled: the measurement of silence
+"""If a check is late by more than this, this process was stalled, and the measurement of silence
 restarts."""
 MAX_CHECK_DELAY_SECONDS = 0.03
-"""A check that is later than this draws no conclusion, since received bytes may still be unread;
-the delay does not count as silence."""
+"""A check that is late by more than this draws no conclusion, since received bytes may still be
+unread; the delay does not count as silence."""
 RECHECK_DELAY_SECONDS = 0.05
 """Delay until the check after a late one: time to read what has arrived."""
 LOST_AFTER_SECONDS = 1.2
@@ -33,9 +35,11 @@
 MIN_CHECK_INTERVAL_SECONDS = 0.001
 """Minimum delay between two checks: the resolution of timers."""
 MIN_PAUSE_RATIO = 0.75
-"""Minimum part of the pause between two dials that remains after jitter."""
+"""Lower end of the range from which the pause between two dials is drawn, relative to the nominal
+pause."""
 PAUSE_JITTER_RATIO = 0.5
-"""Width of the jitter as a part of the pause, so that processes spread their dials."""
+"""Width of that range, relative to the nominal pause. Random pauses prevent that many processes
+dial a holder at the same time."""
 ROUND_TRIP_SMOOTHING_RATIO = 0.2
 """Weight of each round-trip sample in the moving average."""
 
@@ -76,7 +80,14 @@
 
 
 class HolderState(StrEnum):
-    """USABLE: accepts new statements. DOUBTED: its sign of life is late. SILENT: it is overdue."""
+    """Whether statements may be sent to a connection holder.
+
+    Attributes:
+        USABLE: New statements may be sent.
+        DOUBTED: A ping or dial has been unanswered for longer than its timeout.
+        SILENT: It has been unanswered for `HolderRules.silent_timeouts` timeouts, or the link is
+            lost.
+    """
 
     USABLE = "usable"
     DOUBTED = "doubted"
@@ -140,7 +151,8 @@
         return min(max(rules.round_trips * usual, rules.least_timeout), rules.longest_timeout)
 
     def silence(self, now: float) -> float:
-        """Returns the seconds without a sign of life while one is outstanding, otherwise 0."""
+        """Returns for how many seconds a reply has been awaited without any sign of life; 0 if none
+        is awaited."""
         if not self._awaits_reply:
             return 0.0
         probe_sent = math.inf if self._probe_sent_at is None else self._probe_sent_at
@@ -161,7 +173,7 @@
     def dialled(self, now: float) -> float | None:
         """Records that a dial began.
 
-        Returns the delay until the first check, None if the timeout of the dial is sufficient.
+        Returns the delay until the first check, None if the rules do not use probes.
         """
         if not self._rules.is_probed:
             return None
@@ -183,7 +195,7 @@
         """Records that the link was lost or a dial failed.
 
         With probes, a lost link may be dialled again at once, and a failed dial is repeated after a
-        pause.
+        pause. Without probes, the holder is dialled again after a pause in both cases.
         """
         self.due = 0
         self._probe_sent_at = None
@@ -240,7 +252,7 @@
         )
 
     def _judge_by_probe(self, now: float, probe_sent_at: float) -> float:
-        """Updates the state by an unanswered ping or dial; returns the delay until the next
+        """Updates the state while a ping or dial is unanswered; returns the delay until the next
         check."""
         waited = now - max(probe_sent_at, self._last_received_at)
         until_suspected = self.probe_timeout - waited
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -1,15 +1,16 @@
 """Decides when a connection holder attaches a load report to a reply: only if the load has changed.
 
-A report is sent if a number other than `urgent_waiting` differs by more than both tolerances, or if
-the last report is as old as its half-life, after which the receiver gives it half the weight. At
-constant load a peer receives at most two reports a second, at any rate of replies.
+A report is sent if a field other than `urgent_waiting` differs from the last report by more than
+`COUNT_TOLERANCE` and by more than `TOLERANCE_RATIO`, or if the last report has reached its
+half-life, at which the receiver gives it half of its initial weight. At constant load, a process
+thus receives at most two reports a second on a database, at any rate of replies.
 """
 
 from dewledge.core.pooler.load.load_table import REPORT_HALF_LIFE_SECONDS
 from dewledge.core.pooler.load.report import LoadReport
 
 COUNT_TOLERANCE = 1
-"""Statements or connections; a difference up to this number is not reported."""
+"""Statements, connections or milliseconds; a difference up to this number is not reported."""
 TOLERANCE_RATIO = 0.25
 """Relative difference of a count or a service time up to which it is not reported."""
 MAX_REPORTED_COUNT = 255
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/shown_failures.py
@@ -15,8 +15,8 @@
 FAILURE_SMOOTHING_RATIO = 0.2
 """Weight of each outcome in the average: about five statements determine it."""
 HALF_LIFE_SECONDS = 2.0
-"""Half-life of a failure. Longer than the retries of one statement, and short enough that the
-database soon gets another statement."""
+"""Half-life of the failure ratio. Longer than the retries of one statement, and short enough that
+the database soon gets another statement."""
 FAILURE_COST_SECONDS = 0.05
 """Cost of a failure beyond the time until it is detected: a retry pause of 30 ms and another round
 trip."""
--- a/src/dewledge/core/pooler/load/verdict.py
+++ b/src/dewledge/core/pooler/load/verdict.py
@@ -30,7 +30,7 @@
 
 
 class WaitUntil(msgspec.Struct, frozen=True):
-    """The statement may wait, and is checked again by `at` at the latest (steady clock,
+    """The statement may wait; it must be checked again at `at` or earlier (steady clock,
     seconds)."""
 
     at: float
--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -9,12 +9,13 @@
 import msgspec
 
 MIN_COUNTED_SECONDS = 0.01
-"""Shorter waits, expected or actual, are not distinguished: such a statement is served at once."""
+"""Shorter waits are raised to this. A statement whose expected and actual wait are both shorter is
+not counted."""
 QUARTER_RATIO = 0.25
-"""Relative error of the expected wait up to which it counts as within a quarter."""
+"""Maximum error, relative to the expected wait, of the waits counted in `within_quarter`."""
 DOUBLE_FACTOR = 2.0
-"""Factor between the expected and the actual wait, either way, up to which they count as within
-double."""
+"""Maximum factor between the expected and the actual wait, in either direction, of the waits
+counted in `within_double`."""
 MAX_REMEMBERED_REFUSALS = 256
 """Statements that were refused and are remembered until their deadline; bounds memory."""
 
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -21,9 +21,9 @@
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 """Minimum interval between two checks of a waiting statement."""
 EXHAUSTED_SECONDS = 0.4
-"""A database that kept a statement waiting for this time and then refused it, or executed nothing
-of this process for as long, is not tried again. Statements have timeouts of 0.8 s and more, so that
-half is left for another database."""
+"""A statement stops trying a database after this time, if the queue for the database still refuses
+it, or if the database has executed no statement of this process in this time. The rest of the
+statement's timeout, which is 0.8 s or more, is left for another database."""
 TIMER_RESOLUTION_SECONDS = 0.001
 """Resolution of timers; a statement this close to its latest start has no time left to wait."""
 
@@ -79,12 +79,12 @@
         return self.in_time_until < now and self.arrival_order_from <= now
 
     def queue_priority(self, now: float) -> QueuePriority:
-        """Returns the queue priority at a time."""
+        """Returns the queue priority of the statement at `now`."""
         is_late = self.in_time_until < now < self.arrival_order_from
         return QueuePriority.LATE if is_late else QueuePriority.IN_TIME
 
     def next_change(self, now: float) -> float:
-        """Returns when the rank changes next, infinite if it does not."""
+        """Returns when the rank of the statement changes next, infinite if it does not."""
         if self.in_time_until >= self.latest_start:
             return math.inf
         if self.is_retry:
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -98,7 +98,7 @@
 
     @property
     def tracked_flow_count(self) -> int:
-        """The number of flows that have a share, over all levels."""
+        """The number of flows whose start tag is stored, over all levels."""
         return sum(len(level.shares) for level in self._levels.values())
 
     def add(self, waiter: Waiter, now: float) -> None:
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -22,10 +22,10 @@
 OPEN_BACKOFF_SECONDS = 0.25
 """Time after a failed opening in which no other connection is opened."""
 LIMIT_BACKOFF_SECONDS = 0.3
-"""The same after the database refused an opening because of its connection limit."""
+"""Time without openings after the database refused one because of its connection limit."""
 MOST_OPENED_AHEAD = 2
-"""Connections that are opened concurrently for callers that still wait for a slot. Each opening
-takes database capacity from statements, and one is finished before the next slot is free."""
+"""Connections; while this many are being opened, none is opened for a caller that was skipped in
+the queue (`CallerOpenings.open_ahead`). Each opening takes database capacity from statements."""
 
 
 class OpeningOutcomes(msgspec.Struct, frozen=True):
@@ -75,7 +75,8 @@
         return self._clock() < self._next_attempt_at
 
     def may_open_ahead(self, caller: str) -> bool:
-        """Tells whether to open a connection for a caller without one before a slot is free."""
+        """Tells whether to open a connection for a caller that was skipped in the queue because it
+        has none."""
         is_free = self.total < MOST_OPENED_AHEAD and not self.by_caller[caller]
         return is_free and not self.is_unreachable
 
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -218,7 +218,8 @@
         held_seconds: float | None = None,
         connection: DatabaseConnection | None = None,
     ) -> None:
-        """Records the answer to a statement, and serves waiting statements.
+        """Records the answer to a statement; serves waiting statements if this process holds the
+        connections.
 
         Between the statements of a transaction its slot is free for others.
 
@@ -274,11 +275,11 @@
         self._waits.deny_all(Denial.CLOSED)
 
     def forget_failure(self) -> None:
-        """Allows openings again at once, because the route to the database has changed."""
+        """Allows openings again at once after a failed one; for a changed route to the database."""
         self._openings.clear_failure()
 
     def close_idle(self) -> None:
-        """Closes all idle connections, because their state is unknown."""
+        """Closes all idle connections."""
         self._connections.idle.close_all()
 
     def _silent_from(self) -> float:
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -23,7 +23,7 @@
 
 
 def ignore_holder(_state: HolderState) -> None:
-    """Default callback of a connection that no other process holds."""
+    """Ignores a change of the holder's state; the default of `DatabaseConnection.holder_judged`."""
 
 
 class DatabaseTransport(Protocol):
@@ -67,7 +67,8 @@
         self.is_single = False
         """Whether the connection is used by a single statement and not by a transaction."""
         self.is_retiring = False
-        """Whether the underlying link will close soon: the connection is not assigned again."""
+        """Whether the connection is not assigned again for now, because its link will close or the
+        process at the other end of the link does not reply."""
         self.holder_judged: Callable[[HolderState], None] = ignore_holder
         """Called when the state of the process that holds the connection changes."""
         self._transport = transport
@@ -101,7 +102,8 @@
     def send(
         self, statement: Statement, callback: ReplyCallback, floor: LogPosition | None = None
     ) -> None:
-        """Sends a statement. `callback` is called once, or never if `close` is called first."""
+        """Sends a statement. `callback` is called once, or never if `close` is called before the
+        reply."""
         if self.closed:
             callback(None)
             return
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -31,7 +31,7 @@
 
 
 class FairShareWatch:
-    """Checks each statement served from a queue."""
+    """Checks whenever a statement is served if a caller over its fair share waits behind it."""
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
--- a/src/dewledge/core/pooler/pool/pool_connections.py
+++ b/src/dewledge/core/pooler/pool/pool_connections.py
@@ -1,6 +1,6 @@
 """The connections of a pool: idle, in use or being opened, and the limit on their number.
 
-This module only counts. `connection_dispatch` assigns connections to statements, and
+This module keeps track of the connections. `connection_dispatch` assigns them to statements, and
 `caller_openings` decides for which callers they are opened.
 """
 
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -29,7 +29,8 @@
 often."""
 
 WindowCallback = Callable[[bool, int, int], None]
-"""Called with whether the database is full, the size of the window and its maximum."""
+"""Called when `SlotWindow.is_full` changes, with its new value, the size of the window and the
+maximum size."""
 
 
 class SlotWindow:
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -25,7 +25,13 @@
 
 
 class Denial(StrEnum):
-    """Why a pool denied a connection."""
+    """Why a pool denied a connection.
+
+    Attributes:
+        UNREACHABLE: No connection could be opened, or the database has stopped answering.
+        CLOSED: The pool is retired.
+        NO_ROOM: No slot is expected to be free before the deadline of the statement.
+    """
 
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
@@ -137,7 +143,7 @@
     def deny(
         self, denial: Denial, refusal: Refuse | None = None, wait: ExpectedWait | None = None
     ) -> None:
-        """Denies it a connection."""
+        """Records why the statement gets no connection, and calls `on_denied`."""
         self.refusal = refusal
         self.refused_wait = wait
         self.on_denied(denial)
