--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -45,15 +45,15 @@
         self.counts = WaitCounts()
         self._refused_latest_starts: deque[float] = deque(maxlen=MAX_REMEMBERED_REFUSALS)
 
-    def record_served(self, expected_seconds: float, real_seconds: float) -> None:
+    def record_served(self, expected_seconds: float, actual_seconds: float) -> None:
         """Counts a served statement with its expected and its actual wait."""
-        if max(expected_seconds, real_seconds) < MIN_COUNTED_SECONDS:
+        if max(expected_seconds, actual_seconds) < MIN_COUNTED_SECONDS:
             return
         expected = max(expected_seconds, MIN_COUNTED_SECONDS)
-        real = max(real_seconds, MIN_COUNTED_SECONDS)
+        actual = max(actual_seconds, MIN_COUNTED_SECONDS)
         self.counts.served += 1
-        self.counts.within_quarter += abs(real - expected) <= QUARTER_RATIO * expected
-        self.counts.within_double += expected / DOUBLE_FACTOR <= real <= expected * DOUBLE_FACTOR
+        self.counts.within_quarter += abs(actual - expected) <= QUARTER_RATIO * expected
+        self.counts.within_double += expected / DOUBLE_FACTOR <= actual <= expected * DOUBLE_FACTOR
 
     def record_refused(self, latest_start: float) -> None:
         """Counts a refused statement and remembers its latest start (steady clock, seconds)."""
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -130,11 +130,11 @@
         level.shares.serve(flow, cost)
         return Charge(rank[:LEVEL_PARTS], flow, cost)
 
-    def settle(self, charge: Charge, real_cost: float) -> None:
+    def settle(self, charge: Charge, actual_cost: float) -> None:
         """Corrects a charge by the actual cost, unless its level is empty."""
         level = self._levels.get(charge.level)
         if level is not None:
-            level.shares.settle(charge.flow, real_cost - charge.cost)
+            level.shares.settle(charge.flow, actual_cost - charge.cost)
 
     def count_ahead(self, waiter: Waiter) -> int | None:
         """Returns the number of waiters before a waiter, None if it is not in the queue."""
