--- a/src/dewledge/core/pooler/load/choice.py
+++ b/src/dewledge/core/pooler/load/choice.py
@@ -51,8 +51,8 @@
         return self.round_trip + self.service + self.opening + self.displacing + self.detour
 
     def dominates(self, other: "Completion") -> bool:
-        """Tells whether this completion has a shorter round trip, wait and execution, and no longer
-        part."""
+        """Tells whether round trip, wait and execution are shorter than those of `other`, and no
+        other part is longer."""
         is_nearer = self.round_trip < other.round_trip
         is_sooner = self.wait < other.wait and self.service < other.service
         return (
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -28,8 +28,8 @@
         self._last_report_at = 0.0
 
     def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
-        """Returns the report to attach to a reply at `now` (steady clock, seconds), None for
-        none."""
+        """Returns the report to attach to a reply at `now` (steady clock, seconds), None if none is
+        due."""
         last_report = self._last_report
         is_old = now >= self._last_report_at + REPORT_HALF_LIFE_SECONDS
         if last_report is not None and not is_old and not _differs(last_report, report):
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -26,10 +26,10 @@
     """An item that can wait in the queue."""
 
     queued_rank: Rank | None
-    """Its rank while it is in a queue; set by the queue."""
+    """Rank of the item while it is in a queue; set by the queue."""
 
     def rank(self, now: float) -> Rank:
-        """Returns the rank at a time (steady clock, seconds); unique within a queue."""
+        """Returns the rank of the item at `now` (steady clock, seconds); unique within a queue."""
 
     def next_change(self, now: float) -> float:
         """Returns when the rank changes next, infinite if it does not."""
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -3,8 +3,8 @@
 An arriving statement gets an idle connection at once if it is first in the queue order and a slot
 is free. Otherwise connections go to waiting statements in the order of the queue
 (`load/wait_queue`): to the first one whose caller has an idle connection. A caller without an idle
-connection does not block the statements behind it; a connection is opened for it in advance
-(`caller_openings`).
+connection does not block the statements behind it; with fair shares, a connection is opened
+for it in advance (`caller_openings`).
 """
 
 from collections.abc import Callable
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -42,8 +42,8 @@
     def __init__(self, database_id: str, transport: DatabaseTransport) -> None:
         self.database_id = database_id
         self.caller = ""
-        """The caller whose statements it carries, as announced to the database; empty for the proxy
-        itself."""
+        """The caller whose statements the connection carries, as announced to the database; empty
+        for the proxy itself."""
         self.values: dict[str, str] = {}
         self.prepared: set[str] = set()
         self.closed = False
@@ -54,12 +54,12 @@
         self.priority = 0
         """Priority of the statement that uses the connection."""
         self.wait_until = math.inf
-        """Until when its statement may wait for a slot in another process; steady clock in
+        """Until when the current statement may wait for a slot in another process; steady clock in
         seconds."""
         self.in_time_until = math.inf
-        """Latest start of its statement that meets its latency target."""
+        """Latest start of the current statement that meets the latency target."""
         self.arrived = math.inf
-        """First attempt of the operation of its statement; infinite if unknown."""
+        """When the operation of the current statement was first attempted; infinite if unknown."""
         self.lent_at = 0.0
         """When the connection was assigned to its current statement."""
         self.charge: Charge | None = None
@@ -80,7 +80,8 @@
         return len(self._callbacks)
 
     def assign(self, caller: str, generation: int) -> None:
-        """Records the caller for whom it was opened, and the generation of the route."""
+        """Records the caller for whom the connection was opened, and the generation of the
+        route."""
         self.caller = caller
         self.generation = generation
 
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 
 GROWTH_PER_STATEMENT = 0.2
-"""Statements; each executed statement adds this number divided by the size. At 40 statements a
-second, the size grows from one to three within a second."""
+"""Statements; each executed statement enlarges the window by this number divided by its size. At 40
+statements a second, the size grows from one to three within a second."""
 CUT_RATIO = 0.75
 """Part of the size that remains after a refusal. More than the half of TCP, since a refused
 statement costs a few milliseconds and an unused slot a whole statement."""
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -89,7 +89,7 @@
             priority: The priority of its route; the lower value is more urgent.
             given: Called with the connection that is assigned.
             denied: Called with the reason if a connection is denied.
-            demand: What it needs from the database.
+            demand: What the statement needs from the database.
             caller: Only a connection of this caller can be assigned.
             deadlines: When the statement has to be answered; None if it may always wait.
         """
@@ -99,13 +99,13 @@
         self.given = given
         self.on_denied = denied
         self.queued_rank: Rank | None = None
-        """Its rank while it is in a queue; set by the queue."""
+        """Rank of the statement while it is in a queue; set by the queue."""
         self.expected: ExpectedWait | None = None
-        """Its expected wait on arrival."""
+        """Expected wait of the statement on arrival."""
         self.refusal: Refuse | None = None
         self.refused_wait: ExpectedWait | None = None
         self.deadlines = deadlines or WaitDeadlines(0.0, 0.0)
-        """When it has to start; valid from its arrival on."""
+        """When the statement has to start; valid once `arrive` was called."""
         self._deadlines = deadlines
         self._on_withdrawn: Callable[[Waiter], None] | None = None
         self._number = next(_numbers)
@@ -123,7 +123,7 @@
             self._on_withdrawn(self)
 
     def arrive(self, now: float, service_seconds: float) -> None:
-        """Computes its deadlines on arrival, given the usual service time."""
+        """Computes the deadlines of the statement on arrival, given the usual service time."""
         if self._deadlines is None:
             self.deadlines = WaitDeadlines(now, now)
         else:
@@ -133,11 +133,11 @@
             )
 
     def on_queued(self, on_withdrawn: Callable[["Waiter"], None]) -> None:
-        """Records that it is in a queue; `on_withdrawn` is called if it is withdrawn."""
+        """Records that the statement is in a queue; `on_withdrawn` is called if it is withdrawn."""
         self._on_withdrawn = on_withdrawn
 
     def set_expected_wait(self, wait: ExpectedWait | None) -> None:
-        """Records its expected wait on arrival."""
+        """Records the expected wait of the statement on arrival."""
         self.expected = wait
 
     def deny(
@@ -149,7 +149,7 @@
         self.on_denied(denial)
 
     def rank(self, now: float) -> Rank:
-        """Returns its rank at a time; the lowest rank is served first.
+        """Returns the rank of the statement at `now`; the lowest rank is served first.
 
         A late statement that is in order of arrival again ranks with the single statements.
         """
@@ -160,12 +160,12 @@
 
     @property
     def rank_in_arrival_order(self) -> Rank:
-        """Its rank once it is late and in order of arrival again."""
+        """The rank of the statement once it is late and in order of arrival again."""
         demand = min(self.demand, Demand.SINGLE)
         return (self.priority, QueuePriority.IN_TIME, demand, self.deadlines.arrived, self._number)
 
     def next_change(self, now: float) -> float:
-        """Returns when its rank changes next."""
+        """Returns when the rank of the statement changes next, infinite if it does not."""
         return self.deadlines.next_change(now)
 
 
