--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -97,7 +97,7 @@
 
 
 class HerdTest(unittest.TestCase):
-    def test_equal_reports_do_not_send_all_to_one(self) -> None:
+    def test_equal_reports_do_not_send_all_reads_to_one_database(self) -> None:
         """All processes have the same report that one of three databases has no queue."""
         shares = count_firsts(
             {
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -58,7 +58,7 @@
         self.assertEqual(next_check_at(unlimited, 5.0, None), math.inf)
 
     @given(SECONDS, SECONDS, SECONDS, SECONDS)
-    def test_priority_changes_as_announced_at_most_twice(
+    def test_priority_changes_at_most_twice_and_only_at_next_change(
         self, came: float, in_time: float, latest: float, now: float
     ) -> None:
         deadlines = WaitDeadlines(came, came, in_time, latest)
