--- a/src/dewledge/core/pooler/load/wait_counts.py
+++ b/src/dewledge/core/pooler/load/wait_counts.py
@@ -9,12 +9,13 @@
 import msgspec
 
 MIN_COUNTED_SECONDS = 0.01
-"""Shorter waits, expected or actual, are not distinguished: such a statement is served at once."""
+"""Shorter waits are raised to this. A statement whose expected and actual wait are both shorter is
+not counted."""
 QUARTER_RATIO = 0.25
-"""Relative error of the expected wait up to which it counts as within a quarter."""
+"""Maximum error, relative to the expected wait, of the waits counted in `within_quarter`."""
 DOUBLE_FACTOR = 2.0
-"""Factor between the expected and the actual wait, either way, up to which they count as within
-double."""
+"""Maximum factor between the expected and the actual wait, in either direction, of the waits
+counted in `within_double`."""
 MAX_REMEMBERED_REFUSALS = 256
 """Statements that were refused and are remembered until their deadline; bounds memory."""
 
@@ -44,15 +45,15 @@
         self.counts = WaitCounts()
         self._refused_latest_starts: deque[float] = deque(maxlen=MAX_REMEMBERED_REFUSALS)
 
-    def record_served(self, expected_seconds: float, real_seconds: float) -> None:
+    def record_served(self, expected_seconds: float, actual_seconds: float) -> None:
         """Counts a served statement with its expected and its actual wait."""
-        if max(expected_seconds, real_seconds) < MIN_COUNTED_SECONDS:
+        if max(expected_seconds, actual_seconds) < MIN_COUNTED_SECONDS:
             return
         expected = max(expected_seconds, MIN_COUNTED_SECONDS)
-        real = max(real_seconds, MIN_COUNTED_SECONDS)
+        actual = max(actual_seconds, MIN_COUNTED_SECONDS)
         self.counts.served += 1
-        self.counts.within_quarter += abs(real - expected) <= QUARTER_RATIO * expected
-        self.counts.within_double += expected / DOUBLE_FACTOR <= real <= expected * DOUBLE_FACTOR
+        self.counts.within_quarter += abs(actual - expected) <= QUARTER_RATIO * expected
+        self.counts.within_double += expected / DOUBLE_FACTOR <= actual <= expected * DOUBLE_FACTOR
 
     def record_refused(self, latest_start: float) -> None:
         """Counts a refused statement and remembers its latest start (steady clock, seconds)."""
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -26,10 +26,10 @@
     """An item that can wait in the queue."""
 
     queued_rank: Rank | None
-    """Its rank while it is in a queue; set by the queue."""
+    """Rank of the item while it is in a queue; set by the queue."""
 
     def rank(self, now: float) -> Rank:
-        """Returns the rank at a time (steady clock, seconds); unique within a queue."""
+        """Returns the rank of the item at `now` (steady clock, seconds); unique within a queue."""
 
     def next_change(self, now: float) -> float:
         """Returns when the rank changes next, infinite if it does not."""
@@ -98,7 +98,7 @@
 
     @property
     def tracked_flow_count(self) -> int:
-        """The number of flows that have a share, over all levels."""
+        """The number of flows whose start tag is stored, over all levels."""
         return sum(len(level.shares) for level in self._levels.values())
 
     def add(self, waiter: Waiter, now: float) -> None:
@@ -130,11 +130,11 @@
         level.shares.serve(flow, cost)
         return Charge(rank[:LEVEL_PARTS], flow, cost)
 
-    def settle(self, charge: Charge, real_cost: float) -> None:
+    def settle(self, charge: Charge, actual_cost: float) -> None:
         """Corrects a charge by the actual cost, unless its level is empty."""
         level = self._levels.get(charge.level)
         if level is not None:
-            level.shares.settle(charge.flow, real_cost - charge.cost)
+            level.shares.settle(charge.flow, actual_cost - charge.cost)
 
     def count_ahead(self, waiter: Waiter) -> int | None:
         """Returns the number of waiters before a waiter, None if it is not in the queue."""
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -23,7 +23,7 @@
 
 
 def ignore_holder(_state: HolderState) -> None:
-    """Default callback of a connection that no other process holds."""
+    """Ignores a change of the holder's state; the default of `DatabaseConnection.holder_judged`."""
 
 
 class DatabaseTransport(Protocol):
@@ -42,8 +42,8 @@
     def __init__(self, database_id: str, transport: DatabaseTransport) -> None:
         self.database_id = database_id
         self.caller = ""
-        """The caller whose statements it carries, as announced to the database; empty for the proxy
-        itself."""
+        """The caller whose statements the connection carries, as announced to the database; empty
+        for the proxy itself."""
         self.values: dict[str, str] = {}
         self.prepared: set[str] = set()
         self.closed = False
@@ -54,12 +54,12 @@
         self.priority = 0
         """Priority of the statement that uses the connection."""
         self.wait_until = math.inf
-        """Until when its statement may wait for a slot in another process; steady clock in
+        """Until when the current statement may wait for a slot in another process; steady clock in
         seconds."""
         self.in_time_until = math.inf
-        """Latest start of its statement that meets its latency target."""
+        """Latest start of the current statement that meets the latency target."""
         self.arrived = math.inf
-        """First attempt of the operation of its statement; infinite if unknown."""
+        """When the operation of the current statement was first attempted; infinite if unknown."""
         self.lent_at = 0.0
         """When the connection was assigned to its current statement."""
         self.charge: Charge | None = None
@@ -67,7 +67,8 @@
         self.is_single = False
         """Whether the connection is used by a single statement and not by a transaction."""
         self.is_retiring = False
-        """Whether the underlying link will close soon: the connection is not assigned again."""
+        """Whether the connection is not assigned again for now, because its link will close or the
+        process at the other end of the link does not reply."""
         self.holder_judged: Callable[[HolderState], None] = ignore_holder
         """Called when the state of the process that holds the connection changes."""
         self._transport = transport
@@ -79,7 +80,8 @@
         return len(self._callbacks)
 
     def assign(self, caller: str, generation: int) -> None:
-        """Records the caller for whom it was opened, and the generation of the route."""
+        """Records the caller for whom the connection was opened, and the generation of the
+        route."""
         self.caller = caller
         self.generation = generation
 
@@ -101,7 +103,8 @@
     def send(
         self, statement: Statement, callback: ReplyCallback, floor: LogPosition | None = None
     ) -> None:
-        """Sends a statement. `callback` is called once, or never if `close` is called first."""
+        """Sends a statement. `callback` is called once, or never if `close` is called before the
+        reply."""
         if self.closed:
             callback(None)
             return
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable
 
 GROWTH_PER_STATEMENT = 0.2
-"""Statements; each executed statement adds this number divided by the size. At 40 statements a
-second, the size grows from one to three within a second."""
+"""Statements; each executed statement enlarges the window by this number divided by its size. At 40
+statements a second, the size grows from one to three within a second."""
 CUT_RATIO = 0.75
 """Part of the size that remains after a refusal. More than the half of TCP, since a refused
 statement costs a few milliseconds and an unused slot a whole statement."""
@@ -29,7 +29,8 @@
 often."""
 
 WindowCallback = Callable[[bool, int, int], None]
-"""Called with whether the database is full, the size of the window and its maximum."""
+"""Called when `SlotWindow.is_full` changes, with its new value, the size of the window and the
+maximum size."""
 
 
 class SlotWindow:
