--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -18,9 +18,9 @@
     """A request to admit an operation of `caller`.
 
     statement_timeout: seconds, for waiting and serving together. kept: the token reserved by an
-    earlier refusal in the session. keeps: whether tokens are reserved and waited for; otherwise the
-    operation waits a fixed time. target_latency: seconds within which its answer should arrive.
-    urgency: of its route, 0 is the highest.
+    earlier refusal in the session. keeps: whether a token may be reserved for the operation;
+    otherwise it is held for FIXED_HOLD_SECONDS at most, whatever its timeout. target_latency:
+    seconds within which its answer should arrive. urgency: of its route, 0 is the highest.
     """
 
     caller: str
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -112,7 +112,7 @@
         self._hold_times.record_served(seconds)
 
     def tick(self) -> float:
-        """Sends votes and leaves silent grantors; returns the seconds until the next call."""
+        """Sends votes and replaces silent grantors; returns the seconds until the next call."""
         if not self._limits:
             return VOTE_INTERVAL_SECONDS
         now = self._scheduler.now()
--- a/src/dewledge/core/pooler/rate_limits/grantor_search.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor_search.py
@@ -1,8 +1,8 @@
-"""How long operations wait for a grantor in a slot, and how long its candidates are polled.
+"""Decides how long operations wait for a grantor, and how long its slot's candidates are polled.
 
-A refused operation is retried, so polling the candidates continues for a while after an operation
-waited. Operations that arrive while there is no grantor share one search time, so they do not each
-wait for the whole of it.
+A refused operation is retried, so the candidates are polled for a while after an operation waited.
+Operations that arrive while there is no grantor share one search time, so they do not each wait for
+the whole of it.
 """
 
 import math
@@ -39,9 +39,11 @@
         return self._has_vote or now < self._last_waiting_at + SEARCH_SECONDS
 
     def wait_deadline(self, now: float, seconds: float) -> float:
-        """Returns until when an operation may wait while no grantor is known.
+        """Returns the latest time for which an operation may wait for a grantor.
 
-        seconds: the length of a search, which all operations during it share.
+        A process with a vote lets operations wait only until it found its first grantor, and
+        returns -inf afterwards. seconds: the length of a search, which all operations during it
+        share.
         """
         if self._has_vote:
             return -math.inf if self._has_found_grantor else self._began_at + seconds
--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -21,8 +21,8 @@
 second's rate from the bucket size."""
 BUCKET_RATIO = 0.8
 """Ratio of the headroom (see `QuotaPolicy.headroom`) that grantors may grant as a burst; with
-RESERVE_RATIO it sums to 1. Changes of the grantor need no part, because a new bucket starts empty.
-"""
+RESERVE_RATIO it sums to 1. Changes of the grantor need no part, because a new bucket starts
+empty."""
 RESERVE_RATIO = 0.2
 """Ratio of the headroom that all processes together may admit in a window without a grantor.
 Processes with a vote may use their reserve too, when answers are lost, so it is never part of the
@@ -62,8 +62,8 @@
     def bucket_size(self, limit: RateLimit, fraction: float = 1.0) -> float:
         """Returns the capacity in tokens of a grantor's bucket, at least one.
 
-        fraction: the part of the rate that this grantor hands out. Each other candidate's minimum
-        of one token is subtracted first.
+        fraction: the part of the rate that this grantor hands out. One token for each other
+        candidate is subtracted first, because every bucket has a capacity of at least one.
         """
         divided = (
             self.headroom(limit) * BUCKET_RATIO - (CANDIDATES_PER_SLOT - 1) * MIN_BUCKET_TOKENS
--- a/src/dewledge/core/pooler/rate_limits/local_allowances.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowances.py
@@ -1,7 +1,7 @@
-"""The operations of all callers that one process admits without a grantor.
+"""Decides which operations one process admits without a grantor, for all callers.
 
-Holds one allowance for each caller (local_allowance.py). Each caller ranks the processes in another
-order, so the remainders of the reserves go to different processes.
+Holds one allowance for each caller (local_allowance.py). The processes are ranked differently for
+each caller, so the remainders of the callers' reserves go to different processes.
 """
 
 from collections.abc import Collection, Mapping
@@ -18,7 +18,7 @@
 
 
 class LocalAllowances:
-    """The allowances by caller, each created on first use."""
+    """The callers' allowances, each created for the first operation that needs it."""
 
     def __init__(self, process_name: str, policy: QuotaPolicy) -> None:
         self._process_name = process_name
@@ -60,7 +60,7 @@
         return LocalAllowance(limit, self._policy, processes, rank, now, self._voter_count(caller))
 
     def _voter_count(self, caller: str) -> int:
-        """Returns the number of the slot's voters, or 0 if this process is none of them."""
+        """Returns the number of voters in the caller's slot, or 0 if this process is not one."""
         slot = slot_of(caller, slot_count(len(self._members)))
         if not is_voter(self._process_name, slot):
             return 0
--- a/src/dewledge/core/pooler/rate_limits/persistent_queue_detector.py
+++ b/src/dewledge/core/pooler/rate_limits/persistent_queue_detector.py
@@ -20,8 +20,8 @@
 """Seconds of wait by which a draining queue shrinks each second. Normal demand leaves more of the
 rate than this unused."""
 MIN_PERSISTENT_TOKENS = 20
-"""Tokens in whose time a queue stays persistent at least: the demand of a caller with few
-operations a second varies randomly for that long."""
+"""Tokens: a queue stays persistent at least until this many have been added. The demand of a caller
+with few operations a second varies randomly for that long."""
 MIN_PERSISTENT_SECONDS = 2.0
 """Seconds for which a queue stays persistent after an operation found it too long. Demand comes in
 waves of some seconds; otherwise each wave would begin with operations that are served late."""
@@ -37,16 +37,16 @@
         self._persistent_until = 0.0
 
     def is_persistent(self, now: float) -> bool:
-        """Returns whether operations should be held only for a short wait."""
+        """Returns whether the queue is persistent now and should therefore be kept short."""
         return now < self._persistent_until
 
     def record_wait(
         self, wait: float, acceptable: float, now: float, token_interval: float = 0.0
     ) -> None:
-        """Records the wait for a token that an operation would have that arrives now.
+        """Records how long an operation that arrives now would wait for a token.
 
-        acceptable: the wait up to which the queue is not too long. token_interval: the seconds
-        between two tokens; waits vary randomly by this much.
+        acceptable: the longest wait for which the queue is not too long. token_interval: the
+        seconds between two tokens; waits vary randomly by this much.
         """
         if wait <= acceptable:
             self._max_waits.clear()
--- a/src/dewledge/core/pooler/rate_limits/previous_votes.py
+++ b/src/dewledge/core/pooler/rate_limits/previous_votes.py
@@ -37,13 +37,17 @@
                 self._can_be_dropped = False
 
     def droppable_votes(self, now: float) -> Mapping[Slot, str]:
-        """Returns which process to ask to drop its vote in each slot, if that can free a vote."""
+        """Returns, for each slot, the process to ask to drop this process's vote.
+
+        Empty if all votes have expired, or if one was sent to an unknown process: it cannot be
+        dropped, so new votes have to wait until it expires anyway.
+        """
         if now >= self.valid_until or not self._can_be_dropped:
             return {}
         return dict(self._candidates)
 
     def record_dropped(self, slot: Slot, sender: str) -> bool:
-        """Records that a process dropped a vote; returns whether that was the last valid one."""
+        """Records that a process dropped this one's vote; returns whether that was the last one."""
         if self._candidates.get(slot) != sender:
             return False
         del self._candidates[slot]
--- a/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/reserved_bucket.py
@@ -1,8 +1,8 @@
 """A caller's bucket as its less urgent operations see it, without the reserved tokens.
 
 The reserve is for the more urgent operations that wait and the usual demand of those still to
-arrive. So these find a token on arrival, and a retry time that was sent to a less urgent operation
-stays valid while demand is as usual.
+arrive. So a more urgent operation finds a token on arrival, and a retry time that was sent to a
+less urgent operation stays valid while demand is as usual.
 """
 
 import math
--- a/src/dewledge/core/pooler/rate_limits/retry_times.py
+++ b/src/dewledge/core/pooler/rate_limits/retry_times.py
@@ -14,13 +14,13 @@
 from dewledge.core.pooler.rate_limits.queue_key import QueueKey
 
 RETRY_RATIO = 0.5
-"""Ratio of the caller's rate that is reserved for retries. With all of it, every first request
-would be refused and each operation would be served late."""
+"""Ratio of the caller's rate that is reserved for retries. If the whole rate were reserved, every
+first request would be refused and each operation would be served late."""
 RETRY_HORIZON_SECONDS = 5.0
 """Seconds ahead for which retry times are reserved, which bounds their number at rate x RETRY_RATIO
 x this. Clients usually have some seconds for an operation."""
 MIN_RETRY_SECONDS = 0.02
-"""Seconds that a reported wait for a token lasts at least: a round trip between processes."""
+"""Seconds: the shortest wait reported for a token, a round trip between processes."""
 DEFAULT_RETRY_MS = 500
 """Milliseconds until a retry where no grantor is known: about the time in which one is found."""
 
@@ -31,7 +31,7 @@
 
 
 class RetryTimes:
-    """A caller's retry times. Soft state: without it a retry is last in the queue."""
+    """A caller's retry times. Soft state: if it is lost, a retry joins the end of the queue."""
 
     def __init__(self) -> None:
         self._retry_at: dict[QueueKey, float] = {}
@@ -58,10 +58,11 @@
     def reserve_retry_time(
         self, key: QueueKey, now: float, earliest: float, rate: float
     ) -> tuple[float, bool]:
-        """Returns a time after all reserved ones, and whether it is reserved for the operation.
+        """Returns a retry time, and whether it is reserved for the operation.
 
-        A time beyond the horizon is not reserved; the retry is then last in the queue. rate: tokens
-        added each second now.
+        A reserved time is later than every one reserved before. If it would be beyond
+        RETRY_HORIZON_SECONDS, the horizon is returned and nothing is reserved; the retry then joins
+        the end of the queue. rate: tokens added each second now.
         """
         retry_at = max(earliest, self._last_retry_at + 1.0 / (rate * RETRY_RATIO))
         if retry_at > now + RETRY_HORIZON_SECONDS:
@@ -71,9 +72,10 @@
         return retry_at, True
 
     def next_unreserved_time(self, earliest: float, rate: float) -> float:
-        """Returns a time beyond the end of the queue, and later than the one before.
+        """Returns a retry time for which no token is reserved.
 
-        No token is reserved for it. rate: tokens added each second now.
+        It is `earliest` or, if later, one token interval after the last time returned here. rate:
+        tokens added each second now.
         """
         self._last_unreserved_at = max(earliest, self._last_unreserved_at + 1.0 / rate)
         return self._last_unreserved_at
@@ -93,7 +95,7 @@
         del self._token_at[key]
 
     def drop_expired(self, earliest: float) -> None:
-        """Drops operations that did not retry; their tokens are for the next ones."""
+        """Drops operations whose time is before `earliest`; the next ones get their tokens."""
         drop_before(self._retry_at, earliest)
         drop_before(self._token_at, earliest)
 
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -88,8 +88,10 @@
         return voter.candidate
 
     def tick(self, now: float) -> bool:
-        """Sends votes and leaves silent candidates; returns whether no polled slot lacks a
-        grantor."""
+        """Sends the votes that are due and replaces silent candidates.
+
+        Returns whether the grantor of every polled slot is known.
+        """
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
             self.voter(slot)
@@ -102,7 +104,7 @@
         """Returns whether an operation may ask the slot's candidate now.
 
         The candidate may be asked if it grants, or if `Voter.may_ask_unconfirmed` allows it. In the
-        second case the candidates that were left for this one are probed too.
+        second case the more preferred candidates are probed too.
         """
         voter = self.voter(slot)
         if voter.has_grantor(now):
@@ -136,7 +138,7 @@
         return True
 
     def _poll(self, slot: Slot, voter: Voter, now: float) -> None:
-        """Asks the candidate, with a vote if this process has one; leaves a silent candidate."""
+        """Asks the candidate, with a vote if one may be sent; replaces a silent candidate."""
         for name in voter.check_candidates(now):
             self._questions.probe(slot, name)
         for name in voter.pending_withdrawals(now):
--- a/src/dewledge/core/pooler/rate_limits/slots.py
+++ b/src/dewledge/core/pooler/rate_limits/slots.py
@@ -15,9 +15,9 @@
 import xxhash
 
 MAX_PROCESSES_PER_SLOT = 32
-"""Processes for each slot at most. With more processes than this, a slot has between
-SLOTS_PER_VOTER / 2 and SLOTS_PER_VOTER times as many voters, which limits the votes that a grantor
-receives each second."""
+"""Processes for each slot, at most: determines the number of slots. With more processes than this,
+a slot has between SLOTS_PER_VOTER / 2 and SLOTS_PER_VOTER times as many voters, which limits the
+votes that a grantor receives each second."""
 SLOTS_PER_VOTER = 2
 """Slots in which each process votes. More slots divide the votes more evenly between the two sides
 of a network partition; each costs a question and an answer every VOTE_INTERVAL_SECONDS."""
--- a/src/dewledge/core/pooler/rate_limits/token_queue.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -136,8 +136,9 @@
     ) -> Deferred:
         """Reserves a token if it is available in time for the operation, otherwise a retry time.
 
-        Allowing a queue as long as the operations accept serves more of what a wave of demand
-        leaves behind. Part of the tokens, RETRY_RATIO, is left to operations that retry.
+        Operations that retry may take the fraction RETRY_RATIO of the tokens, so a wait computed
+        now may become longer; only the rest of `max_wait` is used. Within that limit the queue may
+        grow, so that more operations are served after a wave of demand.
         """
         max_seconds = max(max_wait * (1.0 - RETRY_RATIO), self._token_interval(fraction))
         if seconds <= min(max_seconds, RESERVATION_HORIZON_SECONDS):
--- a/src/dewledge/core/pooler/rate_limits/token_wait.py
+++ b/src/dewledge/core/pooler/rate_limits/token_wait.py
@@ -11,7 +11,7 @@
 from dewledge.core.shared.service_rate import UsualTime
 
 SERVING_SMOOTHING_RATIO = 0.05
-"""Ratio by which a new serving time changes the running mean: some tens of operations count."""
+"""Ratio: weight of a new serving time in the running mean, which covers some tens of operations."""
 DEFAULT_SERVING_SECONDS = 0.2
 """Seconds assumed as the serving time before the first one is recorded: some round trips between
 regions and a connection."""
--- a/src/dewledge/core/pooler/rate_limits/vote_binding.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_binding.py
@@ -48,7 +48,7 @@
         )
 
     def may_vote(self, candidate: str, now: float) -> bool:
-        """Returns whether a vote for the candidate may be sent: no other one is valid."""
+        """Returns whether a vote may be sent: no vote for another candidate can be valid."""
         return self._voted_for == candidate or now >= self.vote_valid_until
 
     def record_vote(self, candidate: str) -> None:
--- a/src/dewledge/core/pooler/rate_limits/vote_fraction.py
+++ b/src/dewledge/core/pooler/rate_limits/vote_fraction.py
@@ -17,8 +17,8 @@
         """The last recorded fraction, from 0 to 1. The true one may have fallen since, but not
         risen."""
         self.filled_since = 0.0
-        """Value of `full_rate_seconds` since which a new bucket counts as filling: where the
-        fraction last fell or the limits last changed."""
+        """Value of `full_rate_seconds` when the fraction last fell or the limits last changed. A
+        new bucket is filled as if it had been created then."""
         self._recorded_at = 0.0
 
     def record(self, fraction: float, now: float) -> bool:
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -1,4 +1,4 @@
-"""Selects the candidate that a process asks in a slot, and votes for.
+"""Selects the candidate that this process asks for tokens and votes for in a slot.
 
 All processes prefer the candidates in the same order, so that the votes gather at one grantor. A
 process asks the first candidate that answers. If that candidate falls silent, the process selects
@@ -19,11 +19,12 @@
 from dewledge.core.pooler.rate_limits.vote_binding import VoteBinding
 
 SILENCE_TIMEOUT_SECONDS = 0.7
-"""Seconds without an answer after which a voter leaves a candidate; two questions may be lost."""
+"""Seconds without an answer after which a process with a vote selects the next candidate; two
+questions may be lost."""
 NON_VOTER_SILENCE_TIMEOUT_SECONDS = 0.09
-"""Seconds without an answer after which a process without a vote leaves a candidate: two round
-trips between regions. Earlier candidates are probed at the same time, so one lost question costs
-one round trip."""
+"""Seconds without an answer after which a process without a vote selects the next candidate: two
+round trips between regions. Earlier candidates are probed at the same time, so one lost question
+costs one round trip."""
 NON_GRANTOR_RETRY_SECONDS = 0.1
 """Seconds after which a candidate that answered that it holds no votes is asked again."""
 PROBE_INTERVAL_SECONDS = 1.0
@@ -46,7 +47,8 @@
     ) -> None:
         """`started_at`: when the process started. began_at: when the search for a grantor began.
 
-        can_withdraw: whether the votes from before a restart can only be at the candidates.
+        can_withdraw: whether the candidates are the only processes that can hold votes from before
+        a restart, so that they can be asked to drop them all.
         """
         self._has_vote = has_vote
         self._candidates = tuple(candidates)
@@ -56,7 +58,7 @@
         self._binding = VoteBinding(self._answers, started_at, withdrawing)
         self._search = GrantorSearch(began_at, has_vote)
         self._asked_at = -math.inf
-        """When a candidate was last asked."""
+        """When this process last sent a question to a selected candidate."""
         self._unanswered_since = math.inf
         """When the candidate was first asked after its last answer; inf if no question is open."""
         self._allows_concurrent_questions = False
@@ -65,7 +67,7 @@
         self._selected_at = began_at
         """When the candidate was selected."""
         self._confirmed_at = -math.inf
-        """When the last question was sent whose answer said that the candidate grants."""
+        """When the question was sent to which the candidate last answered that it grants."""
         self._probe_after = began_at
 
     @property
@@ -103,7 +105,7 @@
             self._select(0, now)
 
     def may_vote(self, now: float) -> bool:
-        """Returns whether a vote for the selected candidate may be sent: no other one is valid."""
+        """Returns whether a vote for the selected candidate may be sent now."""
         return self._has_vote and self._binding.may_vote(self.candidate, now)
 
     def record_question(self, now: float) -> None:
@@ -116,7 +118,7 @@
         self._binding.record_vote(self.candidate)
 
     def clear_earlier_votes(self) -> None:
-        """Records that no vote from before this voter is valid any more."""
+        """Records that no vote sent before this object was created is valid any more."""
         self._binding.clear_earlier_votes()
 
     def pending_withdrawals(self, now: float) -> Sequence[str]:
@@ -135,7 +137,7 @@
         self._search.record_waiting_operation(now)
 
     def search_deadline(self, now: float, seconds: float) -> float:
-        """Returns until when an operation may wait while no grantor is known, -inf if one is.
+        """Returns the latest time for which an operation may wait, -inf if a grantor is known.
 
         seconds: the length of a search, which all operations during it share.
         """
@@ -159,9 +161,9 @@
     def may_ask_unconfirmed(self, now: float) -> bool:
         """Returns whether an operation may ask the candidate although it is not known to grant.
 
-        Always False for a voter. Leaves a silent candidate for the next first. While the first
-        question of a search is open, other operations may ask too; once a candidate was left, one
-        question at a time is sent, however many operations wait.
+        Always False if this process has a vote. If the candidate is silent, selects the next one.
+        While the first question of a search is open, other operations may ask too; after another
+        candidate was selected, only one question is open at a time, however many operations wait.
         """
         if self._has_vote:
             return False
@@ -197,7 +199,7 @@
             self._select(self._candidates.index(answer.sender), now)
 
     def check_candidates(self, now: float) -> Sequence[str]:
-        """Leaves a silent candidate for the next; returns the earlier ones to probe now."""
+        """Selects the next candidate if this one is silent; returns earlier ones to probe now."""
         if self._is_silent(now):
             self._select_next(now)
         if now < self._probe_after:
--- a/src/dewledge/core/shared/positions.py
+++ b/src/dewledge/core/shared/positions.py
@@ -16,7 +16,7 @@
 
 
 class TermStart(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """The offset at which a term's primary started; the log up to there is of earlier terms."""
+    """The offset at which a term's primary started; entries up to it are from earlier terms."""
 
     term: int
     offset: int
@@ -27,12 +27,12 @@
 
 
 def is_cut_off(position: LogPosition, term_starts: Sequence[TermStart]) -> bool:
-    """Returns whether a later term discarded `position`: it started at a smaller offset."""
+    """Returns whether a later term discarded `position` by starting at a smaller offset."""
     return any(
         start.term > position.term and start.offset < position.offset for start in term_starts
     )
 
 
 def satisfies(applied: LogPosition, floor: LogPosition, term_starts: Sequence[TermStart]) -> bool:
-    """Returns whether a database that applied the log up to `applied` shows all up to `floor`."""
+    """Returns whether a database with the log up to `applied` has all entries up to `floor`."""
     return applied >= floor and not is_cut_off(applied, term_starts)
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -22,8 +22,8 @@
     def note(self, duration: float) -> None:
         """Adds one duration in seconds, limited to MAX_STEP_FACTOR times the mean.
 
-        The limit ignores the pause of a frozen process; a database that became slow still raises
-        the mean soon.
+        The limit bounds the effect of a pause of the process; a database that became slow still
+        raises the mean soon.
         """
         bounded = min(duration, MAX_STEP_FACTOR * self._mean)
         self._mean += self._smoothing * (bounded - self._mean)
