--- a/src/dewledge/core/pooler/rate_limits/slot_grants.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_grants.py
@@ -40,7 +40,7 @@
         for caller, queues in self._queues.items():
             limit = limits[caller]
             size = self._policy.bucket_size(limit, fraction)
-            queues.bucket.change(limit.rate, size, self._vote_fraction.full_rate_seconds)
+            queues.bucket.set_rate_and_size(limit.rate, size, self._vote_fraction.full_rate_seconds)
 
     def grant(self, asker: str, want: TokenWant, limit: RateLimit, now: float) -> TokenGrant:
         """Returns a token for an operation, or the time until one is available."""
@@ -71,5 +71,5 @@
             bucket = TokenBucket(limit.rate, size, 0.0, self._vote_fraction.filled_since)
             queues = CallerTokenQueues(bucket)
             self._queues[caller] = queues
-        queues.bucket.change(limit.rate, size, self._vote_fraction.full_rate_seconds)
+        queues.bucket.set_rate_and_size(limit.rate, size, self._vote_fraction.full_rate_seconds)
         return queues
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -95,7 +95,7 @@
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
             self.voter(slot)
-        polled = {slot: it for slot, it in self._voters.items() if it.needs_polling(now)}
+        polled = {slot: each for slot, each in self._voters.items() if each.needs_polling(now)}
         for slot, voter in polled.items():
             self._poll(slot, voter, now)
         return all(voter.has_grantor(now) for voter in polled.values())
@@ -112,7 +112,7 @@
         if not voter.may_ask_unconfirmed(now):
             return False
         voter.record_waiting_operation(now)
-        for name in voter.check_candidates(now):
+        for name in voter.replace_silent_candidate(now):
             self._questions.probe(slot, name)
         return True
 
@@ -139,7 +139,7 @@
 
     def _poll(self, slot: Slot, voter: Voter, now: float) -> None:
         """Asks the candidate, with a vote if one may be sent; replaces a silent candidate."""
-        for name in voter.check_candidates(now):
+        for name in voter.replace_silent_candidate(now):
             self._questions.probe(slot, name)
         for name in voter.pending_withdrawals(now):
             self._questions.withdraw(slot, name)
--- a/src/dewledge/core/pooler/rate_limits/token_bucket.py
+++ b/src/dewledge/core/pooler/rate_limits/token_bucket.py
@@ -46,7 +46,7 @@
         """Maximum number of tokens."""
         return self._size
 
-    def change(self, rate: float, size: float, now: float) -> None:
+    def set_rate_and_size(self, rate: float, size: float, now: float) -> None:
         """Sets the rate and the size from now on; drops the tokens beyond the new size."""
         self._fill(now)
         self._rate = rate
--- a/src/dewledge/core/pooler/rate_limits/voter.py
+++ b/src/dewledge/core/pooler/rate_limits/voter.py
@@ -198,7 +198,7 @@
         if is_useful and answer.sender in self._candidates[: self._index]:
             self._select(self._candidates.index(answer.sender), now)
 
-    def check_candidates(self, now: float) -> Sequence[str]:
+    def replace_silent_candidate(self, now: float) -> Sequence[str]:
         """Selects the next candidate if this one is silent; returns earlier ones to probe now."""
         if self._is_silent(now):
             self._select_next(now)
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -221,17 +221,17 @@
     def test_votes_for_another_candidate_only_after_expiry(self) -> None:
         self.voter.record_vote()
         self.answer("a", 5.0)
-        self.voter.check_candidates(5.0 + SILENCE_TIMEOUT_SECONDS + 0.01)
+        self.voter.replace_silent_candidate(5.0 + SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
         self.assertFalse(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS - 0.01))
         self.assertTrue(self.voter.may_vote(5.0 + VOTE_LIFETIME_SECONDS))
 
     def test_voter_returns_to_an_earlier_candidate_that_answers(self) -> None:
-        self.voter.check_candidates(0.5 + SILENCE_TIMEOUT_SECONDS + 0.01)
+        self.voter.replace_silent_candidate(0.5 + SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("b", 1.3)
         self.answer("b", 1.9)
-        self.assertEqual(self.voter.check_candidates(1.3 + PROBE_INTERVAL_SECONDS), ("a",))
+        self.assertEqual(self.voter.replace_silent_candidate(1.3 + PROBE_INTERVAL_SECONDS), ("a",))
         self.answer("c", 2.4)
         self.assertEqual(self.voter.candidate, "b")
         self.answer("a", 2.5)
@@ -280,7 +280,7 @@
 
     def test_non_voter_returns_to_an_earlier_candidate_with_votes(self) -> None:
         self.voter.record_question(9.0)
-        self.voter.check_candidates(9.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
+        self.voter.replace_silent_candidate(9.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
         self.voter.handle_answer(QuotaAnswer("a", 1, SLOT, 1009.2, False), 9.15, 9.2)
         self.assertEqual(self.voter.candidate, "b")
@@ -291,22 +291,22 @@
         self.voter.record_question(9.0)
         self.answer("a", 9.05)
         self.assertTrue(self.voter.may_ask_unconfirmed(90.0))
-        self.voter.check_candidates(90.0)
+        self.voter.replace_silent_candidate(90.0)
         self.assertEqual(self.voter.candidate, "a")
 
-    def test_silent_candidate_is_left_and_probed(self) -> None:
+    def test_silent_candidate_is_replaced_and_probed(self) -> None:
         self.voter.record_question(9.0)
         self.assertTrue(self.voter.may_ask_unconfirmed(20.0))
         self.assertEqual(self.voter.candidate, "b")
-        self.assertEqual(self.voter.check_candidates(20.0), ("a",))
+        self.assertEqual(self.voter.replace_silent_candidate(20.0), ("a",))
 
     def test_unasked_candidate_is_not_silent(self) -> None:
         self.voter.record_question(9.0)
         self.answer("a", 9.05)
-        self.voter.check_candidates(50.0)
+        self.voter.replace_silent_candidate(50.0)
         self.assertEqual(self.voter.candidate, "a")
         self.voter.record_question(50.0)
-        self.voter.check_candidates(50.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
+        self.voter.replace_silent_candidate(50.0 + NON_VOTER_SILENCE_TIMEOUT_SECONDS + 0.01)
         self.assertEqual(self.voter.candidate, "b")
 
     def test_operations_share_one_search_deadline(self) -> None:
--- a/tests/core/pooler/rate_limits/test_limits.py
+++ b/tests/core/pooler/rate_limits/test_limits.py
@@ -83,7 +83,7 @@
 
     def test_lowered_limit_applies_at_once(self) -> None:
         bucket = TokenBucket(100.0, 50.0, 50.0, 0.0)
-        bucket.change(1.0, 3.0, 0.0)
+        bucket.set_rate_and_size(1.0, 3.0, 0.0)
         self.assertEqual(bucket.acquire(50, 0.0), 3)
         self.assertEqual(bucket.acquire(50, 2.0), 2)
 
--- a/tests/core/pooler/rate_limits/test_persistent_queue.py
+++ b/tests/core/pooler/rate_limits/test_persistent_queue.py
@@ -126,7 +126,7 @@
         ]
         self.assertLessEqual(max(first_tries), 0.06 + 1e-4)
 
-    def test_retry_times_are_bounded(self) -> None:
+    def test_number_of_retry_times_is_bounded(self) -> None:
         clients = SimulatedClients(RATE, 15.0, obeys=False)
         clients.run(steady_arrivals(10 * RATE, 0.0, 20.0))
         self.assertLessEqual(len(clients.queue.retries), RETRY_HORIZON_SECONDS * RATE)
--- a/tests/core/pooler/rate_limits/test_persistent_queue_detector.py
+++ b/tests/core/pooler/rate_limits/test_persistent_queue_detector.py
@@ -12,13 +12,13 @@
 STEP = 0.02
 
 
-def watch_of(wait: Callable[[float], float], seconds: float) -> PersistentQueueDetector:
+def detector_after(wait: Callable[[float], float], seconds: float) -> PersistentQueueDetector:
     """Returns a detector that recorded the waits of equally spaced operations."""
-    watch = PersistentQueueDetector()
+    detector = PersistentQueueDetector()
     for number in range(int(seconds / STEP)):
         now = number * STEP
-        watch.record_wait(wait(now), ACCEPTABLE_WAIT_SECONDS, now)
-    return watch
+        detector.record_wait(wait(now), ACCEPTABLE_WAIT_SECONDS, now)
+    return detector
 
 
 class PersistentQueueDetectorTest(unittest.TestCase):
@@ -42,19 +42,19 @@
         )
         for name, wait, expected in cases:
             with self.subTest(name):
-                self.assertIs(watch_of(wait, 3.0).is_persistent(3.0), expected)
+                self.assertIs(detector_after(wait, 3.0).is_persistent(3.0), expected)
 
     def test_detection_takes_longer_than_arrivals_after_an_outage(self) -> None:
-        self.assertFalse(watch_of(lambda now: 1.0, 1.4).is_persistent(1.4))
-        self.assertTrue(watch_of(lambda now: 1.0, 1.6).is_persistent(1.6))
-
-    def test_queue_stays_persistent_for_a_while(self) -> None:
-        watch = watch_of(lambda now: 1.0, 1.6)
-        watch.record_wait(0.0, ACCEPTABLE_WAIT_SECONDS, 1.7)
-        self.assertTrue(watch.is_persistent(1.7))
-        watch.mark_persistent(3.0)
-        self.assertTrue(watch.is_persistent(3.0 + MIN_PERSISTENT_SECONDS - 0.01))
-        self.assertFalse(watch.is_persistent(3.0 + MIN_PERSISTENT_SECONDS + 0.01))
+        self.assertFalse(detector_after(lambda now: 1.0, 1.4).is_persistent(1.4))
+        self.assertTrue(detector_after(lambda now: 1.0, 1.6).is_persistent(1.6))
+
+    def test_queue_stays_persistent_for_the_minimum_time(self) -> None:
+        detector = detector_after(lambda now: 1.0, 1.6)
+        detector.record_wait(0.0, ACCEPTABLE_WAIT_SECONDS, 1.7)
+        self.assertTrue(detector.is_persistent(1.7))
+        detector.mark_persistent(3.0)
+        self.assertTrue(detector.is_persistent(3.0 + MIN_PERSISTENT_SECONDS - 0.01))
+        self.assertFalse(detector.is_persistent(3.0 + MIN_PERSISTENT_SECONDS + 0.01))
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/rate_limits/test_token_wait.py
+++ b/tests/core/pooler/rate_limits/test_token_wait.py
@@ -13,7 +13,7 @@
 
 
 class HoldOrRefuseTest(unittest.TestCase):
-    def test_decisions(self) -> None:
+    def test_hold_or_refuse_by_remaining_time(self) -> None:
         over = RefusalCause.OVER_LIMIT
         cases = (
             ("token available at once", 10.0, 11.0, 0.0, WaitUntil(10.0 + MIN_RETRY_SECONDS)),
--- a/tests/core/shared/test_positions.py
+++ b/tests/core/shared/test_positions.py
@@ -18,7 +18,7 @@
 
 
 class FreshnessTest(unittest.TestCase):
-    def test_table(self) -> None:
+    def test_satisfied_floors(self) -> None:
         for name, applied, floor, fresh in FRESHNESS:
             with self.subTest(name):
                 self.assertEqual(satisfies(applied, floor, TERM_STARTS), fresh)
