--- a/src/dewledge/core/pooler/rate_limits/limits.py
+++ b/src/dewledge/core/pooler/rate_limits/limits.py
@@ -5,10 +5,10 @@
 operations from a small local reserve. The sum of all parts stays within the bound whichever
 processes are partitioned from each other.
 
-All buckets of a caller together fill at `rate` tokens a second at most, because the fractions of
-the votes that grantors hold sum up to one at most, and hold one full bucket at most at any moment
-(grantor.py). So they grant at most a full bucket plus rate x window in every window, however often
-the grantor changes.
+All buckets of a caller together fill at no more than `rate` tokens a second, because the fractions
+of the votes that grantors hold sum up to one at most. They never hold more than one full bucket
+together (slot_grants.py). So they grant at most a full bucket plus rate x window in every window,
+however often the grantor changes.
 """
 
 import msgspec
--- a/src/dewledge/core/pooler/rate_limits/local_allowance.py
+++ b/src/dewledge/core/pooler/rate_limits/local_allowance.py
@@ -15,7 +15,8 @@
 
 
 class LocalAllowance:
-    """A caller's allowance in this process. Times are in seconds of the process's steady clock."""
+    """Limits a caller's operations that this process admits without a grantor. Times are in seconds
+    of the process's steady clock."""
 
     def __init__(
         self,
--- a/src/dewledge/core/pooler/rate_limits/token_queue.py
+++ b/src/dewledge/core/pooler/rate_limits/token_queue.py
@@ -65,8 +65,8 @@
         """When the token of each position is available, in the order of arrival. Holds at most rate
         x RESERVATION_HORIZON_SECONDS positions plus a full bucket."""
         self._granted_at: dict[QueueKey, float] = {}
-        """When tokens were granted, for their lifetime: an operation whose answer was lost asks
-        again."""
+        """When each token was granted; stored for the token's lifetime, because an operation whose
+        answer was lost asks again."""
         self._detector = PersistentQueueDetector()
         self.retries = RetryTimes()
 
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -1,8 +1,8 @@
 """Estimates how long statements occupy a database slot, from durations in seconds."""
 
 MAX_STEP_FACTOR = 10.0
-"""Factor of the mean that one duration counts as at most, which limits the effect of a duration
-that includes a pause of the process."""
+"""Factor: a longer duration than this multiple of the mean is reduced to it, which limits the
+effect of a duration that includes a pause of the process."""
 DEVIATIONS_ABOVE_MEAN = 2.0
 """Deviations added to the mean for a value that most durations do not exceed."""
 
--- a/tests/core/pooler/rate_limits/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -14,8 +14,7 @@
 
 
 class ProcessScheduler:
-    """The scheduler of one process. Callbacks whose time comes while it is frozen run
-    afterwards."""
+    """Schedules the callbacks of one process; delays those that are due while it is frozen."""
 
     def __init__(self, scheduler: ModelScheduler) -> None:
         self._scheduler = scheduler
