--- a/tests/core/pooler/rate_limits/random_faults.py
+++ b/tests/core/pooler/rate_limits/random_faults.py
@@ -20,12 +20,12 @@
     network.urgency_count = 1 + seed // 2 % 3
     network.run(2.0, NORMAL_RATES)
     for _ in range(8):
-        _disturb(network, rng)
+        _inject_fault(network, rng)
         network.run(rng.uniform(0.2, 2.0), HIGH_RATES, timeout=rng.choice((0.35, 1.5)))
     return network
 
 
-def _disturb(network: ModelNetwork, rng: random.Random) -> None:
+def _inject_fault(network: ModelNetwork, rng: random.Random) -> None:
     affected = [name for name in network.names if rng.random() < 0.4]
     fault = rng.choice(("cut", "heal", "freeze", "restart", "power", "loss", "delay"))
     now = network.scheduler.now()
--- a/tests/core/pooler/rate_limits/simulated_clients.py
+++ b/tests/core/pooler/rate_limits/simulated_clients.py
@@ -115,7 +115,7 @@
 def random_arrivals(rate: float, end: float, seed: int) -> list[float]:
     """Returns the arrival times of a Poisson process."""
     rng = random.Random(seed)
-    moments = [rng.expovariate(rate)]
-    while moments[-1] < end:
-        moments.append(moments[-1] + rng.expovariate(rate))
-    return moments
+    times = [rng.expovariate(rate)]
+    while times[-1] < end:
+        times.append(times[-1] + rng.expovariate(rate))
+    return times
