--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -88,12 +88,14 @@
         return voter.candidate
 
     def tick(self, now: float) -> bool:
-        """Sends votes and leaves silent candidates; returns whether no polled slot lacks a
-        grantor."""
+        """Sends the votes that are due and replaces silent candidates.
+
+        Returns whether the grantor of every polled slot is known.
+        """
         self._withdraw_previous_votes(now)
         for slot in voting_slots(self._process_name, slot_count(len(self._members))):
             self.voter(slot)
-        polled = {slot: it for slot, it in self._voters.items() if it.needs_polling(now)}
+        polled = {slot: each for slot, each in self._voters.items() if each.needs_polling(now)}
         for slot, voter in polled.items():
             self._poll(slot, voter, now)
         return all(voter.has_grantor(now) for voter in polled.values())
@@ -102,7 +104,7 @@
         """Returns whether an operation may ask the slot's candidate now.
 
         The candidate may be asked if it grants, or if `Voter.may_ask_unconfirmed` allows it. In the
-        second case the candidates that were left for this one are probed too.
+        second case the more preferred candidates are probed too.
         """
         voter = self.voter(slot)
         if voter.has_grantor(now):
@@ -110,7 +112,7 @@
         if not voter.may_ask_unconfirmed(now):
             return False
         voter.record_waiting_operation(now)
-        for name in voter.check_candidates(now):
+        for name in voter.replace_silent_candidate(now):
             self._questions.probe(slot, name)
         return True
 
@@ -136,8 +138,8 @@
         return True
 
     def _poll(self, slot: Slot, voter: Voter, now: float) -> None:
-        """Asks the candidate, with a vote if this process has one; leaves a silent candidate."""
-        for name in voter.check_candidates(now):
+        """Asks the candidate, with a vote if one may be sent; replaces a silent candidate."""
+        for name in voter.replace_silent_candidate(now):
             self._questions.probe(slot, name)
         for name in voter.pending_withdrawals(now):
             self._questions.withdraw(slot, name)
