--- a/src/dewledge/platform/__init__.py
+++ b/src/dewledge/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform in its own manner of speaking: names, formats and calls. Nothing decides."""
+"""Adapter for the users' platform: its wire protocol, row formats and HTTP calls."""
--- a/src/dewledge/platform/adapter.py
+++ b/src/dewledge/platform/adapter.py
@@ -1,6 +1,6 @@
-"""Builds the adapter of the users' platform: everything that the product is given of it.
+"""Builds the `PlatformAdapter` for the users' platform.
 
-The only module that knows which table and key of the platform's store hold what.
+Only this module names the store's tables and keys for the configuration and the databases.
 """
 
 from dewledge.platform.operator_records import (
@@ -18,7 +18,7 @@
 
 
 def build_adapter(settings: PoolerSettings) -> PlatformAdapter:
-    """Returns the adapter for the addresses of the settings."""
+    """Returns an adapter that calls the addresses in the settings."""
     return PlatformAdapter(
         store=PlatformStore(settings.store_address, {CONFIGURATION_TABLE: without_keys}),
         promotions=PlatformPromotions(settings.duty_address) if settings.duty_address else None,
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -1,6 +1,6 @@
-"""What operators and databases write into the store, as the product's typed resources.
+"""Parses the JSON rows that operators and databases write into the store.
 
-Raises ProtocolError for what cannot be read; fields that are not known are passed over.
+A row that cannot be decoded raises ProtocolError; unknown fields are ignored.
 """
 
 from typing import TypeVar
@@ -66,10 +66,10 @@
 
 
 def without_keys(value: bytes) -> bytes:
-    """Returns the operator's configuration with digests in place of tenants' keys.
+    """Returns the operator's configuration with tenants' API keys replaced by their digests.
 
-    So no key is kept in this process, passed on to another, or found in anything that is logged.
-    What cannot be read becomes empty, which is refused as a configuration.
+    This keeps plaintext keys out of this process's memory, its messages to other processes and its
+    logs. Returns empty bytes if the value cannot be decoded; `parse_configuration` rejects these.
     """
     try:
         row = msgspec.json.decode(value)
@@ -81,7 +81,7 @@
 
 
 def parse_configuration(value: bytes) -> RouteTable:
-    """Returns the operator's configuration, as `without_keys` leaves it."""
+    """Parses the operator's configuration as returned by `without_keys`. Raises ProtocolError."""
     row = _decode(value, _ConfigurationRow)
     tenants = row.tenants or []
     return RouteTable(
@@ -100,7 +100,7 @@
 
 
 def parse_database(database_id: str, value: bytes, revision: int) -> DatabaseRecord:
-    """Returns a database's own entry."""
+    """Parses the row that a database wrote about itself. Raises ProtocolError."""
     row = _decode(value, _DatabaseRow)
     role = DatabaseRole.PRIMARY if row.db_role == "primary" else DatabaseRole.REPLICA
     return DatabaseRecord(
--- a/src/dewledge/platform/statement_texts.py
+++ b/src/dewledge/platform/statement_texts.py
@@ -1,4 +1,4 @@
-"""The texts of statements, to and from the product's own types. Translates only."""
+"""Converts between statement texts on the wire and `Statement`."""
 
 from dewledge.core.pooler.statements.statements import MalformedInput, Statement, StatementKind
 from dewledge.platform.wire_words import OWN_TEXTS, READ_WORD, STEP_DOWN_WORD, WRITE_WORD
@@ -7,7 +7,7 @@
 
 
 def parse_text(statement_id: str, text: str) -> Statement | MalformedInput:
-    """Returns the statement that a client's text asks for."""
+    """Parses a client's text; returns MalformedInput if it is not a known statement."""
     word, _, rest = text.partition(" ")
     parsed = _parse(statement_id, text, word, rest)
     if parsed is None:
@@ -16,7 +16,7 @@
 
 
 def format_text(statement: Statement) -> str:
-    """Returns the text of a statement, the client's own where it has one."""
+    """Returns the text to send to a database; reads and writes keep the client's text."""
     if statement.kind in (StatementKind.READ, StatementKind.WRITE):
         return statement.text
     if statement.kind is StatementKind.SET_VALUE:
--- a/src/dewledge/platform/status_row.py
+++ b/src/dewledge/platform/status_row.py
@@ -1,4 +1,4 @@
-"""The row by which a database tells its state, to the product's own type."""
+"""Parses the row with which a database answers a STATUS statement."""
 
 from dewledge.core.pooler.failover.messages import DatabaseStatus
 from dewledge.core.pooler.statements.statements import Reply
@@ -9,7 +9,7 @@
 
 
 def parse_status(reply: Reply) -> DatabaseStatus | None:
-    """Returns the state in an answer to a status statement, None if it holds none."""
+    """Returns the status in a reply to a STATUS statement, None if the reply has no valid one."""
     if reply.failure is not None or not reply.rows:
         return None
     fields = reply.rows[0].split(" ")
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -1,7 +1,7 @@
-"""Calls to the platform's store, and the promotions that are the duty of one node. They block.
+"""Blocking HTTP clients for the platform's store and its promotion endpoint.
 
-May be called from any thread; HttpCalls keeps the connections. Translates at the edge: statuses of
-the store become the product's errors, and nothing is tried again here.
+Methods may be called from any thread; `HttpCalls` pools the connections. HTTP statuses are
+converted to StoreError and its subclasses. Calls are not retried here.
 """
 
 import base64
@@ -36,15 +36,15 @@
 )
 
 CONNECT_SECONDS = 0.7
-"""For the store to accept a connection."""
+"""Seconds for the store to accept a connection."""
 RETRY_AFTER_SECONDS = 0.5
-"""Told with a refusal for too many calls, which names no time itself."""
+"""Seconds to wait after status 429, whose response has no retry time."""
 LONGEST_ANSWER_SECONDS = 6.0
-"""For an answer that goes on coming: a configuration of 1,400 routes is some 350 KB, which takes
-0.6 s over a link of 5 Mbit/s that carries nothing else, and some times that beside all else. Given
-up sooner it would fill the link for nothing and be begun anew."""
+"""Seconds for a response whose data keeps arriving. A configuration of 1,400 routes has about
+350 KB, which takes 0.6 s on an idle link of 5 Mbit/s and several times that on a busy one; a
+shorter limit would abort such a transfer, and the next call would start it again."""
 PAGE_ROWS = 500
-"""Of a table in one answer."""
+"""Rows of a table requested per call."""
 ACCEPTED = 200
 FENCED = 409
 _JSON = {"Content-Type": "application/json"}
@@ -76,21 +76,24 @@
 
 
 class PlatformStore:
-    """The store at one address."""
+    """Client of the store at one address, with the operations of `CoordinationStore`."""
 
     def __init__(
         self, address: str, stripped: Mapping[str, Callable[[bytes], bytes]] | None = None
     ) -> None:
-        """`stripped`: by table, what takes secrets out of a row's value as soon as it is read."""
+        """`stripped`: by table, a function that removes secrets from each value read."""
         self._calls = HttpCalls(address, CONNECT_SECONDS, _KEEPALIVE)
         self._stripped = stripped or {}
 
     def change_address(self, address: str) -> None:
-        """Sends later calls to another "ip:port"."""
+        """Sends subsequent calls to another address ("ip:port")."""
         self._calls.change_address(address)
 
     def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
-        """Returns all rows of a table's empty part."""
+        """Returns all rows of a table whose part is empty, read page by page.
+
+        limit: timeout in seconds of each page's call.
+        """
         rows: list[StoreRow] = []
         start = ""
         while True:
@@ -102,7 +105,7 @@
             start = answer.rows[-1].tls_key + "\0"
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
-        """Returns one row of a table's empty part, None if it is not there."""
+        """Returns one row of a table whose part is empty, None if it does not exist."""
         behind = key + "\0"
         query = {"table": table, "part": "", "startRev": key, "targetVersion": behind, "limit": "1"}
         answer = self._get("/dewledge/rows-get", query, CALL_LIMIT_SECONDS)
@@ -110,13 +113,13 @@
         return rows[0] if rows else None
 
     def watch_table(self, table: str, after: int, wait: float) -> FeedAnswer:
-        """Returns the rows of a table that changed after a version, waiting `wait` seconds."""
+        """Returns the rows that changed after a version, waiting up to `wait` seconds for one."""
         query = {"table": table, "after": str(after), "waitMs": str(int(wait * 1000))}
         answer = self._get("/dewledge/rows-feed", query, wait + CALL_LIMIT_SECONDS)
         return FeedAnswer(tuple(self._store_row(table, row) for row in answer.rows), answer.ver)
 
     def write(self, write: StoreWrite) -> int:
-        """Puts one row if it still has the expected version; returns the new version."""
+        """Writes one row if it still has the expected version; returns the new version."""
         address = {"table": write.table, "part": "", "tlsKey": write.key}
         value = base64.b64encode(write.value).decode()
         body = {
@@ -156,10 +159,10 @@
 
 
 class PlatformPromotions:
-    """Calls that the platform takes from one node at a time.
+    """Client of the promotion endpoint; each call carries the lease holder and its fencing token.
 
-    A connection given up on is reset: what a broken network still holds of a call is never
-    delivered later.
+    Closing a connection resets it (SO_LINGER with zero timeout), so a call that timed out is not
+    delivered later from the socket's send buffer.
     """
 
     def __init__(self, address: str) -> None:
@@ -167,7 +170,7 @@
         self._calls = HttpCalls(address, CONNECT_SECONDS, options)
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
-        """Asks for a new primary; returns whether the platform took it. Raises StoreError."""
+        """Requests a promotion; returns False if it was fenced off. Raises StoreError."""
         headers = {
             **_JSON,
             "Dewledge-Lease-Holder": holder,
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -1,6 +1,6 @@
-"""The line codec: one message a line, words and fields separated by blanks.
+"""Codec of the line protocol: one message per line, fields separated by single spaces.
 
-Owns what is left of a line that has not come whole. Translates only; `wire_words` has the words.
+Incomplete lines are buffered until their end arrives. The keywords are in `wire_words`.
 """
 
 from collections.abc import Sequence
@@ -31,14 +31,14 @@
 
 
 class LineBuffer:
-    """Cuts a stream into lines; `overflow` once a line is longer than a message may be."""
+    """Splits a stream into lines; `overflow` is set once a line exceeds MAX_LINE_BYTES."""
 
     def __init__(self) -> None:
         self._data = bytearray()
         self.overflow = False
 
     def feed(self, data: bytes) -> list[str]:
-        """Returns the lines that are whole now, without their ends."""
+        """Adds received bytes; returns the lines completed by them, without line ends."""
         self._data += data
         *lines, rest = bytes(self._data).split(LINE_END)
         self._data = bytearray(rest)
@@ -48,13 +48,13 @@
 
 
 class WireClientCodec:
-    """A client's stream."""
+    """Decodes a client's messages and encodes the responses to it."""
 
     def __init__(self) -> None:
         self._lines = LineBuffer()
 
     def feed(self, data: bytes) -> Sequence[ClientMessage]:
-        """Returns the messages that are whole now; bytes that are none as MalformedInput."""
+        """Returns the messages completed by `data`; an invalid message becomes MalformedInput."""
         messages: list[ClientMessage] = [
             _parse_client_line(line) for line in self._lines.feed(data)
         ]
@@ -63,15 +63,15 @@
         return messages
 
     def ready(self) -> bytes:
-        """Returns the answer to an accepted startup."""
+        """Returns the response to an accepted startup."""
         return _line("READY", STATE_LETTERS[STATES["I"]], NOTHING)
 
     def refusal(self, failure: Failure) -> bytes:
-        """Returns the answer to a refused startup."""
+        """Returns the response to a refused startup."""
         return _error_line(failure)
 
     def reply(self, statement_id: str, reply: Reply) -> bytes:
-        """Returns the answer to a statement."""
+        """Returns the response to a statement: its rows, then completion or error, then READY."""
         parts = [_line("DATAROW", row) for row in reply.rows]
         if reply.failure is not None:
             parts.append(_error_line(reply.failure))
@@ -82,7 +82,7 @@
 
 
 class WireDatabaseCodec:
-    """A database connection's stream."""
+    """Encodes the messages sent on a database connection and decodes the replies."""
 
     def __init__(self) -> None:
         self._lines = LineBuffer()
@@ -91,25 +91,25 @@
         self._failure: Failure | None = None
 
     def startup(self, group: str, user: str, database_id: str) -> bytes:
-        """Returns the first message of a connection."""
+        """Returns the startup message, the first one sent on a connection."""
         return _line("STARTUP", group, user, database_id)
 
     def statement(self, statement: Statement, floor: LogPosition | None) -> bytes:
-        """Returns a statement that runs only where the log holds `floor`."""
+        """Returns a QUERY message; `floor` is the log position required of the database."""
         text = format_text(statement)
         if floor is not None:
             text = f"AFTER {floor.term}.{floor.offset} {text}"
         return _line("QUERY", statement.id, text)
 
     def feed(self, data: bytes) -> Sequence[Reply]:
-        """Returns the answers that are whole now. Raises ProtocolError."""
+        """Returns the replies completed by `data`. Raises ProtocolError."""
         replies = []
         for line in self._lines.feed(data):
             reply = self._take(line)
             if reply is not None:
                 replies.append(reply)
         if self._lines.overflow:
-            raise ProtocolError("a message of the database is too long")
+            raise ProtocolError("a message from the database exceeds the maximum length")
         return replies
 
     def _take(self, line: str) -> Reply | None:
@@ -124,14 +124,14 @@
         elif word == "READY":
             return self._ready(rest)
         else:
-            raise ProtocolError(f"unknown word {word[:20]!r} of a database")
+            raise ProtocolError(f"unknown message {word[:20]!r} from a database")
         return None
 
     def _ready(self, rest: str) -> Reply:
         letter, _, position = rest.partition(" ")
         state = STATES.get(letter)
         if state is None:
-            raise ProtocolError(f"unknown state {letter[:20]!r} of a database")
+            raise ProtocolError(f"unknown transaction state {letter[:20]!r} from a database")
         reply = Reply(
             state, tuple(self._rows), self._signature, self._failure, parse_position(position)
         )
@@ -140,12 +140,12 @@
 
 
 def parse_position(text: str) -> LogPosition | None:
-    """Returns the position in TERM.NUMBER, None for "-". Raises ProtocolError."""
+    """Parses a log position "TERM.OFFSET"; returns None for "-". Raises ProtocolError."""
     if text == NOTHING:
         return None
     term, _, offset = text.partition(".")
     if not (term.isascii() and term.isdigit() and offset.isascii() and offset.isdigit()):
-        raise ProtocolError(f"{text[:40]!r} is no log position")
+        raise ProtocolError(f"{text[:40]!r} is not a log position")
     return LogPosition(int(term), int(offset))
 
 
--- a/src/dewledge/platform/wire_words.py
+++ b/src/dewledge/platform/wire_words.py
@@ -1,10 +1,10 @@
-"""The words of the wire, and what they are called inside the product."""
+"""Keywords of the wire protocol and the enum members that they stand for."""
 
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.errors import ErrorCode
 
 MAX_LINE_BYTES = 1024 * 1024
-"""Of one line; a client that sends a longer one is refused."""
+"""Bytes of a line without its end; a longer line is a protocol error."""
 LINE_END = b"\r\n"
 NOTHING = "-"
 
