--- a/src/dewledge/shell/pooler/__init__.py
+++ b/src/dewledge/shell/pooler/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, threads and signals of the pooler: what drives `core/pooler` in a process."""
+"""Sockets, threads and signals that run `core/pooler` in a process."""
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -1,8 +1,7 @@
-"""Puts the parts of one process together, from those that rest on nothing to those on top.
+"""Builds the components of a pooler process in the order of their dependencies.
 
-Each class holds parts that belong together and builds them in its constructor, from the parts of
-the classes above it; `connect` says in one place who is told what. Nothing here decides, and no
-part is changed after it is built. `pooler_process` starts and stops the parts.
+Each class builds related components in its constructor, from components of the classes above it.
+`connect` subscribes the components to each other's notices. `pooler_process` starts and stops them.
 """
 
 import secrets
@@ -45,12 +44,12 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 EXECUTOR_THREADS = 8
-"""Calls to the store and the platform block: one for each of three tables, the rest for rows that
-are written and promotions."""
+"""Number of threads for blocking calls: one for each of three tables that are watched, the others
+for writes to the store and promotions."""
 
 
 class LoopScheduler:
-    """The loop as the core's clock and timers."""
+    """Clock and timers of the event loop, in the form that `core` expects."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.now = loop.now
@@ -58,7 +57,7 @@
 
 
 class ProcessBase:
-    """What all parts rest on: settings, loop, log, threads, and what sessions share."""
+    """Components that all others use: settings, event loop, log, threads and session services."""
 
     def __init__(self, settings: PoolerSettings, platform: PlatformAdapter) -> None:
         self.settings = settings
@@ -88,13 +87,13 @@
 
 
 class Neighbours:
-    """The other processes: who they are, links and datagrams to them, and leases among them."""
+    """Communication with the other processes: member table, links, datagrams, primary leases."""
 
     def __init__(self, base: ProcessBase) -> None:
-        """Binds the address of datagrams. Raises OSError if it cannot."""
+        """Binds the datagram address. Raises OSError if that fails."""
         settings, loop = base.settings, base.loop
         self.fencing = Fencing.PLATFORM if settings.promotions_fenced else Fencing.PROCESSES
-        # Where processes fence, a row written before this start would pass for one of this start.
+        # With fencing by processes, a restart must change this process's row.
         start = secrets.token_hex(4) if self.fencing is Fencing.PROCESSES else ""
         own = Member(settings.peer_address, settings.zone, start)
         self.leases = PrimaryLeases(self.fencing)
@@ -106,12 +105,12 @@
 
 
 class DatabaseAccess:
-    """The groups of databases, and how connections to them are opened."""
+    """The database groups, and the openers of connections to their databases."""
 
     def __init__(self, base: ProcessBase, neighbours: Neighbours) -> None:
         settings, services = base.settings, base.services
         self.reach_limit = ReachLimit()
-        """How long databases take to accept a connection, as openers and probes observe it."""
+        """Connection timeout, adapted to the connection times that openers and probes observe."""
         direct = DirectOpener(
             base.loop,
             settings.name,
@@ -127,7 +126,7 @@
 
 
 class Failover:
-    """What finds a lost primary and replaces it; `core/pooler/failover` decides."""
+    """Detection and replacement of lost primaries; the decisions are in `core/pooler/failover`."""
 
     def __init__(self, base: ProcessBase, neighbours: Neighbours, reach_limit: ReachLimit) -> None:
         settings, platform = base.settings, base.platform
@@ -160,7 +159,7 @@
 
 
 def build_quota(base: ProcessBase, neighbours: Neighbours) -> QuotaDriver:
-    """Returns what has the rate limits of callers kept among all processes."""
+    """Returns the driver that enforces callers' rate limits across all processes."""
     name = base.settings.name
     grantor = Grantor(name, base.settings.quota.policy, base.log.record)
     members, peers = neighbours.members, neighbours.peers
@@ -170,7 +169,7 @@
 def build_tables(
     base: ProcessBase, neighbours: Neighbours, directory: Directory, failover: Failover
 ) -> TableReading:
-    """Returns what reads the store's tables, and hands the rows of each table on."""
+    """Returns the reader of the store's tables, with a handler for the rows of each table."""
     platform, members = base.platform, neighbours.members
     calls = StoreCalls(platform.store, base.executor)
     tables = TableReading(base.loop, base.settings, calls, neighbours.links, members, TABLE)
@@ -189,7 +188,7 @@
     if neighbours.fencing is Fencing.PLATFORM:
         tables.add(TABLE, own.take_snapshot, own.take_rows)
         return tables
-    # The holder of a claim waits for all that have rows beside it, so it has to know these.
+    # A claim's holder waits for every process with a row in the table, so it must read their rows.
     failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
     confirmed = failover.claims.store_confirmed
     tables.add(TABLE, own.take_snapshot, own.take_rows, LEASE_WAIT_SECONDS, confirmed)
@@ -203,7 +202,7 @@
     shares: ConnectionShares,
     tables: TableReading,
 ) -> None:
-    """Adds the listeners of each notice; they are called in this order."""
+    """Subscribes the listeners of each notice; they are called in the order of these lines."""
     notices.configuration_changed.add(quota.configuration_changed)
     notices.quota_asked.add(quota.send)
     notices.group_changed.add(failover.look_at)
--- a/src/dewledge/shell/pooler/coordination_table.py
+++ b/src/dewledge/shell/pooler/coordination_table.py
@@ -1,7 +1,7 @@
-"""Takes the rows of the product's own table: members, claims, and what is known of claims.
+"""Applies rows of the coordination table: members, claims and acknowledgements of claims.
 
-Relies on the store's order: rows of one read are taken together, members before claims, since
-whoever judges a claim has to know which processes have rows beside it.
+The rows of one read are applied together, members before claims, because evaluating a claim
+requires the set of processes that are registered at the same table version.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class CoordinationTable:
-    """All methods belong to the loop's thread."""
+    """Passes table rows to the components that use them. Call only from the event loop's thread."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         failover: FailoverDriver,
         claims: ClaimKeeper,
     ) -> None:
-        """`register`: has the own row written if it is missing."""
+        """`register`: writes this process's row to the table if it is missing."""
         self._members = members
         self._members_changed = members_changed
         self._register = register
@@ -32,11 +32,11 @@
         self._claims = claims
 
     def take_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Takes the whole table: processes that are not in it have gone."""
+        """Applies the whole table; members without a row in it are removed."""
         self._take(rows, version, self._members.take_snapshot(rows))
 
     def take_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Takes rows that changed."""
+        """Applies rows that changed."""
         self._take(rows, version, self._members.take_rows(rows))
 
     def _take(self, rows: tuple[StoreRow, ...], version: int, members_changed: bool) -> None:
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -1,8 +1,7 @@
-"""Takes the store's rows of the configuration and of databases, and keeps groups by them.
+"""Applies the store's configuration and database rows to the routes and groups of the process.
 
-Owns what these rows say: the configuration in force (`services.routes`) and each group's view of
-its databases. An unreadable row is logged and changes nothing. Relies on the platform's adapter to
-read rows, and on `group_factory` for groups and for the shares of their connections.
+Sets the active configuration (`services.routes`) and each group's view of its databases. The
+platform adapter parses the rows; a row that cannot be parsed is logged and ignored.
 """
 
 from loguru import logger
@@ -17,7 +16,7 @@
 
 
 class Directory:
-    """Routes and groups of one process. All methods belong to the loop's thread."""
+    """Maintains the routes and groups of a process. Call only from the event loop's thread."""
 
     def __init__(
         self,
@@ -35,7 +34,7 @@
         self._now = services.scheduler.now
 
     def take_configuration_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
-        """Takes rows of the operators' table."""
+        """Applies changed rows of the operators' table, and all rows of a snapshot."""
         for row in rows:
             if row.key == self._platform.configuration_key and not row.gone:
                 self._take_configuration(row)
@@ -59,7 +58,7 @@
         self._services.wake_if_configured()
 
     def take_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Takes the whole table of databases: what is not in it has left."""
+        """Applies the whole table of databases; databases without a row in it are removed."""
         present = {row.key for row in rows}
         for group in self._services.groups.values():
             for database_id in list(group.view.databases):
@@ -68,7 +67,7 @@
         self.take_database_rows(rows, version)
 
     def take_database_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
-        """Takes rows of databases that changed."""
+        """Applies rows of databases that changed."""
         for row in rows:
             if row.gone:
                 for group in self._services.groups.values():
--- a/src/dewledge/shell/pooler/group_factory.py
+++ b/src/dewledge/shell/pooler/group_factory.py
@@ -1,7 +1,7 @@
-"""Makes the groups of a process, and shares their databases' connections among the processes.
+"""Creates the groups of a process and divides database connections among the processes.
 
-Owns the process's map of groups as far as new ones are added. Relies on the configuration in force
-(`services.routes`) and on the members that the store's table tells.
+New groups are added to `services.groups`. The division follows from the active configuration
+(`services.routes`) and the member table.
 """
 
 import random
@@ -18,13 +18,13 @@
 from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
 
 DRAIN_MARGIN_SECONDS = 2.0
-"""Taken off the bound within which a leaving database gets no new work."""
+"""Seconds subtracted from the configured time after which a draining database gets no new work."""
 LEAST_DRAIN_SECONDS = 1.0
-"""What is left of a bound that is hardly longer than the margin."""
+"""Seconds: lower bound of the drain time after the margin is subtracted."""
 
 
 class GroupFactory:
-    """Makes each group once."""
+    """Creates each group on first use."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         opener: SharingOpener,
         direct: DirectOpener,
     ) -> None:
-        """`opener`: for statements of this process; `direct`: for those of all."""
+        """`opener`: for this process's statements; `direct`: for all processes' statements."""
         self._services = services
         self._leases = leases
         self._opener = opener
@@ -44,7 +44,7 @@
         self._drain_bound = max(drain_bound, LEAST_DRAIN_SECONDS)
 
     def group(self, name: str) -> Group:
-        """Returns the group of this name; it is made if it is not known yet."""
+        """Returns the group of this name, created if it does not exist."""
         group = self._services.groups.get(name)
         if group is None:
             group = self._services.groups[name] = self._make(name)
@@ -70,7 +70,7 @@
 
 
 class ConnectionShares:
-    """How many of each database's connections this process holds, or through whom it goes."""
+    """Decides for each database whether to hold connections, and how many, or to use holders."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self._groups = groups
 
     def share_anew(self) -> None:
-        """Has each group find anew how this process reaches its databases."""
+        """Makes each group recompute how this process reaches its databases."""
         for name in self._services.routes.groups:
             self._groups.group(name).set_holdings(self._find_holding)
 
--- a/src/dewledge/shell/pooler/known_databases.py
+++ b/src/dewledge/shell/pooler/known_databases.py
@@ -1,6 +1,6 @@
-"""Which group of this process a database belongs to, and what is learnt of its group.
+"""Looks up databases by id across all groups, and finds the route to a database.
 
-Relies on the process's map of groups, which `directory` fills from the store's rows.
+The groups come from the process's map of groups, which `directory` fills from the store's rows.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,14 +13,14 @@
 
 
 class KnownDatabases:
-    """The databases of all groups, by id."""
+    """Index of the databases of all groups by id."""
 
     def __init__(self, groups: Mapping[str, Group]) -> None:
-        """`groups`: by name; read at each call."""
+        """`groups`: by name; a live mapping that is searched on each call."""
         self._groups = groups
 
     def find(self, database_id: str) -> DatabaseRecord | None:
-        """Returns a database by its id, None if no group has it."""
+        """Returns the record of a database, None if no group contains it."""
         for group in self._groups.values():
             record = group.view.databases.get(database_id)
             if record is not None:
@@ -28,32 +28,32 @@
         return None
 
     def group_of(self, database_id: str) -> Group | None:
-        """Returns the group of a database, None if no group has it."""
+        """Returns the group of a database, None if no group contains it."""
         record = self.find(database_id)
         return None if record is None else self._groups[record.group]
 
     def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
-        """Takes what a holder proved of a database's group; see Group.record_proof."""
+        """Passes a commit position reported by a holder to the group; see Group.record_proof."""
         group = self.group_of(database_id)
         if group is not None:
             group.record_proof(true_at, position)
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        """Takes a load report of the holder at this address; see Group.take_load."""
+        """Passes a load report from a connection holder to the group; see Group.take_load."""
         group = self.group_of(database_id)
         if group is not None:
             group.take_load(database_id, holder, report)
 
 
 class RouteFinder:
-    """Finds through which processes a database is reached."""
+    """Finds the processes through which a database is reached."""
 
     def __init__(self, databases: KnownDatabases, members: MemberTable) -> None:
         self._databases = databases
         self._members = members
 
     def find(self, database_id: str, caller: str) -> Sequence[str] | None:
-        """Returns the addresses of the processes to go through, None for a direct connection."""
+        """Returns the addresses of the processes to connect through, None to connect directly."""
         group = self._databases.group_of(database_id)
         if group is None:
             return None
--- a/src/dewledge/shell/pooler/listeners.py
+++ b/src/dewledge/shell/pooler/listeners.py
@@ -1,4 +1,4 @@
-"""Who listens to one kind of event of a process: a typed list of calls."""
+"""Typed list of callbacks for one kind of event."""
 
 from collections.abc import Callable
 from typing import Generic, ParamSpec
@@ -7,16 +7,16 @@
 
 
 class Listeners(Generic[P]):
-    """The calls that take one kind of event."""
+    """Callbacks for one kind of event, called synchronously in the order of subscription."""
 
     def __init__(self) -> None:
         self._calls: list[Callable[P, None]] = []
 
     def add(self, call: Callable[P, None]) -> None:
-        """Subscribes a call for the life of the process."""
+        """Adds a callback; it cannot be removed."""
         self._calls.append(call)
 
     def tell(self, *args: P.args, **kwargs: P.kwargs) -> None:
-        """Passes an event to each call."""
+        """Calls each callback with the event's arguments."""
         for call in self._calls:
             call(*args, **kwargs)
--- a/src/dewledge/shell/pooler/notices.py
+++ b/src/dewledge/shell/pooler/notices.py
@@ -1,8 +1,8 @@
-"""What the parts of a process tell each other without knowing each other.
+"""Events that components of a process publish without depending on their subscribers.
 
-Owns a list of listeners for each kind of event; built before the parts. Who tells is given `tell`
-of a list as the function to call, and `composition.connect` says in one place who listens. Belongs
-to the loop's thread; listeners are called at once, in the order in which they were added.
+The lists of listeners are built before the components. A publisher gets the `tell` method of a
+list as its callback; `composition.connect` adds the subscribers. Use only on the event loop's
+thread: listeners are called synchronously, in the order in which they were added.
 """
 
 from dewledge.core.pooler.rate_limits.messages import QuotaQuestion
@@ -11,16 +11,16 @@
 
 
 class ProcessNotices:
-    """The notices of one process."""
+    """One list of listeners for each kind of event in a process."""
 
     def __init__(self) -> None:
         self.configuration_changed: Listeners[[RouteTable]] = Listeners()
-        """Another configuration is in force: its routes."""
+        """A new configuration was applied. Argument: its route table."""
         self.group_changed: Listeners[[str]] = Listeners()
-        """The view of the group of this name has changed."""
+        """A group's view of its databases changed. Argument: the group's name."""
         self.members_changed: Listeners[[]] = Listeners()
-        """Other processes are known now, or at other addresses."""
+        """The set of member processes or one of their addresses changed."""
         self.database_suspected: Listeners[[str, str]] = Listeners()
-        """A database of a group left a statement without an answer: group, database."""
+        """A database did not answer a statement. Arguments: group name, database id."""
         self.quota_asked: Listeners[[str, QuotaQuestion]] = Listeners()
-        """The gate asks the process of this name for a share of callers' limits."""
+        """The gate requests tokens. Arguments: the grantor's process name, the request."""
--- a/src/dewledge/shell/pooler/planned_stop.py
+++ b/src/dewledge/shell/pooler/planned_stop.py
@@ -1,9 +1,10 @@
-"""A planned stop: what a process does from the signal to its end, and whether it is ready.
+"""Graceful shutdown of a process, and its readiness.
 
-Owns the moment at which the stop began. Within the bound of the settings, measured from there:
-at once no new sessions and, at other processes, nothing new through this one; clients leave at
-their next rest; from TAKE_SHARE of the bound on nothing begins; from half of it on transactions are
-rolled back; it ends when nothing is left, at END_SHARE of the bound at the latest.
+The shutdown is limited by the setting `timings.stop_bound`, counted from its beginning. At once the
+process reports that it is not ready and asks other processes to send it no new work; each client
+connection is closed when it is idle. After TRANSACTION_SHARE of the limit, idle open transactions
+are rolled back; after TAKE_SHARE, new connections and statements are refused. The process ends when
+no work is left, at the earliest after TRANSACTION_SHARE, at the latest after END_SHARE.
 """
 
 from collections.abc import Callable
@@ -16,15 +17,15 @@
 from dewledge.shell.pooler.settings_file import CurrentSettings
 
 TAKE_SHARE = 0.55
-"""Of a planned stop's time; what is taken later might be cut by the end of the process."""
+"""Ratio of the limit after which new work is refused: it might not finish before the end."""
 TRANSACTION_SHARE = 0.5
-"""Of a planned stop's time, which open transactions have to end."""
+"""Ratio of the limit that clients have to end their open transactions."""
 END_SHARE = 0.9
-"""Of a planned stop's time; the rest is for the end of the process itself."""
+"""Ratio of the limit after which the process ends; the rest is for closing its resources."""
 
 
 class Readiness:
-    """Whether new connections should come to this process."""
+    """Whether this process should receive new connections."""
 
     def __init__(self, services: PoolServices) -> None:
         self._services = services
@@ -42,16 +43,16 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the process can serve and is not about to leave."""
+        """Whether the process is configured and no planned stop has begun."""
         return self._leaving_since is None and self._services.is_configured
 
     def leave(self, now: float) -> None:
-        """A planned stop begins."""
+        """Records that a planned stop began at `now`."""
         self._leaving_since = now
 
 
 class PlannedStop:
-    """All methods belong to the loop's thread."""
+    """Runs the steps of a graceful shutdown. Call only from the event loop's thread."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         settings: CurrentSettings,
         finish: Callable[[], None],
     ) -> None:
-        """`finish`: called once when the process may end."""
+        """`finish`: called when the process may end."""
         self._readiness = readiness
         self._services = services
         self._clients = clients
@@ -71,7 +72,7 @@
         self._finish = finish
 
     def begin(self, now: float) -> None:
-        """Begins the stop; a second call changes nothing."""
+        """Begins the stop; later calls have no effect."""
         if self._readiness.is_leaving:
             return
         self._readiness.leave(now)
@@ -81,7 +82,7 @@
         ).info("pooler_leaving")
 
     def go_on(self, now: float) -> None:
-        """Does what is due by now; nothing before the stop has begun."""
+        """Performs the steps that are due; does nothing before the stop has begun."""
         since = self._readiness.leaving_since
         if since is None:
             return
--- a/src/dewledge/shell/pooler/platform_adapter.py
+++ b/src/dewledge/shell/pooler/platform_adapter.py
@@ -1,6 +1,6 @@
-"""What the adapter of a platform brings: the border between the product and the platform's forms.
+"""Interface between the pooler and the platform that it runs on.
 
-Everything that the process knows of the platform comes in this one value.
+All code that depends on the platform's formats is reached through one `PlatformAdapter`.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class PlatformAdapter(msgspec.Struct, frozen=True):
-    """What the adapter of a platform brings: codecs, tables, and readers of their rows."""
+    """Clients, codecs, table names and row parsers for one platform."""
 
     store: CoordinationStore
     promotions: PromotionCalls | None
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -1,7 +1,6 @@
-"""One pooler process: the order in which its parts start, are looked after, and stop.
+"""Starts, periodically maintains and stops the components of a pooler process.
 
-Owns nothing but that order and the sweep; `composition` builds the parts, `planned_stop` decides
-what a stop does when.
+`composition` builds the components; `planned_stop` controls the steps of a shutdown.
 """
 
 import socket
@@ -31,13 +30,13 @@
 from dewledge.shell.shared.sockets import listen_tcp
 
 SWEEP_SECONDS = 0.25
-"""Between two looks at sessions, settings and a planned stop."""
+"""Seconds between two runs of the periodic maintenance."""
 
 
 class PoolerProcess:
-    """Everything of one process.
+    """A pooler process.
 
-    All methods but `leave` and `reload` belong to the loop's thread.
+    Methods other than `leave` and `reload` must be called on the event loop's thread.
     """
 
     def __init__(
@@ -49,8 +48,8 @@
     ) -> None:
         """Binds all addresses. Raises OSError if one cannot be bound.
 
-        settings_file: read again when it changes or the process is told to.
-        client_listener: listens at the clients' address already; bound here if there is none.
+        settings_file: reloaded when it changes and by `reload`.
+        client_listener: socket that listens for clients already; created here if None.
         """
         self._settings = CurrentSettings(settings, settings_file, platform.store)
         base = ProcessBase(settings, platform)
@@ -111,7 +110,7 @@
         add_process_gauges(base.metrics, parts)
 
     def run(self) -> None:
-        """Serves until the process has left."""
+        """Runs the event loop until a planned stop is complete."""
         settings = self._settings.present
         logger.bind(
             name=settings.name,
@@ -133,29 +132,29 @@
         self._loop.run()
 
     def leave(self) -> None:
-        """Begins a planned stop. May be called from a signal handler."""
+        """Begins a planned stop. Safe to call from a signal handler."""
         self._loop.post(lambda: self._stop.begin(self._loop.now()))
 
     def reload(self) -> None:
-        """Reads the settings file again. May be called from a signal handler."""
+        """Reloads the settings file. Safe to call from a signal handler."""
         self._loop.post(self._settings.reload)
 
     @property
     def client_address(self) -> str:
-        """Where clients connect."""
+        """Address on which clients connect."""
         return self._clients.address
 
     @property
     def ready_address(self) -> str:
-        """Where readiness is asked for."""
+        """Address of the readiness endpoint."""
         return self._pages.ready_address
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether this process should receive new connections."""
         return self._readiness.is_ready
 
-    # Time.
+    # Periodic maintenance.
 
     def _sweep(self) -> None:
         now = self._loop.now()
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,8 +1,7 @@
-"""Runs a process's admission and its part in granting on the event loop and the datagrams.
+"""Connects the rate-limit gate and grantor of a process to timers and datagrams.
 
-Owns the timer of the process's gate and takes datagrams to gate and grantor. Relies on the member
-table for whom to ask and at which address, and on the configuration in force for the limits. A
-question to this process itself goes to its own grantor without a datagram.
+Passes received datagrams to the gate and the grantor, and keeps them up to date with the member
+table and the configured limits. A request to this process's own grantor bypasses the network.
 """
 
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
@@ -16,7 +15,7 @@
 
 
 class QuotaDriver:
-    """All methods belong to the loop's thread."""
+    """Drives the gate and the grantor of this process. Call only from the event loop's thread."""
 
     def __init__(
         self,
@@ -27,7 +26,7 @@
         members: MemberTable,
         peers: PeerSocket,
     ) -> None:
-        """`gate`: admits operations here; its questions come to `send`."""
+        """`gate`: admits operations in this process; its requests are passed to `send`."""
         self._loop = loop
         self._own_name = own_name
         self._members = members
@@ -38,17 +37,17 @@
         peers.on(QuotaAnswer, self._take_answer)
 
     def start(self) -> None:
-        """Starts to vote, once the members are known."""
+        """Starts the gate's timer; the gate votes for grantors once the members are known."""
         self._tick()
 
     def members_changed(self) -> None:
-        """The members are known, or are others now."""
+        """Passes the current members to the gate and the grantor."""
         names = frozenset(self._members.members)
         self._gate.set_members(names)
         self._grantor.set_members(names)
 
     def configuration_changed(self, routes: RouteTable) -> None:
-        """Takes the limits of the configuration in force."""
+        """Applies the rate limits of a new configuration."""
         limits = routes.rate_limits
         self._gate.set_limits(limits)
         self._grantor.set_limits(limits)
@@ -58,7 +57,7 @@
         self._loop.call_later(again, self._tick)
 
     def send(self, name: str, question: QuotaQuestion) -> None:
-        """Sends a question of the gate to the process of this name, or asks the own grantor."""
+        """Sends a request of the gate to the named process, or to the local grantor."""
         if name == self._own_name:
             answer = self._grantor.take_question(question, self._loop.now())
             self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
--- a/src/dewledge/shell/pooler/settings_file.py
+++ b/src/dewledge/shell/pooler/settings_file.py
@@ -1,6 +1,7 @@
-"""The settings file of a running process: noticed when it changes, taken only if it is right.
+"""Reloads the settings file of a running process when it changes.
 
-Owns the settings in force. A change of one in FIXED is logged and needs a restart.
+An invalid file is logged and ignored. Changes of settings in FIXED are logged and take effect only
+after a restart.
 """
 
 from pathlib import Path
@@ -13,29 +14,29 @@
 from dewledge.pooler_settings import PoolerSettings, load_pooler_settings
 
 FIXED = ("name", "client_address", "ready_address", "peer_address", "metrics_address")
-"""Settings that need a restart; a change of one is told and not taken."""
+"""Settings that can be changed only by a restart; a reload keeps their values."""
 
 
 class MovableStore(Protocol):
-    """A store whose address may change while the process runs."""
+    """Interface of a store client whose address may change while the process runs."""
 
     def change_address(self, address: str) -> None:
-        """Sends later calls to another "ip:port"."""
+        """Sends subsequent calls to another address ("ip:port")."""
 
 
 class SettingsFile:
-    """Reads the file again when its time or size has changed."""
+    """Detects changes of the settings file by its modification time and size, and loads it."""
 
     def __init__(self, path: Path | None) -> None:
         self._path = path
         self._seen = self._stamp()
 
     def has_changed(self) -> bool:
-        """Tells whether the file is another one than last time."""
+        """Returns whether the file changed since it was last read."""
         return self._path is not None and self._stamp() != self._seen
 
     def read(self, present: PoolerSettings) -> PoolerSettings | None:
-        """Returns the new settings, None if nothing changed or the file has findings."""
+        """Returns the new settings, None if no setting changed or the file is invalid."""
         if self._path is None:
             return None
         self._seen = self._stamp()
@@ -65,27 +66,27 @@
 
 
 class CurrentSettings:
-    """The settings in force: those of the start until the file has others."""
+    """Holds the active settings, replaced when the file is reloaded with valid changes."""
 
     def __init__(self, settings: PoolerSettings, path: Path | None, store: MovableStore) -> None:
-        """`store`: is told when its address changes."""
+        """`store`: gets the address in the settings after each change of settings."""
         self.present = settings
         self._file = SettingsFile(path)
         self._store = store
 
     def reload(self) -> None:
-        """Reads the file again."""
+        """Loads the file and applies its changes."""
         changed = self._file.read(self.present)
         if changed is not None:
             self.present = changed
             self._store.change_address(changed.store_address)
 
     def reload_if_changed(self) -> None:
-        """Reads the file again if it is another one than last time."""
+        """Loads the file and applies its changes if it changed since it was last read."""
         if self._file.has_changed():
             self.reload()
 
 
 def differs(present: PoolerSettings, read: PoolerSettings, name: str) -> bool:
-    """Tells whether one setting differs."""
+    """Returns whether the setting `name` differs between `present` and `read`."""
     return bool(getattr(present, name) != getattr(read, name))
