--- a/src/dewledge/platform/adapter.py
+++ b/src/dewledge/platform/adapter.py
@@ -4,9 +4,9 @@
 """
 
 from dewledge.platform.operator_records import (
+    hash_api_keys,
     parse_configuration,
     parse_database,
-    without_keys,
 )
 from dewledge.platform.status_row import parse_status
 from dewledge.platform.store_client import PlatformPromotions, PlatformStore
@@ -20,7 +20,7 @@
 def build_adapter(settings: PoolerSettings) -> PlatformAdapter:
     """Returns an adapter that calls the addresses in the settings."""
     return PlatformAdapter(
-        store=PlatformStore(settings.store_address, {CONFIGURATION_TABLE: without_keys}),
+        store=PlatformStore(settings.store_address, {CONFIGURATION_TABLE: hash_api_keys}),
         promotions=PlatformPromotions(settings.duty_address) if settings.duty_address else None,
         parse_status=parse_status,
         new_client_codec=WireClientCodec,
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -14,7 +14,7 @@
 from dewledge.core.shared.units import MILLISECONDS
 from dewledge.errors import ProtocolError
 
-DRAINING = "draining"
+DRAINING_STATE = "draining"
 
 Row = TypeVar("Row")
 
@@ -65,7 +65,7 @@
     db_role: str = "replica"
 
 
-def without_keys(value: bytes) -> bytes:
+def hash_api_keys(value: bytes) -> bytes:
     """Returns the operator's configuration with tenants' API keys replaced by their digests.
 
     This keeps plaintext keys out of this process's memory, its messages to other processes and its
@@ -81,12 +81,12 @@
 
 
 def parse_configuration(value: bytes) -> RouteTable:
-    """Parses the operator's configuration as returned by `without_keys`. Raises ProtocolError."""
+    """Parses the operator's configuration as returned by `hash_api_keys`. Raises ProtocolError."""
     row = _decode(value, _ConfigurationRow)
     tenants = row.tenants or []
     return RouteTable(
         row.version,
-        {route.host: _route(route) for route in row.routes},
+        {route.host: _build_route(route) for route in row.routes},
         {
             service.name: GroupPolicy(service.name, service.max_connections, service.sync_replicas)
             for service in row.services
@@ -109,13 +109,13 @@
         row.address,
         row.zone,
         role,
-        row.state == DRAINING,
+        row.state == DRAINING_STATE,
         row.slots,
         revision,
     )
 
 
-def _route(row: _RouteRow) -> Route:
+def _build_route(row: _RouteRow) -> Route:
     try:
         consistency = Consistency(row.type)
     except ValueError:
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -35,18 +35,18 @@
     StoreRateLimited,
 )
 
-CONNECT_SECONDS = 0.7
+CONNECT_TIMEOUT_SECONDS = 0.7
 """Seconds for the store to accept a connection."""
 RETRY_AFTER_SECONDS = 0.5
 """Seconds to wait after status 429, whose response has no retry time."""
-LONGEST_ANSWER_SECONDS = 6.0
+MAX_ANSWER_SECONDS = 6.0
 """Seconds for a response whose data keeps arriving. A configuration of 1,400 routes has about
 350 KB, which takes 0.6 s on an idle link of 5 Mbit/s and several times that on a busy one; a
 shorter limit would abort such a transfer, and the next call would start it again."""
 PAGE_ROWS = 500
 """Rows of a table requested per call."""
-ACCEPTED = 200
-FENCED = 409
+ACCEPTED_STATUS = 200
+FENCED_STATUS = 409
 _JSON = {"Content-Type": "application/json"}
 _KEEPALIVE: list[SocketOption] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -79,11 +79,11 @@
     """Client of the store at one address, with the operations of `CoordinationStore`."""
 
     def __init__(
-        self, address: str, stripped: Mapping[str, Callable[[bytes], bytes]] | None = None
+        self, address: str, sanitizers: Mapping[str, Callable[[bytes], bytes]] | None = None
     ) -> None:
-        """`stripped`: by table, a function that removes secrets from each value read."""
-        self._calls = HttpCalls(address, CONNECT_SECONDS, _KEEPALIVE)
-        self._stripped = stripped or {}
+        """`sanitizers`: by table, a function that removes secrets from each value read."""
+        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, _KEEPALIVE)
+        self._sanitizers = sanitizers or {}
 
     def change_address(self, address: str) -> None:
         """Sends subsequent calls to another address ("ip:port")."""
@@ -106,8 +106,14 @@
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
         """Returns one row of a table whose part is empty, None if it does not exist."""
-        behind = key + "\0"
-        query = {"table": table, "part": "", "startRev": key, "targetVersion": behind, "limit": "1"}
+        end_key = key + "\0"
+        query = {
+            "table": table,
+            "part": "",
+            "startRev": key,
+            "targetVersion": end_key,
+            "limit": "1",
+        }
         answer = self._get("/dewledge/rows-get", query, CALL_LIMIT_SECONDS)
         rows = [self._store_row(table, row) for row in answer.rows if row.tls_key == key]
         return rows[0] if rows else None
@@ -131,9 +137,9 @@
 
     def _store_row(self, table: str, row: _Row) -> StoreRow:
         value = base64.b64decode(row.value or "")
-        strip = self._stripped.get(table)
-        if strip is not None and not row.gone:
-            value = strip(value)
+        sanitize = self._sanitizers.get(table)
+        if sanitize is not None and not row.gone:
+            value = sanitize(value)
         return StoreRow(row.tls_key, value, row.ver, row.gone)
 
     def _get(self, path: str, query: dict[str, str], timeout: float) -> _Answer:
@@ -145,8 +151,8 @@
         target = f"{path}?{urlencode(query)}" if query else path
         content = b"" if body is None else json.dumps(body).encode()
         try:
-            longest = LONGEST_ANSWER_SECONDS if method == "GET" else None
-            answer = self._calls.call(method, target, content, timeout, _JSON, longest)
+            max_seconds = MAX_ANSWER_SECONDS if method == "GET" else None
+            answer = self._calls.call(method, target, content, timeout, _JSON, max_seconds)
         except ServerUnreachable as error:
             raise StoreError(f"cannot reach the store: {error}") from error
         except (AnswerMissing, ProtocolError) as error:
@@ -167,7 +173,7 @@
 
     def __init__(self, address: str) -> None:
         options = [*_KEEPALIVE, (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)]
-        self._calls = HttpCalls(address, CONNECT_SECONDS, options)
+        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, options)
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
         """Requests a promotion; returns False if it was fenced off. Raises StoreError."""
@@ -181,9 +187,9 @@
             answer = self._calls.call("POST", "/promote", body, CALL_LIMIT_SECONDS, headers)
         except (ServerUnreachable, AnswerMissing, ProtocolError) as error:
             raise StoreOutcomeUnknown(f"no answer: {error}") from error
-        if answer.status not in (ACCEPTED, FENCED):
+        if answer.status not in (ACCEPTED_STATUS, FENCED_STATUS):
             raise StoreError(f"the platform answered {answer.status}")
-        return answer.status == ACCEPTED
+        return answer.status == ACCEPTED_STATUS
 
 
 def _raise_for_status(status: int) -> None:
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -20,11 +20,11 @@
 from dewledge.platform.wire_words import (
     CODE_WORDS,
     CODES,
+    EMPTY_FIELD,
     LINE_END,
     MAX_LINE_BYTES,
-    NOTHING,
     STATE_LETTERS,
-    STATES,
+    STATES_BY_LETTER,
 )
 
 ENCODING = "latin-1"
@@ -40,9 +40,9 @@
     def feed(self, data: bytes) -> list[str]:
         """Adds received bytes; returns the lines completed by them, without line ends."""
         self._data += data
-        *lines, rest = bytes(self._data).split(LINE_END)
-        self._data = bytearray(rest)
-        if len(rest) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
+        *lines, incomplete = bytes(self._data).split(LINE_END)
+        self._data = bytearray(incomplete)
+        if len(incomplete) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
             self.overflow = True
         return [line.decode(ENCODING) for line in lines]
 
@@ -59,12 +59,12 @@
             _parse_client_line(line) for line in self._lines.feed(data)
         ]
         if self._lines.overflow:
-            messages.append(MalformedInput(NOTHING, "a message is too long", fatal=True))
+            messages.append(MalformedInput(EMPTY_FIELD, "a message is too long", fatal=True))
         return messages
 
     def ready(self) -> bytes:
         """Returns the response to an accepted startup."""
-        return _line("READY", STATE_LETTERS[STATES["I"]], NOTHING)
+        return _line("READY", STATE_LETTERS[STATES_BY_LETTER["I"]], EMPTY_FIELD)
 
     def refusal(self, failure: Failure) -> bytes:
         """Returns the response to a refused startup."""
@@ -77,7 +77,7 @@
             parts.append(_error_line(reply.failure))
         else:
             parts.append(_line("COMPLETE", reply.signature))
-        parts.append(_line("READY", STATE_LETTERS[reply.state], NOTHING))
+        parts.append(_line("READY", STATE_LETTERS[reply.state], EMPTY_FIELD))
         return b"".join(parts)
 
 
@@ -87,7 +87,7 @@
     def __init__(self) -> None:
         self._lines = LineBuffer()
         self._rows: list[str] = []
-        self._signature = NOTHING
+        self._signature = EMPTY_FIELD
         self._failure: Failure | None = None
 
     def startup(self, group: str, user: str, database_id: str) -> bytes:
@@ -105,43 +105,43 @@
         """Returns the replies completed by `data`. Raises ProtocolError."""
         replies = []
         for line in self._lines.feed(data):
-            reply = self._take(line)
+            reply = self._handle_line(line)
             if reply is not None:
                 replies.append(reply)
         if self._lines.overflow:
             raise ProtocolError("a message from the database exceeds the maximum length")
         return replies
 
-    def _take(self, line: str) -> Reply | None:
-        word, _, rest = line.partition(" ")
-        if word == "DATAROW":
-            self._rows.append(rest)
-        elif word == "COMPLETE":
-            self._signature = rest
-        elif word == "ERROR":
-            code, _, message = rest.partition(" ")
+    def _handle_line(self, line: str) -> Reply | None:
+        keyword, _, arguments = line.partition(" ")
+        if keyword == "DATAROW":
+            self._rows.append(arguments)
+        elif keyword == "COMPLETE":
+            self._signature = arguments
+        elif keyword == "ERROR":
+            code, _, message = arguments.partition(" ")
             self._failure = Failure(CODES.get(code, ErrorCode.STATEMENT_FAILED), message)
-        elif word == "READY":
-            return self._ready(rest)
+        elif keyword == "READY":
+            return self._complete_reply(arguments)
         else:
-            raise ProtocolError(f"unknown message {word[:20]!r} from a database")
+            raise ProtocolError(f"unknown message {keyword[:20]!r} from a database")
         return None
 
-    def _ready(self, rest: str) -> Reply:
-        letter, _, position = rest.partition(" ")
-        state = STATES.get(letter)
+    def _complete_reply(self, arguments: str) -> Reply:
+        letter, _, position = arguments.partition(" ")
+        state = STATES_BY_LETTER.get(letter)
         if state is None:
             raise ProtocolError(f"unknown transaction state {letter[:20]!r} from a database")
         reply = Reply(
             state, tuple(self._rows), self._signature, self._failure, parse_position(position)
         )
-        self._rows, self._signature, self._failure = [], NOTHING, None
+        self._rows, self._signature, self._failure = [], EMPTY_FIELD, None
         return reply
 
 
 def parse_position(text: str) -> LogPosition | None:
     """Parses a log position "TERM.OFFSET"; returns None for "-". Raises ProtocolError."""
-    if text == NOTHING:
+    if text == EMPTY_FIELD:
         return None
     term, _, offset = text.partition(".")
     if not (term.isascii() and term.isdigit() and offset.isascii() and offset.isdigit()):
@@ -150,21 +150,21 @@
 
 
 def _parse_client_line(line: str) -> ClientMessage:
-    word, _, rest = line.partition(" ")
-    if word == "QUERY":
-        statement_id, _, text = rest.partition(" ")
+    keyword, _, arguments = line.partition(" ")
+    if keyword == "QUERY":
+        statement_id, _, text = arguments.partition(" ")
         return parse_text(statement_id, text)
-    if word == "STARTUP":
-        database, _, user = rest.partition(" ")
+    if keyword == "STARTUP":
+        database, _, user = arguments.partition(" ")
         return Startup(database, user)
-    if word == "TERMINATE":
+    if keyword == "TERMINATE":
         return Terminate()
-    return MalformedInput(NOTHING, "unknown word", fatal=True)
+    return MalformedInput(EMPTY_FIELD, "unknown word", fatal=True)
 
 
 def _error_line(failure: Failure) -> bytes:
     code = CODE_WORDS.get(failure.code, CODE_WORDS[ErrorCode.STATEMENT_FAILED])
-    return _line("ERROR", code, failure.message or NOTHING)
+    return _line("ERROR", code, failure.message or EMPTY_FIELD)
 
 
 def _line(*fields: str) -> bytes:
--- a/src/dewledge/platform/wire_words.py
+++ b/src/dewledge/platform/wire_words.py
@@ -6,14 +6,14 @@
 MAX_LINE_BYTES = 1024 * 1024
 """Bytes of a line without its end; a longer line is a protocol error."""
 LINE_END = b"\r\n"
-NOTHING = "-"
+EMPTY_FIELD = "-"
 
 STATE_LETTERS = {
     TransactionState.IDLE: "I",
     TransactionState.OPEN: "T",
     TransactionState.FAILED: "E",
 }
-STATES = {letter: state for state, letter in STATE_LETTERS.items()}
+STATES_BY_LETTER = {letter: state for state, letter in STATE_LETTERS.items()}
 
 CODE_WORDS = {
     ErrorCode.OVERLOADED: "BUSY",
@@ -48,7 +48,7 @@
     "NODB": ErrorCode.UNKNOWN_GROUP,
     "DENIED": ErrorCode.UNAUTHENTICATED,
 }
-OWN_TEXTS = {
+FIXED_TEXTS = {
     StatementKind.BEGIN: "BEGIN",
     StatementKind.BEGIN_READ_ONLY: "BEGIN READ",
     StatementKind.COMMIT: "COMMIT",
@@ -56,6 +56,6 @@
     StatementKind.DISCARD: "DISCARD",
     StatementKind.STATUS: "STATUS",
 }
-READ_WORD = "READ"
-WRITE_WORD = "WRITE"
-STEP_DOWN_WORD = "STEPDOWN"
+READ_KEYWORD = "READ"
+WRITE_KEYWORD = "WRITE"
+STEP_DOWN_KEYWORD = "STEPDOWN"
--- a/tests/platform/test_keys.py
+++ b/tests/platform/test_keys.py
@@ -10,7 +10,7 @@
 
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.errors import ProtocolError
-from dewledge.platform.operator_records import parse_configuration, without_keys
+from dewledge.platform.operator_records import hash_api_keys, parse_configuration
 from tests.platform.test_pooler_process import PoolerCase
 from tests.platform.wire_databases import wait_until
 
@@ -42,7 +42,7 @@
     )
 
     def test_keys_are_replaced_by_digests_as_soon_as_they_are_read(self) -> None:
-        value = without_keys(self.VALUE)
+        value = hash_api_keys(self.VALUE)
         self.assertNotIn(NORTH_KEY.encode(), value)
         table = parse_configuration(value)
         assert table.callers is not None
@@ -52,13 +52,13 @@
 
     def test_no_tenants_at_all_and_an_empty_list_are_not_the_same(self) -> None:
         value = b'{"version":7,"routes":[],"services":[]%s}'
-        self.assertIsNone(parse_configuration(without_keys(value % b"")).callers)
-        self.assertEqual(parse_configuration(without_keys(value % b',"tenants":[]')).callers, {})
+        self.assertIsNone(parse_configuration(hash_api_keys(value % b"")).callers)
+        self.assertEqual(parse_configuration(hash_api_keys(value % b',"tenants":[]')).callers, {})
 
     def test_what_cannot_be_read_holds_no_key_and_is_refused(self) -> None:
         for value in (b"", b'["k3ynorth0001"]', b'{"tenants":[{"apiKeys":7}]}', b"k3ynorth0001"):
             with self.subTest(value):
-                left = without_keys(value)
+                left = hash_api_keys(value)
                 self.assertNotIn(NORTH_KEY.encode(), left)
                 with self.assertRaises(ProtocolError):
                     parse_configuration(left)
