--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -1,7 +1,8 @@
 """Builds the components of a pooler process in the order of their dependencies.
 
 Each class builds related components in its constructor, from components of the classes above it.
-`connect` subscribes the components to each other's notices. `pooler_process` starts and stops them.
+`subscribe_listeners` subscribes the components to each other's notices. `pooler_process` starts and
+stops them.
 """
 
 import secrets
@@ -21,7 +22,7 @@
 from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.failover_driver import FailoverDriver
 from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
-from dewledge.shell.pooler.group_factory import ConnectionShares, GroupFactory
+from dewledge.shell.pooler.group_factory import GroupFactory, HoldingsUpdater
 from dewledge.shell.pooler.known_databases import KnownDatabases, RouteFinder
 from dewledge.shell.pooler.links.channel_client import ChannelClient
 from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
@@ -86,7 +87,7 @@
         self.executor = ThreadPoolExecutor(max_workers=EXECUTOR_THREADS)
 
 
-class Neighbours:
+class PeerAccess:
     """Communication with the other processes: member table, links, datagrams, primary leases."""
 
     def __init__(self, base: ProcessBase) -> None:
@@ -95,11 +96,11 @@
         self.fencing = Fencing.PLATFORM if settings.promotions_fenced else Fencing.PROCESSES
         # With fencing by processes, a restart must change this process's row.
         start = secrets.token_hex(4) if self.fencing is Fencing.PROCESSES else ""
-        own = Member(settings.peer_address, settings.zone, start)
+        own_member = Member(settings.peer_address, settings.zone, start)
         self.leases = PrimaryLeases(self.fencing)
-        self.members = MemberTable(settings.name, own, base.platform.store)
-        is_judged = settings.load.policy.silent_holders
-        self.links = OutgoingLinks(loop, settings.name, base.log.record, is_judged)
+        self.members = MemberTable(settings.name, own_member, base.platform.store)
+        detects_silent_holders = settings.load.policy.silent_holders
+        self.links = OutgoingLinks(loop, settings.name, base.log.record, detects_silent_holders)
         self.channels = ChannelClient(loop, self.links, base.databases)
         self.peers = PeerSocket(loop, settings.peer_address)
 
@@ -107,7 +108,7 @@
 class DatabaseAccess:
     """The database groups, and the openers of connections to their databases."""
 
-    def __init__(self, base: ProcessBase, neighbours: Neighbours) -> None:
+    def __init__(self, base: ProcessBase, peer_access: PeerAccess) -> None:
         settings, services = base.settings, base.services
         self.reach_limit = ReachLimit()
         """Connection timeout, adapted to the connection times that openers and probes observe."""
@@ -118,24 +119,26 @@
             base.databases.find,
             self.reach_limit,
         )
-        routes = RouteFinder(base.databases, neighbours.members)
-        opener = SharingOpener(direct, neighbours.channels, routes.find)
-        groups = GroupFactory(settings, services, neighbours.leases, opener, direct)
-        self.shares = ConnectionShares(settings, services, neighbours.members, groups)
-        self.directory = Directory(base.platform, services, groups, self.shares, base.notices)
+        routes = RouteFinder(base.databases, peer_access.members)
+        opener = SharingOpener(direct, peer_access.channels, routes.find)
+        groups = GroupFactory(settings, services, peer_access.leases, opener, direct)
+        self.holdings_updater = HoldingsUpdater(settings, services, peer_access.members, groups)
+        self.directory = Directory(
+            base.platform, services, groups, self.holdings_updater, base.notices
+        )
 
 
 class Failover:
     """Detection and replacement of lost primaries; the decisions are in `core/pooler/failover`."""
 
-    def __init__(self, base: ProcessBase, neighbours: Neighbours, reach_limit: ReachLimit) -> None:
+    def __init__(self, base: ProcessBase, peer_access: PeerAccess, reach_limit: ReachLimit) -> None:
         settings, platform = base.settings, base.platform
         self.claim_events = ClaimEvents()
         context = FailoverContext(
             base.loop,
             settings.name,
             base.services.groups,
-            neighbours.leases,
+            peer_access.leases,
             platform.store,
             base.executor,
             self.claim_events,
@@ -144,70 +147,72 @@
             context,
             platform.promotions,
             platform.parse_status,
-            lambda: neighbours.members.addresses,
+            lambda: peer_access.members.addresses,
             base.log.record,
         )
-        self.claims = ClaimKeeper(context, neighbours.members, neighbours.peers)
+        self.claims = ClaimKeeper(context, peer_access.members, peer_access.peers)
         self.probes = IndirectProbes(
             base.loop,
             settings.name,
-            neighbours.peers,
+            peer_access.peers,
             base.databases.find,
             reach_limit,
             self.driver,
         )
 
 
-def build_quota(base: ProcessBase, neighbours: Neighbours) -> QuotaDriver:
+def build_quota(base: ProcessBase, peer_access: PeerAccess) -> QuotaDriver:
     """Returns the driver that enforces callers' rate limits across all processes."""
     name = base.settings.name
     grantor = Grantor(name, base.settings.quota.policy, base.log.record)
-    members, peers = neighbours.members, neighbours.peers
+    members, peers = peer_access.members, peer_access.peers
     return QuotaDriver(base.loop, name, base.gate, grantor, members, peers)
 
 
 def build_tables(
-    base: ProcessBase, neighbours: Neighbours, directory: Directory, failover: Failover
+    base: ProcessBase, peer_access: PeerAccess, directory: Directory, failover: Failover
 ) -> TableReading:
     """Returns the reader of the store's tables, with a handler for the rows of each table."""
-    platform, members = base.platform, neighbours.members
+    platform, members = base.platform, peer_access.members
     calls = StoreCalls(platform.store, base.executor)
-    tables = TableReading(base.loop, base.settings, calls, neighbours.links, members, TABLE)
-    configuration = directory.take_configuration_rows
+    tables = TableReading(base.loop, base.settings, calls, peer_access.links, members, TABLE)
+    configuration = directory.apply_configuration_rows
     tables.add(platform.configuration_table, configuration, configuration, URGENT_WAIT_SECONDS)
     tables.add(
-        platform.database_table, directory.take_database_snapshot, directory.take_database_rows
+        platform.database_table, directory.apply_database_snapshot, directory.apply_database_rows
     )
-    own = CoordinationTable(
+    coordination = CoordinationTable(
         members,
         base.notices.members_changed.tell,
         lambda: members.register_if_missing(base.executor, lambda: base.readiness.is_leaving),
         failover.driver,
         failover.claims,
     )
-    if neighbours.fencing is Fencing.PLATFORM:
-        tables.add(TABLE, own.take_snapshot, own.take_rows)
+    if peer_access.fencing is Fencing.PLATFORM:
+        tables.add(TABLE, coordination.apply_snapshot, coordination.apply_rows)
         return tables
     # A claim's holder waits for every process with a row in the table, so it must read their rows.
     failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
     confirmed = failover.claims.store_confirmed
-    tables.add(TABLE, own.take_snapshot, own.take_rows, LEASE_WAIT_SECONDS, confirmed)
+    tables.add(
+        TABLE, coordination.apply_snapshot, coordination.apply_rows, LEASE_WAIT_SECONDS, confirmed
+    )
     return tables
 
 
-def connect(
+def subscribe_listeners(
     notices: ProcessNotices,
     failover: FailoverDriver,
     quota: QuotaDriver,
-    shares: ConnectionShares,
+    holdings_updater: HoldingsUpdater,
     tables: TableReading,
 ) -> None:
     """Subscribes the listeners of each notice; they are called in the order of these lines."""
-    notices.configuration_changed.add(quota.configuration_changed)
+    notices.configuration_changed.add(quota.on_configuration_changed)
     notices.quota_asked.add(quota.send)
     notices.group_changed.add(failover.look_at)
     notices.database_suspected.add(failover.doubt)
     notices.members_changed.add(failover.members_changed)
-    notices.members_changed.add(quota.members_changed)
-    notices.members_changed.add(shares.share_anew)
+    notices.members_changed.add(quota.on_members_changed)
+    notices.members_changed.add(holdings_updater.update_holdings)
     notices.members_changed.add(tables.members_changed)
--- a/src/dewledge/shell/pooler/coordination_table.py
+++ b/src/dewledge/shell/pooler/coordination_table.py
@@ -31,15 +31,15 @@
         self._failover = failover
         self._claims = claims
 
-    def take_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
+    def apply_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies the whole table; members without a row in it are removed."""
-        self._take(rows, version, self._members.take_snapshot(rows))
+        self._apply(rows, version, self._members.take_snapshot(rows))
 
-    def take_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
+    def apply_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies rows that changed."""
-        self._take(rows, version, self._members.take_rows(rows))
+        self._apply(rows, version, self._members.take_rows(rows))
 
-    def _take(self, rows: tuple[StoreRow, ...], version: int, members_changed: bool) -> None:
+    def _apply(self, rows: tuple[StoreRow, ...], version: int, members_changed: bool) -> None:
         if members_changed:
             self._members_changed()
         self._register()
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.errors import ProtocolError
-from dewledge.shell.pooler.group_factory import ConnectionShares, GroupFactory
+from dewledge.shell.pooler.group_factory import GroupFactory, HoldingsUpdater
 from dewledge.shell.pooler.notices import ProcessNotices
 from dewledge.shell.pooler.platform_adapter import PlatformAdapter
 
@@ -23,23 +23,23 @@
         platform: PlatformAdapter,
         services: PoolServices,
         groups: GroupFactory,
-        shares: ConnectionShares,
+        holdings_updater: HoldingsUpdater,
         notices: ProcessNotices,
     ) -> None:
         self._platform = platform
         self._services = services
         self._groups = groups
-        self._shares = shares
+        self._holdings_updater = holdings_updater
         self._notices = notices
         self._now = services.scheduler.now
 
-    def take_configuration_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
+    def apply_configuration_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
         """Applies changed rows of the operators' table, and all rows of a snapshot."""
         for row in rows:
             if row.key == self._platform.configuration_key and not row.gone:
-                self._take_configuration(row)
+                self._apply_configuration(row)
 
-    def _take_configuration(self, row: StoreRow) -> None:
+    def _apply_configuration(self, row: StoreRow) -> None:
         try:
             table = self._platform.parse_configuration(row.value)
         except ProtocolError as error:
@@ -49,39 +49,39 @@
             return
         self._services.routes = table
         for name in table.groups:
-            self._groups.group(name)
-        self._shares.share_anew()
+            self._groups.get_or_create(name)
+        self._holdings_updater.update_holdings()
         self._notices.configuration_changed.tell(table)
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
         self._services.wake_if_configured()
 
-    def take_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
+    def apply_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies the whole table of databases; databases without a row in it are removed."""
         present = {row.key for row in rows}
         for group in self._services.groups.values():
             for database_id in list(group.view.databases):
                 if database_id not in present:
-                    self._database_gone(group, database_id, version)
-        self.take_database_rows(rows, version)
+                    self._remove_database(group, database_id, version)
+        self.apply_database_rows(rows, version)
 
-    def take_database_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
+    def apply_database_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
         """Applies rows of databases that changed."""
         for row in rows:
             if row.gone:
                 for group in self._services.groups.values():
-                    self._database_gone(group, row.key, row.version)
+                    self._remove_database(group, row.key, row.version)
             else:
-                self._take_database(row)
+                self._apply_database(row)
 
-    def _take_database(self, row: StoreRow) -> None:
+    def _apply_database(self, row: StoreRow) -> None:
         try:
             record = self._platform.parse_database(row.key, row.value, row.version)
         except ProtocolError as error:
             logger.bind(error=error.message, database=row.key).error("database_entry_refused")
             return
-        group = self._groups.group(record.group)
+        group = self._groups.get_or_create(record.group)
         group.change_view(group.view.with_record(record, self._now()))
         self._notices.group_changed.tell(record.group)
         logger.bind(
@@ -94,7 +94,7 @@
         ).info("database_known")
         self._services.wake_if_configured()
 
-    def _database_gone(self, group: Group, database_id: str, revision: int) -> None:
+    def _remove_database(self, group: Group, database_id: str, revision: int) -> None:
         if database_id in group.view.databases:
             view = group.view.with_departure(database_id, revision, self._now())
             group.change_view(view)
--- a/src/dewledge/shell/pooler/group_factory.py
+++ b/src/dewledge/shell/pooler/group_factory.py
@@ -19,7 +19,7 @@
 
 DRAIN_MARGIN_SECONDS = 2.0
 """Seconds subtracted from the configured time after which a draining database gets no new work."""
-LEAST_DRAIN_SECONDS = 1.0
+MIN_DRAIN_SECONDS = 1.0
 """Seconds: lower bound of the drain time after the margin is subtracted."""
 
 
@@ -41,16 +41,16 @@
         self._direct = direct
         self._locality = Locality(settings.zone, settings.zones)
         drain_bound = settings.timings.drain_bound - DRAIN_MARGIN_SECONDS
-        self._drain_bound = max(drain_bound, LEAST_DRAIN_SECONDS)
+        self._drain_bound = max(drain_bound, MIN_DRAIN_SECONDS)
 
-    def group(self, name: str) -> Group:
+    def get_or_create(self, name: str) -> Group:
         """Returns the group of this name, created if it does not exist."""
         group = self._services.groups.get(name)
         if group is None:
-            group = self._services.groups[name] = self._make(name)
+            group = self._services.groups[name] = self._create(name)
         return group
 
-    def _make(self, name: str) -> Group:
+    def _create(self, name: str) -> Group:
         policy = self._services.load_policy
         now = self._services.scheduler.now
         group = Group(
@@ -69,7 +69,7 @@
         return group
 
 
-class ConnectionShares:
+class HoldingsUpdater:
     """Decides for each database whether to hold connections, and how many, or to use holders."""
 
     def __init__(
@@ -79,16 +79,16 @@
         members: MemberTable,
         groups: GroupFactory,
     ) -> None:
-        self._own_name = settings.name
+        self._process_name = settings.name
         self._locality = Locality(settings.zone, settings.zones)
         self._services = services
         self._members = members
         self._groups = groups
 
-    def share_anew(self) -> None:
+    def update_holdings(self) -> None:
         """Makes each group recompute how this process reaches its databases."""
         for name in self._services.routes.groups:
-            self._groups.group(name).set_holdings(self._find_holding)
+            self._groups.get_or_create(name).set_holdings(self._find_holding)
 
     def _find_holding(self, record: DatabaseRecord) -> Holding:
         policy = self._services.routes.groups.get(record.group)
@@ -101,4 +101,4 @@
             return self._locality.steps_between(zone, record.zone)
 
         members = self._members.members
-        return holding_of(self._own_name, record.id, policy.max_connections, members, distance)
+        return holding_of(self._process_name, record.id, policy.max_connections, members, distance)
--- a/src/dewledge/shell/pooler/notices.py
+++ b/src/dewledge/shell/pooler/notices.py
@@ -1,8 +1,8 @@
 """Events that components of a process publish without depending on their subscribers.
 
 The lists of listeners are built before the components. A publisher gets the `tell` method of a
-list as its callback; `composition.connect` adds the subscribers. Use only on the event loop's
-thread: listeners are called synchronously, in the order in which they were added.
+list as its callback; `composition.subscribe_listeners` adds the subscribers. Use only on the event
+loop's thread: listeners are called synchronously, in the order in which they were added.
 """
 
 from dewledge.core.pooler.rate_limits.messages import QuotaQuestion
--- a/src/dewledge/shell/pooler/planned_stop.py
+++ b/src/dewledge/shell/pooler/planned_stop.py
@@ -2,9 +2,10 @@
 
 The shutdown is limited by the setting `timings.stop_bound`, counted from its beginning. At once the
 process reports that it is not ready and asks other processes to send it no new work; each client
-connection is closed when it is idle. After TRANSACTION_SHARE of the limit, idle open transactions
-are rolled back; after TAKE_SHARE, new connections and statements are refused. The process ends when
-no work is left, at the earliest after TRANSACTION_SHARE, at the latest after END_SHARE.
+connection is closed when it is idle. After END_TRANSACTIONS_RATIO of the limit, idle open
+transactions are rolled back; after REFUSE_WORK_RATIO, new connections and statements are refused.
+The process ends when no work is left, at the earliest after END_TRANSACTIONS_RATIO, at the latest
+after END_PROCESS_RATIO.
 """
 
 from collections.abc import Callable
@@ -16,11 +17,11 @@
 from dewledge.shell.pooler.links.client_listener import ClientListener
 from dewledge.shell.pooler.settings_file import CurrentSettings
 
-TAKE_SHARE = 0.55
+REFUSE_WORK_RATIO = 0.55
 """Ratio of the limit after which new work is refused: it might not finish before the end."""
-TRANSACTION_SHARE = 0.5
+END_TRANSACTIONS_RATIO = 0.5
 """Ratio of the limit that clients have to end their open transactions."""
-END_SHARE = 0.9
+END_PROCESS_RATIO = 0.9
 """Ratio of the limit after which the process ends; the rest is for closing its resources."""
 
 
@@ -46,7 +47,7 @@
         """Whether the process is configured and no planned stop has begun."""
         return self._leaving_since is None and self._services.is_configured
 
-    def leave(self, now: float) -> None:
+    def start_leaving(self, now: float) -> None:
         """Records that a planned stop began at `now`."""
         self._leaving_since = now
 
@@ -59,7 +60,7 @@
         readiness: Readiness,
         services: PoolServices,
         clients: ClientListener,
-        lending: ChannelServer,
+        channel_server: ChannelServer,
         settings: CurrentSettings,
         finish: Callable[[], None],
     ) -> None:
@@ -67,7 +68,7 @@
         self._readiness = readiness
         self._services = services
         self._clients = clients
-        self._lending = lending
+        self._channel_server = channel_server
         self._settings = settings
         self._finish = finish
 
@@ -75,25 +76,27 @@
         """Begins the stop; later calls have no effect."""
         if self._readiness.is_leaving:
             return
-        self._readiness.leave(now)
-        self._lending.leave()
+        self._readiness.start_leaving(now)
+        self._channel_server.leave()
         logger.bind(
-            sessions=len(self._clients.connections), channels=self._lending.channel_count
+            sessions=len(self._clients.connections), channels=self._channel_server.channel_count
         ).info("pooler_leaving")
 
-    def go_on(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Performs the steps that are due; does nothing before the stop has begun."""
-        since = self._readiness.leaving_since
-        if since is None:
+        leaving_since = self._readiness.leaving_since
+        if leaving_since is None:
             return
-        elapsed, bound = now - since, self._settings.present.timings.stop_bound
-        if elapsed > bound * TAKE_SHARE and not self._services.is_ending:
+        elapsed, bound = now - leaving_since, self._settings.current.timings.stop_bound
+        if elapsed > bound * REFUSE_WORK_RATIO and not self._services.is_ending:
             self._services.is_ending = True
             self._clients.close()
         for connection in list(self._clients.connections):
-            if elapsed > bound * TRANSACTION_SHARE:
+            if elapsed > bound * END_TRANSACTIONS_RATIO:
                 connection.session.end_transaction("planned_stop")
             connection.leave()
-        is_done = not self._clients.connections and self._lending.at_rest
-        if (elapsed > bound * TRANSACTION_SHARE and is_done) or elapsed > bound * END_SHARE:
+        is_done = not self._clients.connections and self._channel_server.at_rest
+        if (
+            elapsed > bound * END_TRANSACTIONS_RATIO and is_done
+        ) or elapsed > bound * END_PROCESS_RATIO:
             self._finish()
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -12,11 +12,11 @@
 from dewledge.shell.pooler.composition import (
     DatabaseAccess,
     Failover,
-    Neighbours,
+    PeerAccess,
     ProcessBase,
     build_quota,
     build_tables,
-    connect,
+    subscribe_listeners,
 )
 from dewledge.shell.pooler.links.channel_server import ChannelServer
 from dewledge.shell.pooler.links.client_listener import ClientListener
@@ -29,7 +29,7 @@
 from dewledge.shell.pooler.settings_file import CurrentSettings
 from dewledge.shell.shared.sockets import listen_tcp
 
-SWEEP_SECONDS = 0.25
+MAINTENANCE_INTERVAL_SECONDS = 0.25
 """Seconds between two runs of the periodic maintenance."""
 
 
@@ -57,16 +57,18 @@
         self._readiness = base.readiness
         self._clients = self._build_clients(base, client_listener)
         self._pages = StatusPages(self._loop, settings, base.metrics, lambda: self.is_ready)
-        self._neighbours = Neighbours(base)
-        access = DatabaseAccess(base, self._neighbours)
-        self._failover = Failover(base, self._neighbours, access.reach_limit)
-        self._quota = build_quota(base, self._neighbours)
-        self._tables = build_tables(base, self._neighbours, access.directory, self._failover)
-        connect(base.notices, self._failover.driver, self._quota, access.shares, self._tables)
-        self._lending = self._build_lending(base)
+        self._peer_access = PeerAccess(base)
+        access = DatabaseAccess(base, self._peer_access)
+        self._failover = Failover(base, self._peer_access, access.reach_limit)
+        self._quota = build_quota(base, self._peer_access)
+        self._tables = build_tables(base, self._peer_access, access.directory, self._failover)
+        subscribe_listeners(
+            base.notices, self._failover.driver, self._quota, access.holdings_updater, self._tables
+        )
+        self._channel_server = self._build_channel_server(base)
         self._stop = self._build_stop()
         self._add_gauges(base)
-        self._stall_watch = StallWatch(SWEEP_SECONDS)
+        self._stall_watch = StallWatch(MAINTENANCE_INTERVAL_SECONDS)
         groups = self._services.groups
         self._waits = WaitReporter(self._services.scheduler, groups, self._log.record)
 
@@ -79,7 +81,7 @@
             base.settings.max_client_connections,
         )
 
-    def _build_lending(self, base: ProcessBase) -> ChannelServer:
+    def _build_channel_server(self, base: ProcessBase) -> ChannelServer:
         return ChannelServer(
             base.loop,
             base.settings.peer_address,
@@ -93,7 +95,7 @@
             self._readiness,
             self._services,
             self._clients,
-            self._lending,
+            self._channel_server,
             self._settings,
             self._finish,
         )
@@ -102,16 +104,16 @@
         parts = MeasuredParts(
             base.services,
             self._clients,
-            self._neighbours.members,
-            self._neighbours.links,
-            self._lending,
+            self._peer_access.members,
+            self._peer_access.links,
+            self._channel_server,
             lambda: self.is_ready,
         )
         add_process_gauges(base.metrics, parts)
 
     def run(self) -> None:
         """Runs the event loop until a planned stop is complete."""
-        settings = self._settings.present
+        settings = self._settings.current
         logger.bind(
             name=settings.name,
             zone=settings.zone,
@@ -120,15 +122,15 @@
             store=settings.store_address,
         ).info("pooler_started")
         self._tables.start()
-        self._neighbours.peers.start()
+        self._peer_access.peers.start()
         self._failover.claims.start()
         self._quota.start()
-        self._lending.start()
+        self._channel_server.start()
         self._failover.driver.start(self._failover.probes)
         self._clients.start()
         self._pages.start()
         self._waits.start()
-        self._sweep()
+        self._run_maintenance()
         self._loop.run()
 
     def leave(self) -> None:
@@ -156,19 +158,19 @@
 
     # Periodic maintenance.
 
-    def _sweep(self) -> None:
+    def _run_maintenance(self) -> None:
         now = self._loop.now()
         stall = self._stall_watch.tick(now)
         if stall is not None:
             self._log.record(stall)
-        self._end_resting_transactions(now)
+        self._end_idle_transactions(now)
         for group in self._services.groups.values():
             group.trim_connections()
         self._settings.reload_if_changed()
-        self._stop.go_on(now)
-        self._loop.call_later(SWEEP_SECONDS, self._sweep)
+        self._stop.advance(now)
+        self._loop.call_later(MAINTENANCE_INTERVAL_SECONDS, self._run_maintenance)
 
-    def _end_resting_transactions(self, now: float) -> None:
+    def _end_idle_transactions(self, now: float) -> None:
         limit = self._services.routes.transaction_idle_timeout
         for connection in list(self._clients.connections):
             since = connection.session.resting_since()
@@ -185,7 +187,7 @@
         self._clients.close()
         self._pages.close()
         self._failover.claims.stop()
-        self._neighbours.peers.close()
-        self._lending.close()
-        self._neighbours.links.close()
+        self._peer_access.peers.close()
+        self._channel_server.close()
+        self._peer_access.links.close()
         self._loop.stop()
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -20,7 +20,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        own_name: str,
+        process_name: str,
         gate: QuotaGate,
         grantor: Grantor,
         members: MemberTable,
@@ -28,37 +28,37 @@
     ) -> None:
         """`gate`: admits operations in this process; its requests are passed to `send`."""
         self._loop = loop
-        self._own_name = own_name
+        self._process_name = process_name
         self._members = members
         self._peers = peers
         self._gate = gate
         self._grantor = grantor
-        peers.on(QuotaQuestion, self._take_question)
-        peers.on(QuotaAnswer, self._take_answer)
+        peers.on(QuotaQuestion, self._handle_question)
+        peers.on(QuotaAnswer, self._handle_answer)
 
     def start(self) -> None:
         """Starts the gate's timer; the gate votes for grantors once the members are known."""
         self._tick()
 
-    def members_changed(self) -> None:
+    def on_members_changed(self) -> None:
         """Passes the current members to the gate and the grantor."""
         names = frozenset(self._members.members)
         self._gate.set_members(names)
         self._grantor.set_members(names)
 
-    def configuration_changed(self, routes: RouteTable) -> None:
+    def on_configuration_changed(self, routes: RouteTable) -> None:
         """Applies the rate limits of a new configuration."""
         limits = routes.rate_limits
         self._gate.set_limits(limits)
         self._grantor.set_limits(limits)
 
     def _tick(self) -> None:
-        again = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
-        self._loop.call_later(again, self._tick)
+        delay = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
+        self._loop.call_later(delay, self._tick)
 
     def send(self, name: str, question: QuotaQuestion) -> None:
         """Sends a request of the gate to the named process, or to the local grantor."""
-        if name == self._own_name:
+        if name == self._process_name:
             answer = self._grantor.take_question(question, self._loop.now())
             self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
             return
@@ -66,8 +66,8 @@
         if member is not None:
             self._peers.send(question, [member.peer_address])
 
-    def _take_question(self, question: QuotaQuestion, sender: str) -> None:
+    def _handle_question(self, question: QuotaQuestion, sender: str) -> None:
         self._peers.send(self._grantor.take_question(question, self._loop.now()), [sender])
 
-    def _take_answer(self, answer: QuotaAnswer, _sender: str) -> None:
+    def _handle_answer(self, answer: QuotaAnswer, _sender: str) -> None:
         self._gate.take_answer(answer)
--- a/src/dewledge/shell/pooler/settings_file.py
+++ b/src/dewledge/shell/pooler/settings_file.py
@@ -1,7 +1,7 @@
 """Reloads the settings file of a running process when it changes.
 
-An invalid file is logged and ignored. Changes of settings in FIXED are logged and take effect only
-after a restart.
+An invalid file is logged and ignored. Changes of settings in RESTART_REQUIRED are logged and take
+effect only after a restart.
 """
 
 from pathlib import Path
@@ -13,11 +13,11 @@
 from dewledge.errors import InvalidInput
 from dewledge.pooler_settings import PoolerSettings, load_pooler_settings
 
-FIXED = ("name", "client_address", "ready_address", "peer_address", "metrics_address")
+RESTART_REQUIRED = ("name", "client_address", "ready_address", "peer_address", "metrics_address")
 """Settings that can be changed only by a restart; a reload keeps their values."""
 
 
-class MovableStore(Protocol):
+class AddressableStore(Protocol):
     """Interface of a store client whose address may change while the process runs."""
 
     def change_address(self, address: str) -> None:
@@ -29,33 +29,33 @@
 
     def __init__(self, path: Path | None) -> None:
         self._path = path
-        self._seen = self._stamp()
+        self._loaded_stamp = self._read_stamp()
 
     def has_changed(self) -> bool:
         """Returns whether the file changed since it was last read."""
-        return self._path is not None and self._stamp() != self._seen
+        return self._path is not None and self._read_stamp() != self._loaded_stamp
 
-    def read(self, present: PoolerSettings) -> PoolerSettings | None:
+    def read(self, current: PoolerSettings) -> PoolerSettings | None:
         """Returns the new settings, None if no setting changed or the file is invalid."""
         if self._path is None:
             return None
-        self._seen = self._stamp()
+        self._loaded_stamp = self._read_stamp()
         try:
             read = load_pooler_settings(self._path)
         except InvalidInput as error:
             logger.bind(findings=error.message).error("settings_refused")
             return None
         changed = [
-            name for name in PoolerSettings.__struct_fields__ if differs(present, read, name)
+            name for name in PoolerSettings.__struct_fields__ if differs(current, read, name)
         ]
-        fixed = [name for name in changed if name in FIXED]
-        kept = {name: getattr(present, name) for name in fixed}
+        fixed = [name for name in changed if name in RESTART_REQUIRED]
+        kept_values = {name: getattr(current, name) for name in fixed}
         logger.bind(changed=",".join(changed), need_restart=",".join(fixed)).info(
             "settings_reloaded"
         )
-        return msgspec.structs.replace(read, **kept) if changed else None
+        return msgspec.structs.replace(read, **kept_values) if changed else None
 
-    def _stamp(self) -> tuple[int, int] | None:
+    def _read_stamp(self) -> tuple[int, int] | None:
         if self._path is None:
             return None
         try:
@@ -68,17 +68,19 @@
 class CurrentSettings:
     """Holds the active settings, replaced when the file is reloaded with valid changes."""
 
-    def __init__(self, settings: PoolerSettings, path: Path | None, store: MovableStore) -> None:
+    def __init__(
+        self, settings: PoolerSettings, path: Path | None, store: AddressableStore
+    ) -> None:
         """`store`: gets the address in the settings after each change of settings."""
-        self.present = settings
+        self.current = settings
         self._file = SettingsFile(path)
         self._store = store
 
     def reload(self) -> None:
         """Loads the file and applies its changes."""
-        changed = self._file.read(self.present)
+        changed = self._file.read(self.current)
         if changed is not None:
-            self.present = changed
+            self.current = changed
             self._store.change_address(changed.store_address)
 
     def reload_if_changed(self) -> None:
@@ -87,6 +89,6 @@
             self.reload()
 
 
-def differs(present: PoolerSettings, read: PoolerSettings, name: str) -> bool:
-    """Returns whether the setting `name` differs between `present` and `read`."""
-    return bool(getattr(present, name) != getattr(read, name))
+def differs(current: PoolerSettings, read: PoolerSettings, name: str) -> bool:
+    """Returns whether the setting `name` differs between `current` and `read`."""
+    return bool(getattr(current, name) != getattr(read, name))
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -35,11 +35,11 @@
         for process in self.processes:
             known = wait_until(lambda p=process: self.knows_all(p), START_SECONDS)  # type: ignore[misc]
             self.assertTrue(
-                known, f"{process.client_address} knows {process._neighbours.members.members}"
+                known, f"{process.client_address} knows {process._peer_access.members.members}"
             )
 
     def knows_all(self, process: PoolerProcess) -> bool:
-        return process.is_ready and len(process._neighbours.members.members) == 4
+        return process.is_ready and len(process._peer_access.members.members) == 4
 
     def held(self) -> dict[str, list[int]]:
         """Returns the numbers of the processes that hold connections, by database."""
@@ -67,7 +67,7 @@
         for number, process in enumerate(self.processes):
             pool = process._services.groups["menus"].pools["i-north"]
             self.assertEqual(pool.limit > 40, number != holder)
-        self.assertGreaterEqual(self.processes[holder]._lending.channel_count, 3)
+        self.assertGreaterEqual(self.processes[holder]._channel_server.channel_count, 3)
 
     def test_one_reads_and_a_change_is_in_force_everywhere(self) -> None:
         self.assertTrue(wait_until(lambda: self.calls_within(2.0) <= 8, 15.0))
@@ -81,8 +81,8 @@
 
     def stop_at_once(self, process: PoolerProcess) -> None:
         """Ends a process without a word, as a kill would; its connections close with the loop."""
-        process._loop.post(process._lending.close)
-        process._loop.post(process._neighbours.links.close)
+        process._loop.post(process._channel_server.close)
+        process._loop.post(process._peer_access.links.close)
         process._loop.post(process._tables.stop)
         process._loop.stop()
 
