--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -1,7 +1,7 @@
-"""Calls to the platform's store, and the promotions that are the duty of one node. They block.
+"""Blocking HTTP clients for the platform's store and its promotion endpoint.
 
-May be called from any thread; HttpCalls keeps the connections. Translates at the edge: statuses of
-the store become the product's errors, and nothing is tried again here.
+Methods may be called from any thread; `HttpCalls` pools the connections. HTTP statuses are
+converted to StoreError and its subclasses. Calls are not retried here.
 """
 
 import base64
@@ -35,18 +35,18 @@
     StoreRateLimited,
 )
 
-CONNECT_SECONDS = 0.7
-"""For the store to accept a connection."""
+CONNECT_TIMEOUT_SECONDS = 0.7
+"""Seconds for the store to accept a connection."""
 RETRY_AFTER_SECONDS = 0.5
-"""Told with a refusal for too many calls, which names no time itself."""
-LONGEST_ANSWER_SECONDS = 6.0
-"""For an answer that goes on coming: a configuration of 1,400 routes is some 350 KB, which takes
-0.6 s over a link of 5 Mbit/s that carries nothing else, and some times that beside all else. Given
-up sooner it would fill the link for nothing and be begun anew."""
+"""Seconds to wait after status 429, whose response has no retry time."""
+MAX_ANSWER_SECONDS = 6.0
+"""Seconds for a response whose data keeps arriving. A configuration of 1,400 routes has about
+350 KB, which takes 0.6 s on an idle link of 5 Mbit/s and several times that on a busy one; a
+shorter limit would abort such a transfer, and the next call would start it again."""
 PAGE_ROWS = 500
-"""Of a table in one answer."""
-ACCEPTED = 200
-FENCED = 409
+"""Rows of a table requested per call."""
+ACCEPTED_STATUS = 200
+FENCED_STATUS = 409
 _JSON = {"Content-Type": "application/json"}
 _KEEPALIVE: list[SocketOption] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -76,21 +76,24 @@
 
 
 class PlatformStore:
-    """The store at one address."""
+    """Client of the store at one address, with the operations of `CoordinationStore`."""
 
     def __init__(
-        self, address: str, stripped: Mapping[str, Callable[[bytes], bytes]] | None = None
+        self, address: str, sanitizers: Mapping[str, Callable[[bytes], bytes]] | None = None
     ) -> None:
-        """`stripped`: by table, what takes secrets out of a row's value as soon as it is read."""
-        self._calls = HttpCalls(address, CONNECT_SECONDS, _KEEPALIVE)
-        self._stripped = stripped or {}
+        """`sanitizers`: by table, a function that removes secrets from each value read."""
+        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, _KEEPALIVE)
+        self._sanitizers = sanitizers or {}
 
     def change_address(self, address: str) -> None:
-        """Sends later calls to another "ip:port"."""
+        """Sends subsequent calls to another address ("ip:port")."""
         self._calls.change_address(address)
 
     def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
-        """Returns all rows of a table's empty part."""
+        """Returns all rows of a table whose part is empty, read page by page.
+
+        limit: timeout in seconds of each page's call.
+        """
         rows: list[StoreRow] = []
         start = ""
         while True:
@@ -102,21 +105,27 @@
             start = answer.rows[-1].tls_key + "\0"
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
-        """Returns one row of a table's empty part, None if it is not there."""
-        behind = key + "\0"
-        query = {"table": table, "part": "", "startRev": key, "targetVersion": behind, "limit": "1"}
+        """Returns one row of a table whose part is empty, None if it does not exist."""
+        end_key = key + "\0"
+        query = {
+            "table": table,
+            "part": "",
+            "startRev": key,
+            "targetVersion": end_key,
+            "limit": "1",
+        }
         answer = self._get("/dewledge/rows-get", query, CALL_LIMIT_SECONDS)
         rows = [self._store_row(table, row) for row in answer.rows if row.tls_key == key]
         return rows[0] if rows else None
 
     def watch_table(self, table: str, after: int, wait: float) -> FeedAnswer:
-        """Returns the rows of a table that changed after a version, waiting `wait` seconds."""
+        """Returns the rows that changed after a version, waiting up to `wait` seconds for one."""
         query = {"table": table, "after": str(after), "waitMs": str(int(wait * 1000))}
         answer = self._get("/dewledge/rows-feed", query, wait + CALL_LIMIT_SECONDS)
         return FeedAnswer(tuple(self._store_row(table, row) for row in answer.rows), answer.ver)
 
     def write(self, write: StoreWrite) -> int:
-        """Puts one row if it still has the expected version; returns the new version."""
+        """Writes one row if it still has the expected version; returns the new version."""
         address = {"table": write.table, "part": "", "tlsKey": write.key}
         value = base64.b64encode(write.value).decode()
         body = {
@@ -128,9 +137,9 @@
 
     def _store_row(self, table: str, row: _Row) -> StoreRow:
         value = base64.b64decode(row.value or "")
-        strip = self._stripped.get(table)
-        if strip is not None and not row.gone:
-            value = strip(value)
+        sanitize = self._sanitizers.get(table)
+        if sanitize is not None and not row.gone:
+            value = sanitize(value)
         return StoreRow(row.tls_key, value, row.ver, row.gone)
 
     def _get(self, path: str, query: dict[str, str], timeout: float) -> _Answer:
@@ -142,8 +151,8 @@
         target = f"{path}?{urlencode(query)}" if query else path
         content = b"" if body is None else json.dumps(body).encode()
         try:
-            longest = LONGEST_ANSWER_SECONDS if method == "GET" else None
-            answer = self._calls.call(method, target, content, timeout, _JSON, longest)
+            max_seconds = MAX_ANSWER_SECONDS if method == "GET" else None
+            answer = self._calls.call(method, target, content, timeout, _JSON, max_seconds)
         except ServerUnreachable as error:
             raise StoreError(f"cannot reach the store: {error}") from error
         except (AnswerMissing, ProtocolError) as error:
@@ -156,18 +165,18 @@
 
 
 class PlatformPromotions:
-    """Calls that the platform takes from one node at a time.
+    """Client of the promotion endpoint; each call carries the lease holder and its fencing token.
 
-    A connection given up on is reset: what a broken network still holds of a call is never
-    delivered later.
+    Closing a connection resets it (SO_LINGER with zero timeout), so a call that timed out is not
+    delivered later from the socket's send buffer.
     """
 
     def __init__(self, address: str) -> None:
         options = [*_KEEPALIVE, (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)]
-        self._calls = HttpCalls(address, CONNECT_SECONDS, options)
+        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, options)
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
-        """Asks for a new primary; returns whether the platform took it. Raises StoreError."""
+        """Requests a promotion; returns False if it was fenced off. Raises StoreError."""
         headers = {
             **_JSON,
             "Dewledge-Lease-Holder": holder,
@@ -178,9 +187,9 @@
             answer = self._calls.call("POST", "/promote", body, CALL_LIMIT_SECONDS, headers)
         except (ServerUnreachable, AnswerMissing, ProtocolError) as error:
             raise StoreOutcomeUnknown(f"no answer: {error}") from error
-        if answer.status not in (ACCEPTED, FENCED):
+        if answer.status not in (ACCEPTED_STATUS, FENCED_STATUS):
             raise StoreError(f"the platform answered {answer.status}")
-        return answer.status == ACCEPTED
+        return answer.status == ACCEPTED_STATUS
 
 
 def _raise_for_status(status: int) -> None:
--- a/src/dewledge/shell/pooler/planned_stop.py
+++ b/src/dewledge/shell/pooler/planned_stop.py
@@ -1,9 +1,11 @@
-"""A planned stop: what a process does from the signal to its end, and whether it is ready.
-
-Owns the moment at which the stop began. Within the bound of the settings, measured from there:
-at once no new sessions and, at other processes, nothing new through this one; clients leave at
-their next rest; from TAKE_SHARE of the bound on nothing begins; from half of it on transactions are
-rolled back; it ends when nothing is left, at END_SHARE of the bound at the latest.
+"""Graceful shutdown of a process, and its readiness.
+
+The shutdown is limited by the setting `timings.stop_bound`, counted from its beginning. At once the
+process reports that it is not ready and asks other processes to send it no new work; each client
+connection is closed when it is idle. After END_TRANSACTIONS_RATIO of the limit, idle open
+transactions are rolled back; after REFUSE_WORK_RATIO, new connections and statements are refused.
+The process ends when no work is left, at the earliest after END_TRANSACTIONS_RATIO, at the latest
+after END_PROCESS_RATIO.
 """
 
 from collections.abc import Callable
@@ -15,16 +17,16 @@
 from dewledge.shell.pooler.links.client_listener import ClientListener
 from dewledge.shell.pooler.settings_file import CurrentSettings
 
-TAKE_SHARE = 0.55
-"""Of a planned stop's time; what is taken later might be cut by the end of the process."""
-TRANSACTION_SHARE = 0.5
-"""Of a planned stop's time, which open transactions have to end."""
-END_SHARE = 0.9
-"""Of a planned stop's time; the rest is for the end of the process itself."""
+REFUSE_WORK_RATIO = 0.55
+"""Ratio of the limit after which new work is refused: it might not finish before the end."""
+END_TRANSACTIONS_RATIO = 0.5
+"""Ratio of the limit that clients have to end their open transactions."""
+END_PROCESS_RATIO = 0.9
+"""Ratio of the limit after which the process ends; the rest is for closing its resources."""
 
 
 class Readiness:
-    """Whether new connections should come to this process."""
+    """Whether this process should receive new connections."""
 
     def __init__(self, services: PoolServices) -> None:
         self._services = services
@@ -42,57 +44,59 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the process can serve and is not about to leave."""
+        """Whether the process is configured and no planned stop has begun."""
         return self._leaving_since is None and self._services.is_configured
 
-    def leave(self, now: float) -> None:
-        """A planned stop begins."""
+    def start_leaving(self, now: float) -> None:
+        """Records that a planned stop began at `now`."""
         self._leaving_since = now
 
 
 class PlannedStop:
-    """All methods belong to the loop's thread."""
+    """Runs the steps of a graceful shutdown. Call only from the event loop's thread."""
 
     def __init__(
         self,
         readiness: Readiness,
         services: PoolServices,
         clients: ClientListener,
-        lending: ChannelServer,
+        channel_server: ChannelServer,
         settings: CurrentSettings,
         finish: Callable[[], None],
     ) -> None:
-        """`finish`: called once when the process may end."""
+        """`finish`: called when the process may end."""
         self._readiness = readiness
         self._services = services
         self._clients = clients
-        self._lending = lending
+        self._channel_server = channel_server
         self._settings = settings
         self._finish = finish
 
     def begin(self, now: float) -> None:
-        """Begins the stop; a second call changes nothing."""
+        """Begins the stop; later calls have no effect."""
         if self._readiness.is_leaving:
             return
-        self._readiness.leave(now)
-        self._lending.leave()
+        self._readiness.start_leaving(now)
+        self._channel_server.leave()
         logger.bind(
-            sessions=len(self._clients.connections), channels=self._lending.channel_count
+            sessions=len(self._clients.connections), channels=self._channel_server.channel_count
         ).info("pooler_leaving")
 
-    def go_on(self, now: float) -> None:
-        """Does what is due by now; nothing before the stop has begun."""
-        since = self._readiness.leaving_since
-        if since is None:
+    def advance(self, now: float) -> None:
+        """Performs the steps that are due; does nothing before the stop has begun."""
+        leaving_since = self._readiness.leaving_since
+        if leaving_since is None:
             return
-        elapsed, bound = now - since, self._settings.present.timings.stop_bound
-        if elapsed > bound * TAKE_SHARE and not self._services.is_ending:
+        elapsed, bound = now - leaving_since, self._settings.current.timings.stop_bound
+        if elapsed > bound * REFUSE_WORK_RATIO and not self._services.is_ending:
             self._services.is_ending = True
             self._clients.close()
         for connection in list(self._clients.connections):
-            if elapsed > bound * TRANSACTION_SHARE:
+            if elapsed > bound * END_TRANSACTIONS_RATIO:
                 connection.session.end_transaction("planned_stop")
             connection.leave()
-        is_done = not self._clients.connections and self._lending.at_rest
-        if (elapsed > bound * TRANSACTION_SHARE and is_done) or elapsed > bound * END_SHARE:
+        is_done = not self._clients.connections and self._channel_server.at_rest
+        if (
+            elapsed > bound * END_TRANSACTIONS_RATIO and is_done
+        ) or elapsed > bound * END_PROCESS_RATIO:
             self._finish()
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -1,8 +1,7 @@
-"""Runs a process's admission and its part in granting on the event loop and the datagrams.
+"""Connects the rate-limit gate and grantor of a process to timers and datagrams.
 
-Owns the timer of the process's gate and takes datagrams to gate and grantor. Relies on the member
-table for whom to ask and at which address, and on the configuration in force for the limits. A
-question to this process itself goes to its own grantor without a datagram.
+Passes received datagrams to the gate and the grantor, and keeps them up to date with the member
+table and the configured limits. A request to this process's own grantor bypasses the network.
 """
 
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
@@ -16,50 +15,50 @@
 
 
 class QuotaDriver:
-    """All methods belong to the loop's thread."""
+    """Drives the gate and the grantor of this process. Call only from the event loop's thread."""
 
     def __init__(
         self,
         loop: EventLoop,
-        own_name: str,
+        process_name: str,
         gate: QuotaGate,
         grantor: Grantor,
         members: MemberTable,
         peers: PeerSocket,
     ) -> None:
-        """`gate`: admits operations here; its questions come to `send`."""
+        """`gate`: admits operations in this process; its requests are passed to `send`."""
         self._loop = loop
-        self._own_name = own_name
+        self._process_name = process_name
         self._members = members
         self._peers = peers
         self._gate = gate
         self._grantor = grantor
-        peers.on(QuotaQuestion, self._take_question)
-        peers.on(QuotaAnswer, self._take_answer)
+        peers.on(QuotaQuestion, self._handle_question)
+        peers.on(QuotaAnswer, self._handle_answer)
 
     def start(self) -> None:
-        """Starts to vote, once the members are known."""
+        """Starts the gate's timer; the gate votes for grantors once the members are known."""
         self._tick()
 
-    def members_changed(self) -> None:
-        """The members are known, or are others now."""
+    def on_members_changed(self) -> None:
+        """Passes the current members to the gate and the grantor."""
         names = frozenset(self._members.members)
         self._gate.set_members(names)
         self._grantor.set_members(names)
 
-    def configuration_changed(self, routes: RouteTable) -> None:
-        """Takes the limits of the configuration in force."""
+    def on_configuration_changed(self, routes: RouteTable) -> None:
+        """Applies the rate limits of a new configuration."""
         limits = routes.rate_limits
         self._gate.set_limits(limits)
         self._grantor.set_limits(limits)
 
     def _tick(self) -> None:
-        again = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
-        self._loop.call_later(again, self._tick)
+        delay = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
+        self._loop.call_later(delay, self._tick)
 
     def send(self, name: str, question: QuotaQuestion) -> None:
-        """Sends a question of the gate to the process of this name, or asks the own grantor."""
-        if name == self._own_name:
+        """Sends a request of the gate to the named process, or to the local grantor."""
+        if name == self._process_name:
             answer = self._grantor.take_question(question, self._loop.now())
             self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
             return
@@ -67,8 +66,8 @@
         if member is not None:
             self._peers.send(question, [member.peer_address])
 
-    def _take_question(self, question: QuotaQuestion, sender: str) -> None:
+    def _handle_question(self, question: QuotaQuestion, sender: str) -> None:
         self._peers.send(self._grantor.take_question(question, self._loop.now()), [sender])
 
-    def _take_answer(self, answer: QuotaAnswer, _sender: str) -> None:
+    def _handle_answer(self, answer: QuotaAnswer, _sender: str) -> None:
         self._gate.take_answer(answer)
