--- a/src/dewledge/shell/pooler/failover/__init__.py
+++ b/src/dewledge/shell/pooler/failover/__init__.py
@@ -1,7 +1,8 @@
-"""Drives core/pooler/failover in a process: store, platform, datagrams, databases and time.
+"""Runs the failover state machines of core/pooler/failover in a pooler process.
 
-FailoverDriver passes events to the state machines and carries out their effects; ClaimKeeper and
-LeaseConfirmations speak with other processes of claims; IndirectProbes tests databases for this
-process and others; FailoverCalls calls the store and the platform; DatabaseQuestions asks
-databases. FailoverContext is what they share, ClaimEvents how they are connected.
+FailoverDriver passes events to the state machines and carries out their effects. ClaimKeeper and
+LeaseConfirmations exchange claims and lease confirmations with other processes. IndirectProbes
+opens test connections to databases, also on request of other processes. FailoverCalls calls the
+coordination store and the platform; DatabaseQuestions sends requests to databases. FailoverContext
+holds what these classes share, ClaimEvents the events by which they notify each other.
 """
--- a/src/dewledge/shell/pooler/failover/claim_events.py
+++ b/src/dewledge/shell/pooler/failover/claim_events.py
@@ -1,8 +1,8 @@
-"""What the parts of one process tell each other of claims (the lock rows of groups).
+"""Events about claims (the lock rows of groups) between the failover classes of one process.
 
-Owns the lists of listeners; built before the parts, which subscribe in their constructors. So the
-driver, the keeper and the reader of the store's tables need no reference to each other. A listener
-runs on the loop's thread, within the call that tells it, in the order of subscription.
+ClaimEvents is created first; the other classes subscribe in their constructors and so need no
+references to each other. Listeners run on the loop's thread, in the order of subscription, before
+the call that sends the event returns.
 """
 
 from collections.abc import Sequence
@@ -12,16 +12,16 @@
 
 
 class ClaimEvents:
-    """One list of listeners for each kind of event."""
+    """Holds the listeners of each kind of event."""
 
     def __init__(self) -> None:
         self.noticed: Listeners[[str, Claim]] = Listeners()
-        """A group, and a claim on it that another process sent and that is newer than the own."""
+        """Another process sent a claim newer than the one known here. Arguments: group, claim."""
         self.known: Listeners[[str, ClaimKnown]] = Listeners()
-        """A group, and which claim on it another process knows."""
+        """Another process acknowledged a claim. Arguments: group, process and fencing token."""
         self.learned: Listeners[[str, Claim]] = Listeners()
-        """A group, and a claim on it that this process did not know, before it takes effect."""
+        """A newer claim is about to take effect in this process. Arguments: group, claim."""
         self.to_send: Listeners[[str, Sequence[str]]] = Listeners()
-        """A group, and the processes that are to be sent its newest claim."""
+        """The newest claim on a group must be sent. Arguments: group, names of the processes."""
         self.written: Listeners[[]] = Listeners()
-        """A claim of this process stands in the store."""
+        """The store accepted a claim that this process wrote."""
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -1,10 +1,10 @@
-"""Sends claims (the lock rows of groups) to other processes and acknowledges theirs.
+"""Sends claims (the lock rows of groups) to other processes and acknowledges claims of others.
 
-Owns what was acknowledged to whom. Relies on the datagrams between processes, and on the store
-where the holder of a claim cannot be reached: there the acknowledgement is a row. What the
-acknowledgements decide is in core/pooler/failover/claim_acknowledgements.py;
-lease_confirmations.py keeps the leases that claims end. All methods belong to the loop's thread;
-the store's calls run on the executor.
+Claims and acknowledgements travel as datagrams. If the holder of a claim has not sent it to this
+process directly, the acknowledgement is written to the store as a row instead. What follows from
+acknowledgements is decided in core/pooler/failover/claim_acknowledgements.py; leases are renewed in
+lease_confirmations.py. All methods run on the loop's thread, except `_write_known`, which runs on
+the executor.
 """
 
 from collections.abc import Sequence
@@ -28,11 +28,11 @@
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
 STORE_AFTER_SECONDS = 0.25
-"""Seconds until a claim whose holder has not asked directly is acknowledged through the store."""
+"""Seconds that a new claim's holder has to send it directly, before the store is used instead."""
 
 
 class ClaimKeeper:
-    """The claims of one process's groups, between it and the others."""
+    """Exchanges claims and acknowledgements with other processes, for all groups of a process."""
 
     def __init__(self, context: FailoverContext, members: MemberTable, peers: PeerSocket) -> None:
         self._context = context
@@ -43,9 +43,9 @@
         self._events = context.claim_events
         self._confirmations = LeaseConfirmations(context, members, peers, self._send_claim)
         self._acknowledged: dict[str, int] = {}
-        """The fencing tokens that were acknowledged to the holder directly, by group."""
+        """Fencing token of the claim last acknowledged to its holder by datagram, by group."""
         self._known_versions: dict[str, int] = {}
-        """The versions of this process's rows of acknowledgements, by key."""
+        """Versions of this process's acknowledgement rows in the store, by key; 0 if removed."""
         self._stopped = False
         self._events.learned.add(self._claim_learned)
         self._events.to_send.add(self._send_to)
@@ -53,20 +53,20 @@
         peers.on(ClaimAnswer, self._take_answer)
 
     def start(self) -> None:
-        """Starts to look after the leases."""
+        """Starts to renew the leases."""
         self._confirmations.start()
 
     def stop(self) -> None:
-        """Asks for no more, and writes no more to the store."""
+        """Stops renewing leases and acknowledging claims through the store."""
         self._stopped = True
         self._confirmations.stop()
 
     def store_confirmed(self, at: float) -> None:
-        """At `at` the store held no claim that this process does not know."""
+        """Confirms all leases: at time `at`, the store held no claim unknown to this process."""
         self._confirmations.store_confirmed(at)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
-        """Takes acknowledgements that came through the store."""
+        """Applies acknowledgements read from the store."""
         for row in rows:
             if not row.key.startswith(KNOWN_PREFIX):
                 continue
@@ -77,7 +77,7 @@
                 self._events.known.tell(known.group, ClaimKnown(known.process, known.token))
 
     def _claim_learned(self, group: str, claim: Claim) -> None:
-        """Logs a newer claim, and acknowledges it through the store if nothing else does."""
+        """Logs a newer claim and schedules its acknowledgement through the store."""
         logger.bind(
             group=group,
             holder=claim.holder,
@@ -93,7 +93,7 @@
             )
 
     def _send_to(self, group: str, processes: Sequence[str]) -> None:
-        """Sends the newest claim on a group to some processes."""
+        """Sends the newest claim on a group to the named processes."""
         addresses = self._members.addresses
         self._send_claim(group, [addresses[name] for name in processes if name in addresses])
 
@@ -129,7 +129,10 @@
         self._context.executor.submit(self._write_known, write)
 
     def _write_known(self, write: StoreWrite) -> None:
-        """Runs on the executor. If it fails the holder waits until the leases have lapsed."""
+        """Writes an acknowledgement row, on the executor.
+
+        A failed write is only logged: the claim's holder then waits until leases have expired.
+        """
         try:
             self._context.store.write(write)
         except StoreError as error:
--- a/src/dewledge/shell/pooler/failover/database_questions.py
+++ b/src/dewledge/shell/pooler/failover/database_questions.py
@@ -1,7 +1,6 @@
-"""Asks a database for its status or tells it to step down, over a pooled connection.
+"""Sends status and step-down requests to databases, over pooled connections, during a failover.
 
-Relies on the group's pool for a connection; owns nothing between two questions. Used while a new
-primary is chosen. All methods belong to the loop's thread.
+All methods run on the loop's thread.
 """
 
 from collections.abc import Callable
@@ -23,18 +22,18 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 STATUS_PRIORITY = -1
-"""Queue priority of these questions, least first: before all statements of clients."""
+"""Queue priority of these requests: below the priorities of client statements, so served first."""
 STATUS_LIMIT_SECONDS = 1.0
-"""Seconds from connection to answer; then the connection is closed."""
+"""Seconds that a database has to answer a request; then the connection is closed."""
 DENIED_SECONDS = 0.05
-"""Seconds until a question that got no connection is told as unanswered: one tick of the driver, so
-that it is not asked again within the call that was denied."""
+"""Seconds until a request that got no connection is reported as unanswered: one tick of the driver,
+so that the request is not repeated within the call that was denied."""
 
 TakeStatus = Callable[[DatabaseStatus | None], None]
 
 
 class DatabaseQuestions:
-    """What comes of a question is passed on as an event of the group."""
+    """Sends requests to databases and passes each answer on as a failover event of the group."""
 
     def __init__(
         self,
@@ -42,13 +41,13 @@
         parse_status: Callable[[Reply], DatabaseStatus | None],
         handle: Callable[[str, FailoverEvent], None],
     ) -> None:
-        """`handle`: called with a group's name and what a database answered, None if nothing."""
+        """`handle`: called with a group's name and an event that holds the database's answer."""
         self._loop = loop
         self._parse_status = parse_status
         self._handle = handle
 
     def read_status(self, group: Group, database_id: str) -> None:
-        """Asks a database what it has received."""
+        """Requests a database's status: its role, term and last received log position."""
 
         def told(status: DatabaseStatus | None) -> None:
             self._handle(group.view.name, StatusRead(database_id, status))
@@ -56,7 +55,7 @@
         self._ask(group.pool(database_id), StatementKind.STATUS, "", told)
 
     def step_down(self, group: Group, effect: StepDown) -> None:
-        """Tells a database to lead no more."""
+        """Requests that a database step down as primary."""
 
         def told(status: DatabaseStatus | None) -> None:
             logger.bind(
@@ -73,7 +72,7 @@
     def _ask(
         self, pool: ConnectionPool, kind: StatementKind, argument: str, told: TakeStatus
     ) -> None:
-        """Sends a statement; without a connection or an answer in time None is told."""
+        """Sends a statement; calls back with None without a connection or a timely answer."""
 
         def given(connection: DatabaseConnection) -> None:
             timer = self._loop.call_later(STATUS_LIMIT_SECONDS, lambda: lost(connection))
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -1,7 +1,6 @@
-"""The calls that a failover makes to the coordination store and to the platform's promotion call.
+"""Calls the coordination store and the platform's promotion API on behalf of failovers.
 
-Owns nothing between calls. Each call runs on the executor; what comes of it is passed on to the
-loop's thread.
+Each call blocks, so it runs on the executor; its result is posted to the loop's thread.
 """
 
 from collections.abc import Callable, Sequence
@@ -27,7 +26,7 @@
 
 
 class FailoverCalls:
-    """Writes claims and orders promotions."""
+    """Writes claims to the store and requests promotions from the platform."""
 
     def __init__(
         self,
@@ -36,9 +35,10 @@
         take_rows: Callable[[Sequence[StoreRow]], None],
         handle: Callable[[str, FailoverEvent], None],
     ) -> None:
-        """`promotions`: None where the platform has no such call.
+        """`promotions`: the platform's promotion API; None if the platform has none.
 
-        `handle`: called with a group's name and what happened to the group.
+        `take_rows`: called with the claim row after a write, or as read after a failed write.
+        `handle`: called with a group's name and the event that resulted from a call.
         """
         self._context = context
         self._promotions = promotions
@@ -46,15 +46,15 @@
         self._handle = handle
 
     def write_claim(self, group: str, effect: WriteClaim) -> None:
-        """Writes a claim on a group."""
+        """Starts to write a claim on a group to the store."""
         self._context.executor.submit(self._write_claim, group, effect)
 
     def promote(self, group: str, effect: Promote) -> None:
-        """Orders that a database leads its group."""
+        """Starts a request to the platform to promote a database to primary."""
         self._context.executor.submit(self._promote, group, effect)
 
     def _write_claim(self, group: str, effect: WriteClaim) -> None:
-        """Whatever the answer, the row itself tells who holds the claim."""
+        """Writes the claim row; if the write fails, reads the row to find who holds the claim."""
         key = CLAIM_PREFIX + group
         value = encode_value(
             ClaimValue(
@@ -96,7 +96,7 @@
         self._context.loop.post(tell)
 
     def _promote(self, group: str, effect: Promote) -> None:
-        """A call without an answer is made again, under the same fencing token."""
+        """Calls the promotion API; produces no event if the call is too late or gets no answer."""
         if self._promotions is None:
             return
         if self._context.loop.now() >= effect.not_after:
--- a/src/dewledge/shell/pooler/failover/failover_context.py
+++ b/src/dewledge/shell/pooler/failover/failover_context.py
@@ -1,4 +1,4 @@
-"""What all parts of failover in one process share."""
+"""Objects that the failover classes of one process share."""
 
 from concurrent.futures import Executor
 
@@ -12,9 +12,10 @@
 
 
 class FailoverContext(msgspec.Struct, frozen=True):
-    """groups: all that the configuration names, by name; changed by the directory only.
+    """Shared objects of the failover classes, passed to their constructors.
 
-    executor: runs the store's and the platform's calls, which block.
+    groups: all groups of the configuration, by name; only the directory changes this mapping.
+    executor: runs blocking calls to the store and the platform.
     """
 
     loop: EventLoop
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -1,8 +1,9 @@
-"""Drives the failovers of all groups: passes events to state machines, carries out their effects.
+"""Runs the failover state machines of all groups: passes in events and carries out the effects.
 
-Owns one GroupFailover for each group and the choice of the judges (panel). Relies on FailoverCalls
-for store and platform, DatabaseQuestions for databases, IndirectProbes for tests, and ClaimEvents
-for all that concerns claims. All methods belong to the loop's thread.
+Also selects the judges of each group: the processes that decide whether its primary is lost.
+FailoverCalls serves the effects on store and platform, DatabaseQuestions the requests to databases,
+IndirectProbes the test connections, ClaimEvents the exchange of claims. All methods run on the
+loop's thread.
 """
 
 from collections.abc import Callable, Sequence
@@ -47,13 +48,13 @@
 from dewledge.shell.pooler.tables.coordination_rows import CLAIM_PREFIX, read_claim
 
 TICK_SECONDS = 0.05
-"""Seconds between two looks at groups under way."""
+"""Seconds between ticks of a group whose failover is active or whose primary is suspected."""
 STEADY_TICKS = 20
-"""Ticks between two looks at a group whose primary is well, unless its view changes."""
+"""Ticks of the driver for each tick of a group whose primary is not suspected."""
 
 
 class FailoverDriver:
-    """The failovers of one process."""
+    """Owns the state machine of each group and connects it to the rest of the process."""
 
     def __init__(
         self,
@@ -81,20 +82,20 @@
         context.claim_events.known.add(self.take_known)
 
     def start(self, probes: IndirectProbes) -> None:
-        """Starts to watch the groups' primaries."""
+        """Starts the periodic ticks, with `probes` for test connections and leader notices."""
         self._probes = probes
         self._tick()
 
     def stop(self) -> None:
-        """Takes no further step: a process that leaves begins no failover."""
+        """Stops all state machines: a process that shuts down must not start a failover."""
         self._stopped = True
 
     def doubt(self, group: str, database_id: str) -> None:
-        """A statement got no answer, or no connection could be opened."""
+        """Reports that a database did not answer a statement or could not be connected to."""
         self._handle(group, PrimaryDoubted(database_id))
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
-        """Takes claim rows of the store."""
+        """Applies the claim rows among rows read from the store."""
         for row in rows:
             if row.key.startswith(CLAIM_PREFIX) and not row.gone:
                 claim = read_claim(row)
@@ -102,7 +103,7 @@
                     self.take_claim(row.key.removeprefix(CLAIM_PREFIX), claim)
 
     def take_claim(self, group: str, claim: Claim) -> None:
-        """Takes a claim; one on a group that is not known yet is kept for later."""
+        """Applies a claim; without a configured group, the claim is recorded in its lease only."""
         if claim.fencing_token > self._context.leases.of(group).fencing_token:
             self._context.claim_events.learned.tell(group, claim)
         if group in self._groups and not self._stopped:
@@ -111,22 +112,22 @@
             self._context.leases.of(group).take_claim(claim)
 
     def take_known(self, group: str, known: ClaimKnown) -> None:
-        """Another process acknowledged a claim."""
+        """Passes on that another process acknowledged a claim."""
         self._handle(group, known)
 
     def take_registered(self, registered: RegisteredProcesses) -> None:
-        """Takes which processes have rows in the store."""
+        """Stores the names of the processes that have rows in the store."""
         self._registered = registered
 
     def take_answer(self, answer: IndirectProbeAnswer) -> None:
-        """Takes the answer of another process to an indirect probe."""
+        """Passes on another process's answer to an indirect probe."""
         record = self._find(answer.database)
         if record is not None:
             event = IndirectProbeReported(answer.witness, answer.database, answer.reachable)
             self._handle(record.group, event)
 
     def take_leader(self, notice: LeaderNotice) -> None:
-        """Takes a notice that a database leads; statements still prove it."""
+        """Uses a database as primary; only a hint, since each statement still requires proof."""
         record = self._find(notice.database)
         if record is None:
             return
@@ -140,7 +141,7 @@
             self._handle(record.group, Ticked())
 
     def look_at(self, group_name: str) -> None:
-        """The view of a group has changed."""
+        """Runs a group's state machine after its view changed."""
         self._handle(group_name, Ticked())
 
     def _tick(self) -> None:
@@ -215,7 +216,7 @@
         return known
 
     def members_changed(self) -> None:
-        """The processes that may judge a primary are to be chosen anew."""
+        """Discards the selected judges, so that they are selected from the current processes."""
         self._panels.clear()
 
     def _ask(self, group: Group, database_id: str) -> None:
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -1,8 +1,8 @@
-"""Tests whether databases are reached, for this process, and for others that ask by datagram.
+"""Opens test connections to databases, for this process and on request of other processes.
 
-An indirect probe is a test by another process: a cut between this process and a database is told
-apart from the loss of the database. One datagram each way; lost ones are not repeated here. Owns no
-state but the timeout of tests, which it learns from them (reach_limit.py).
+An indirect probe is a test by another process. It distinguishes a network partition between this
+process and a database from the loss of the database. Requests and answers are single datagrams and
+are not repeated here. ReachLimit adapts the timeout to observed connection times.
 """
 
 import socket
@@ -22,20 +22,20 @@
 
 
 class ProbeListener(Protocol):
-    """Who is told what other processes say of databases."""
+    """Receives reports about databases from other processes."""
 
     def doubt(self, group: str, database_id: str) -> None:
-        """Another process doubts a database."""
+        """Called when another process suspects that a database is unreachable."""
 
     def take_answer(self, answer: IndirectProbeAnswer) -> None:
-        """Another process tells whether it reaches a database."""
+        """Called when another process answers whether it can reach a database."""
 
     def take_leader(self, notice: LeaderNotice) -> None:
-        """Another process tells that a database leads."""
+        """Called when another process reports that a database is primary."""
 
 
 class IndirectProbes:
-    """The questions on databases of one process, and its answers."""
+    """Sends probe requests and answers those of other processes."""
 
     def __init__(
         self,
@@ -58,15 +58,15 @@
         peers.on(LeaderNotice, lambda notice, _sender: listener.take_leader(notice))
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
-        """Asks the processes at `addresses`."""
+        """Asks the processes at `addresses` whether they can reach a database."""
         self._peers.send(IndirectProbeQuestion(self._own_name, database_id), addresses)
 
     def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
-        """Tells the processes at `addresses` which database leads."""
+        """Notifies the processes at `addresses` that a database is primary."""
         self._peers.send(LeaderNotice(self._own_name, database_id), addresses)
 
     def test(self, record: DatabaseRecord, done: Callable[[bool], None]) -> None:
-        """Tests whether a database's address takes connections."""
+        """Opens a test connection; calls `done` with whether it was accepted within the timeout."""
         limit = self._reach_limit.seconds
         started_at = self._loop.now()
 
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -1,9 +1,9 @@
-"""Keeps this process's leases on primaries confirmed: by the store's tables, else by a quorum.
+"""Renews this process's leases on primaries, by reads of the store or by a quorum of voters.
 
-Owns the questions to voters and the log of lapses; what a confirmation is worth decides
-core/pooler/failover/quorum_confirmation.py. Relies on the members' table for addresses and for
-whether this process has a row: a confirmation counts only for a process that holders of claims wait
-for. All methods belong to the loop's thread.
+Sends and answers the confirmation requests and logs expired leases;
+core/pooler/failover/quorum_confirmation.py decides what answers confirm. A confirmation by the
+store counts only while this process has a row in the members' table, because holders of claims wait
+only for processes with a row. All methods run on the loop's thread.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,11 +21,11 @@
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
 TICK_SECONDS = 0.1
-"""Seconds between two looks at the age of confirmations."""
+"""Seconds between checks of the age of confirmations."""
 
 
 class LeaseConfirmations:
-    """The confirmations of one process, and its answers to others that ask for theirs."""
+    """Renews the leases of one process and answers the confirmation requests of others."""
 
     def __init__(
         self,
@@ -48,16 +48,16 @@
         peers.on(ConfirmationAnswer, self._take_confirmation)
 
     def start(self) -> None:
-        """Starts to look after the leases, where the platform does not fence."""
+        """Starts to renew the leases, if fencing depends on the processes (Fencing.PROCESSES)."""
         if self._leases.fencing is Fencing.PROCESSES:
             self._tick()
 
     def stop(self) -> None:
-        """Asks for no more."""
+        """Stops sending confirmation requests."""
         self._stopped = True
 
     def store_confirmed(self, at: float) -> None:
-        """At `at` the store held no claim that this process does not know."""
+        """Confirms all leases: at time `at`, the store held no claim unknown to this process."""
         if self._members.is_registered:
             self._leases.confirm_all(at)
             for group in self._groups.values():
