--- a/src/dewledge/shell/pooler/observing/__init__.py
+++ b/src/dewledge/shell/pooler/observing/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines and metrics of a pooler process."""
+"""Log lines, metrics and HTTP status pages of a pooler process."""
--- a/src/dewledge/shell/pooler/observing/event_log.py
+++ b/src/dewledge/shell/pooler/observing/event_log.py
@@ -1,7 +1,6 @@
-"""Writes typed events as log lines, and counts them.
+"""Writes typed events as log lines and counts them in the metrics.
 
-Owns the names of events in the log, which are made from class names. Relies on loguru for the lines
-and on `log_writer`, which bounds them.
+The name of an event in the log is derived from its class name. LogWriter bounds the lines.
 """
 
 import sys
@@ -22,13 +21,13 @@
 
 
 class EventLog:
-    """One line for each event; field names are the event's own."""
+    """Writes one log line for each event, with the event's fields under their own names."""
 
     def __init__(self, metrics: PoolerMetrics) -> None:
         self._metrics = metrics
 
     def record(self, event: msgspec.Struct) -> None:
-        """Logs an event under its type's name."""
+        """Logs an event and counts it; empty text fields are omitted from the line."""
         name = event_name(type(event))
         if isinstance(event, StatementAnswered):
             self._metrics.observe_statement(event)
@@ -51,7 +50,7 @@
 
 
 def send_log_to(level: str, stream: TextIO | None = None) -> LogWriter:
-    """Sends events of at least `level` to a stream (standard output) through a bounded buffer."""
+    """Logs from `level` up to a stream, by default standard output, through a started LogWriter."""
     writer = LogWriter(stream or sys.stdout)
 
     def write(message: "Message") -> None:
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -1,8 +1,8 @@
-"""Log lines to a stream that may stop being read: bounded, so that logging never blocks.
+"""Buffers log lines for a stream whose reader may be slow, so that logging never blocks the caller.
 
-A thread of its own writes. Plain lines (one for each statement) have a budget a second and give way
-first; what was left out is counted in a line of its own. Warnings, errors and other events are
-left out only when the whole buffer is full. Owns the buffer and the thread.
+A separate thread writes to the stream. Plain lines (one for each statement) have a rate limit and a
+smaller share of the buffer; all other lines are dropped only when the whole buffer is full. A log
+line reports how many lines were dropped.
 """
 
 import threading
@@ -12,17 +12,17 @@
 from typing import TextIO
 
 MAX_WAITING_LINES = 4000
-"""Before the stream; beyond it every line is left out."""
+"""Lines in the buffer from which every new line is dropped."""
 MAX_WAITING_PLAIN = 2000
-"""Before the stream; beyond it plain lines are left out."""
+"""Lines in the buffer from which new plain lines are dropped."""
 PLAIN_LINES_PER_SECOND = 400
-"""Budget of plain lines."""
+"""Lines: rate limit of plain lines."""
 WAKE_SECONDS = 0.2
-"""Between two writes to the stream."""
+"""Seconds between writes to the stream."""
 
 
 class LogWriter:
-    """A bounded buffer before a stream. `write` may be called from any thread."""
+    """Writes lines to a stream through a bounded buffer. `write` may be called by any thread."""
 
     def __init__(self, stream: TextIO, clock: Callable[[], float] = time.monotonic) -> None:
         self._stream = stream
@@ -40,7 +40,7 @@
         self._thread.start()
 
     def write(self, line: str, is_plain: bool) -> None:
-        """Takes a line, or counts it as left out. Never waits for the stream."""
+        """Adds a line to the buffer, or counts it as dropped. Never waits for the stream."""
         with self._lock:
             if not self._has_room(is_plain):
                 self._left_out += 1
@@ -50,12 +50,12 @@
             self._lines.append(line)
 
     def stop(self, seconds: float = 1.0) -> None:
-        """Writes what is left, for at most `seconds`."""
+        """Writes the buffered lines and stops the thread; waits at most `seconds`."""
         self._stopped.set()
         self._thread.join(seconds)
 
     def take(self) -> list[str]:
-        """Returns the lines to write now, the count of those left out last."""
+        """Empties the buffer and returns its lines, with a last one for dropped lines if any."""
         with self._lock:
             if self._left_out:
                 self._note_left_out()
--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -1,8 +1,8 @@
 """Counters, histograms and gauges of one pooler, in the Prometheus text format.
 
-Labels are bounded: kinds, codes and event names are constants of the code. The figures are plain
-numbers; the library that writes the format is imported when somebody first asks for them, since a
-process that starts serves nobody until its imports are done.
+The number of time series is bounded: label values are statement kinds, codes and event names that
+the code defines. The metrics library is imported at the first scrape, because its import would
+delay the start of the process.
 """
 
 from bisect import bisect_left
@@ -20,22 +20,23 @@
     from prometheus_client import Metric
 
 LATENCY_BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0)
-"""Upper bounds in seconds: finer around the latency targets of routes, 0.4 to 1 s."""
+"""Seconds: upper bounds of buckets, finer around the latency targets of routes (0.4 to 1 s)."""
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-"""Of the text format that `render` writes."""
+"""Media type of the result of `PoolerMetrics.render`."""
 
 QUARTER = 1.25
-"""Factor between an expected and a real duration: a quarter of the shorter."""
+"""Factor between expected and actual duration up to which they count as within a quarter."""
 TWICE = 2.0
-"""Factor between an expected and a real duration."""
+"""Factor between expected and actual duration up to which they count as within twice."""
 LEAST_COMPARED_MS = 5
-"""Shorter times differ by whole factors for no reason but rounding."""
+"""Milliseconds to which shorter durations are raised before they are compared, because rounding
+alone makes such durations differ by large factors."""
 
 
 class Accuracy(StrEnum):
-    """How far an expected completion was from the real one, whichever was the longer.
+    """Difference between the expected and the actual duration of a statement.
 
-    WITHIN_QUARTER: by a quarter of the shorter at most. WITHIN_TWICE: by a factor of two.
+    WITHIN_QUARTER: at most a quarter of the shorter one. WITHIN_TWICE: at most a factor of two.
     """
 
     WITHIN_QUARTER = "within_quarter"
@@ -44,7 +45,7 @@
 
 
 class StatementLabels(msgspec.Struct, frozen=True):
-    """What a statement is counted under."""
+    """Labels of the counter of answered statements."""
 
     kind: str
     consistency: str
@@ -52,21 +53,21 @@
 
 
 class DurationLabels(msgspec.Struct, frozen=True):
-    """What a statement's duration is counted under."""
+    """Labels of the histogram of statement durations."""
 
     kind: str
     consistency: str
 
 
 class AttemptLabels(msgspec.Struct, frozen=True):
-    """What an attempt at a database is counted under."""
+    """Labels of the counter of attempts at databases."""
 
     proof: str
     result: str
 
 
 class _Durations:
-    """How many durations fell under each bound, and their sum in seconds."""
+    """Histogram of durations: a count for each bucket, and the sum in seconds."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(LATENCY_BUCKETS) + 1)
@@ -77,7 +78,7 @@
         self.total += seconds
 
     def cumulative(self) -> Iterator[tuple[str, float]]:
-        """Yields each bound with the count of what is not above it."""
+        """Yields each upper bound with the number of durations up to it."""
         count = 0
         for bound, added in zip((*LATENCY_BUCKETS, float("inf")), self.counts, strict=True):
             count += added
@@ -91,7 +92,7 @@
 
 
 class PoolerMetrics:
-    """The figures of one process."""
+    """Collects the metrics of one process and renders them for scrapes."""
 
     def __init__(self) -> None:
         self._statements: Counter[StatementLabels] = Counter()
@@ -102,11 +103,11 @@
         self._gauges: list[_Gauge] = []
 
     def add_gauge(self, name: str, description: str, read: Callable[[], float]) -> None:
-        """Adds a gauge whose value is read when metrics are asked for."""
+        """Adds a gauge; `read` returns its value and is called at each scrape."""
         self._gauges.append(_Gauge(f"dewledge_{name}", description, read))
 
     def observe_statement(self, event: StatementAnswered) -> None:
-        """Counts an answered statement with its attempts."""
+        """Counts an answered statement, its duration and its attempts."""
         self._statements[StatementLabels(event.kind, event.consistency, event.outcome)] += 1
         labels = DurationLabels(event.kind, event.consistency)
         durations = self._seconds.setdefault(labels, _Durations())
@@ -120,11 +121,11 @@
                 self._attempts[AttemptLabels(parts[1] or "pinned", parts[2])] += 1
 
     def count_event(self, name: str) -> None:
-        """Counts one logged event."""
+        """Counts a logged event under its name."""
         self._events[name] += 1
 
     def render(self) -> bytes:
-        """Returns all metrics in the text format."""
+        """Returns all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -132,7 +133,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterable["Metric"]:
-        """Yields the metrics; called by the library that writes the format."""
+        """Yields all metric families; called by the Prometheus client library."""
         from prometheus_client.core import GaugeMetricFamily
 
         yield _counter(
@@ -179,7 +180,7 @@
     labels: Sequence[str],
     counts: Iterable[tuple[Sequence[str], int]],
 ) -> "Metric":
-    """Returns a counter with the values of its labels and their counts."""
+    """Returns a counter family; `counts` pairs label values with their count."""
     from prometheus_client.core import CounterMetricFamily
 
     family = CounterMetricFamily(name, description, labels=labels)
--- a/src/dewledge/shell/pooler/observing/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -1,7 +1,4 @@
-"""The metrics of a pooler that are read when they are asked for: what is open at the moment.
-
-Owns their names and descriptions; the figures are other parts' own.
-"""
+"""Gauges of a pooler process: names, descriptions and the values that they read at each scrape."""
 
 from collections.abc import Callable
 
@@ -19,7 +16,7 @@
 
 
 class MeasuredParts(msgspec.Struct, frozen=True):
-    """The parts of a process whose figures are gauges."""
+    """Objects of a process from which gauges read their values."""
 
     services: PoolServices
     clients: ClientListener
@@ -30,7 +27,7 @@
 
 
 Gauge = tuple[str, str, Callable[[MeasuredParts], float]]
-"""A name, a description, and what reads the value."""
+"""Name, description and function that returns the value."""
 
 
 def _sum_of_pools(parts: MeasuredParts, read: Callable[[ConnectionPool], int]) -> int:
@@ -82,7 +79,7 @@
 
 
 def add_process_gauges(metrics: PoolerMetrics, parts: MeasuredParts) -> None:
-    """Adds the gauges of one process; each is read when the metrics are asked for."""
+    """Adds all gauges of a process, including those about waits, to its metrics."""
 
     def reader(read: Callable[[MeasuredParts], float]) -> Callable[[], float]:
         return lambda: read(parts)
--- a/src/dewledge/shell/pooler/observing/stall_watch.py
+++ b/src/dewledge/shell/pooler/observing/stall_watch.py
@@ -1,18 +1,18 @@
-"""Notices that the process stood still: frozen, or without a processor, for longer than usual.
+"""Detects that the process did not run for a while, because it was suspended or got no CPU time.
 
-Input: when each tick of a regular timer came (steady clock, seconds). Decision: whether it came so
-late that the log is to say so; an operator then knows why answers were late.
+The check compares the times of a regular timer's ticks. The log line about a stall explains late
+answers to an operator.
 """
 
 from dewledge.core.pooler.events import ProcessStoodStill
 
 STALL_SECONDS = 0.3
-"""A tick that comes so much too late is told: more than a slow machine's turn between two ticks,
-and less than the latency target of any route seen so far (0.4 s)."""
+"""Seconds of delay from which a late tick is reported: above ordinary scheduling delays, and below
+the usual latency targets of routes (0.4 s and more)."""
 
 
 class StallWatch:
-    """Compares when a tick came with when it was due."""
+    """Compares the times of ticks with the times at which they were due."""
 
     def __init__(self, interval: float) -> None:
         """`interval`: seconds between two ticks."""
@@ -20,7 +20,7 @@
         self._last: float | None = None
 
     def tick(self, now: float) -> ProcessStoodStill | None:
-        """Notes a tick; returns how long the process stood still before it, if it did."""
+        """Records a tick at `now` (steady clock); returns an event if the tick was too late."""
         before, self._last = self._last, now
         late = 0.0 if before is None else now - before - self._interval
         if late < STALL_SECONDS:
--- a/src/dewledge/shell/pooler/observing/status_pages.py
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -1,7 +1,4 @@
-"""What a process answers over HTTP: whether it is ready, and its metrics.
-
-Owns both listening addresses.
-"""
+"""Serves readiness and metrics of a process over HTTP, on an address each."""
 
 from collections.abc import Callable
 
@@ -18,7 +15,7 @@
 
 
 class StatusPages:
-    """All methods belong to the loop's thread once it runs."""
+    """HTTP servers for readiness and metrics. Once the loop runs, methods run on its thread."""
 
     def __init__(
         self,
@@ -36,16 +33,16 @@
 
     @property
     def ready_address(self) -> str:
-        """Where readiness is asked for."""
+        """Address that serves readiness."""
         return self._ready.address
 
     def start(self) -> None:
-        """Starts to answer."""
+        """Starts to answer requests."""
         self._ready.start()
         self._numbers.start()
 
     def close(self) -> None:
-        """Answers no more."""
+        """Closes both servers."""
         self._ready.close()
         self._numbers.close()
 
--- a/src/dewledge/shell/pooler/observing/wait_gauges.py
+++ b/src/dewledge/shell/pooler/observing/wait_gauges.py
@@ -1,6 +1,6 @@
-"""Waits before databases and who uses their slots, as metrics; seven, whatever the databases.
+"""Gauges about waits for databases and the use of their slots, summed over all pools of a process.
 
-Owns their names; relies on the counts that pools keep, summed when metrics are asked for.
+Their number is fixed, independent of the number of databases. Sums are computed at each scrape.
 """
 
 from collections.abc import Callable, Mapping
@@ -32,7 +32,7 @@
 
 
 def add_wait_gauges(metrics: PoolerMetrics, groups: Mapping[str, Group]) -> None:
-    """Adds the sums over all pools that this process has now."""
+    """Adds the gauges; each sums over the pools that exist when it is read."""
 
     def total(read: Callable[[ConnectionPool], float]) -> float:
         pools = (pool for group in groups.values() for pool in group.all_pools())
--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -1,6 +1,6 @@
-"""Logs what the queues before databases counted, one line for each that counted something.
+"""Logs summaries of the waits in the queues of databases, at a fixed interval.
 
-Owns the timer; relies on `core/pooler/load/wait_summaries` for what a line says.
+`core/pooler/load/wait_summaries` decides which queues get a line and what it contains.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,7 +14,7 @@
 
 
 class WaitReporter:
-    """At most a line for each pool of this process in SUMMARY_SECONDS."""
+    """Logs at most one line for each pool of this process every SUMMARY_SECONDS."""
 
     def __init__(
         self,
@@ -22,18 +22,18 @@
         groups: Mapping[str, Group],
         record: Callable[[msgspec.Struct], None],
     ) -> None:
-        """`groups`: by name; read whenever a line is due."""
+        """`groups`: the groups by name; read at each report."""
         self._scheduler = scheduler
         self._groups = groups
         self._record = record
         self._summaries = WaitSummaries()
 
     def start(self) -> None:
-        """Logs from now on."""
+        """Schedules the next report; each report schedules another."""
         self._scheduler.call_later(SUMMARY_SECONDS, self._tell_and_go_on)
 
     def tell(self) -> None:
-        """Logs what was counted since the last time."""
+        """Logs the waits counted since the last report."""
         for summary in self._summaries.collect(self._counts()):
             self._record(summary)
 
