--- a/src/dewledge/shell/pooler/failover/claim_events.py
+++ b/src/dewledge/shell/pooler/failover/claim_events.py
@@ -15,9 +15,9 @@
     """Holds the listeners of each kind of event."""
 
     def __init__(self) -> None:
-        self.noticed: Listeners[[str, Claim]] = Listeners()
+        self.received: Listeners[[str, Claim]] = Listeners()
         """Another process sent a claim newer than the one known here. Arguments: group, claim."""
-        self.known: Listeners[[str, ClaimKnown]] = Listeners()
+        self.acknowledged: Listeners[[str, ClaimKnown]] = Listeners()
         """Another process acknowledged a claim. Arguments: group, process and fencing token."""
         self.learned: Listeners[[str, Claim]] = Listeners()
         """A newer claim is about to take effect in this process. Arguments: group, claim."""
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -3,8 +3,8 @@
 Claims and acknowledgements travel as datagrams. If the holder of a claim has not sent it to this
 process directly, the acknowledgement is written to the store as a row instead. What follows from
 acknowledgements is decided in core/pooler/failover/claim_acknowledgements.py; leases are renewed in
-lease_confirmations.py. All methods run on the loop's thread, except `_write_known`, which runs on
-the executor.
+lease_confirmations.py. All methods run on the loop's thread, except `_write_acknowledgement`, which
+runs on the executor.
 """
 
 from collections.abc import Sequence
@@ -27,7 +27,7 @@
 )
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
-STORE_AFTER_SECONDS = 0.25
+STORE_FALLBACK_DELAY_SECONDS = 0.25
 """Seconds that a new claim's holder has to send it directly, before the store is used instead."""
 
 
@@ -42,15 +42,15 @@
         self._peers = peers
         self._events = context.claim_events
         self._confirmations = LeaseConfirmations(context, members, peers, self._send_claim)
-        self._acknowledged: dict[str, int] = {}
+        self._acknowledged_tokens: dict[str, int] = {}
         """Fencing token of the claim last acknowledged to its holder by datagram, by group."""
-        self._known_versions: dict[str, int] = {}
+        self._acknowledgement_versions: dict[str, int] = {}
         """Versions of this process's acknowledgement rows in the store, by key; 0 if removed."""
         self._stopped = False
-        self._events.learned.add(self._claim_learned)
+        self._events.learned.add(self._on_claim_learned)
         self._events.to_send.add(self._send_to)
-        peers.on(ClaimNotice, self._take_notice)
-        peers.on(ClaimAnswer, self._take_answer)
+        peers.on(ClaimNotice, self._on_claim_notice)
+        peers.on(ClaimAnswer, self._on_claim_answer)
 
     def start(self) -> None:
         """Starts to renew the leases."""
@@ -71,12 +71,15 @@
             if not row.key.startswith(KNOWN_PREFIX):
                 continue
             if row.key.endswith(f"/{self._own_name}"):
-                self._known_versions[row.key] = 0 if row.gone else row.version
-            known = None if row.gone else read_known(row)
-            if known is not None:
-                self._events.known.tell(known.group, ClaimKnown(known.process, known.token))
-
-    def _claim_learned(self, group: str, claim: Claim) -> None:
+                self._acknowledgement_versions[row.key] = 0 if row.gone else row.version
+            acknowledgement = None if row.gone else read_known(row)
+            if acknowledgement is not None:
+                self._events.acknowledged.tell(
+                    acknowledgement.group,
+                    ClaimKnown(acknowledgement.process, acknowledgement.token),
+                )
+
+    def _on_claim_learned(self, group: str, claim: Claim) -> None:
         """Logs a newer claim and schedules its acknowledgement through the store."""
         logger.bind(
             group=group,
@@ -89,7 +92,8 @@
         if claim.leader is not None and claim.holder != self._own_name:
             fencing_token = claim.fencing_token
             self._context.loop.call_later(
-                STORE_AFTER_SECONDS, lambda: self._acknowledge_by_store(group, fencing_token)
+                STORE_FALLBACK_DELAY_SECONDS,
+                lambda: self._acknowledge_through_store(group, fencing_token),
             )
 
     def _send_to(self, group: str, processes: Sequence[str]) -> None:
@@ -102,33 +106,33 @@
         if claim is not None and addresses:
             self._peers.send(ClaimNotice(self._own_name, group, claim), addresses)
 
-    def _take_notice(self, notice: ClaimNotice, sender: str) -> None:
+    def _on_claim_notice(self, notice: ClaimNotice, sender: str) -> None:
         lease = self._leases.of(notice.group)
         fencing_token = notice.claim.fencing_token
         if fencing_token > lease.fencing_token:
             logger.bind(group=notice.group, token=fencing_token, sender=notice.sender).info(
                 "claim_told"
             )
-            self._events.noticed.tell(notice.group, notice.claim)
+            self._events.received.tell(notice.group, notice.claim)
         if lease.claim is not None and notice.sender == lease.claim.holder:
-            self._acknowledged[notice.group] = lease.fencing_token
+            self._acknowledged_tokens[notice.group] = lease.fencing_token
         answer = ClaimAnswer(self._own_name, notice.group, lease.fencing_token)
         self._peers.send(answer, [sender])
 
-    def _take_answer(self, answer: ClaimAnswer, _sender: str) -> None:
-        self._events.known.tell(answer.group, ClaimKnown(answer.sender, answer.token))
+    def _on_claim_answer(self, answer: ClaimAnswer, _sender: str) -> None:
+        self._events.acknowledged.tell(answer.group, ClaimKnown(answer.sender, answer.token))
 
-    def _acknowledge_by_store(self, group: str, fencing_token: int) -> None:
-        if self._stopped or self._acknowledged.get(group, 0) >= fencing_token:
+    def _acknowledge_through_store(self, group: str, fencing_token: int) -> None:
+        if self._stopped or self._acknowledged_tokens.get(group, 0) >= fencing_token:
             return
         if self._leases.of(group).fencing_token != fencing_token:
             return
         key = f"{KNOWN_PREFIX}{group}/{self._own_name}"
         value = encode_value(KnownValue(self._own_name, group, fencing_token))
-        write = StoreWrite(TABLE, key, value, self._known_versions.get(key, 0))
-        self._context.executor.submit(self._write_known, write)
+        write = StoreWrite(TABLE, key, value, self._acknowledgement_versions.get(key, 0))
+        self._context.executor.submit(self._write_acknowledgement, write)
 
-    def _write_known(self, write: StoreWrite) -> None:
+    def _write_acknowledgement(self, write: StoreWrite) -> None:
         """Writes an acknowledgement row, on the executor.
 
         A failed write is only logged: the claim's holder then waits until leases have expired.
--- a/src/dewledge/shell/pooler/failover/database_questions.py
+++ b/src/dewledge/shell/pooler/failover/database_requests.py
@@ -21,18 +21,18 @@
 from dewledge.core.pooler.statements.statements import Reply, StatementKind
 from dewledge.shell.shared.event_loop import EventLoop
 
-STATUS_PRIORITY = -1
+REQUEST_PRIORITY = -1
 """Queue priority of these requests: below the priorities of client statements, so served first."""
-STATUS_LIMIT_SECONDS = 1.0
+REQUEST_TIMEOUT_SECONDS = 1.0
 """Seconds that a database has to answer a request; then the connection is closed."""
-DENIED_SECONDS = 0.05
+DENIED_REPORT_DELAY_SECONDS = 0.05
 """Seconds until a request that got no connection is reported as unanswered: one tick of the driver,
 so that the request is not repeated within the call that was denied."""
 
-TakeStatus = Callable[[DatabaseStatus | None], None]
+StatusCallback = Callable[[DatabaseStatus | None], None]
 
 
-class DatabaseQuestions:
+class DatabaseRequests:
     """Sends requests to databases and passes each answer on as a failover event of the group."""
 
     def __init__(
@@ -49,15 +49,15 @@
     def read_status(self, group: Group, database_id: str) -> None:
         """Requests a database's status: its role, term and last received log position."""
 
-        def told(status: DatabaseStatus | None) -> None:
+        def on_status(status: DatabaseStatus | None) -> None:
             self._handle(group.view.name, StatusRead(database_id, status))
 
-        self._ask(group.pool(database_id), StatementKind.STATUS, "", told)
+        self._request(group.pool(database_id), StatementKind.STATUS, "", on_status)
 
     def step_down(self, group: Group, effect: StepDown) -> None:
         """Requests that a database step down as primary."""
 
-        def told(status: DatabaseStatus | None) -> None:
+        def on_status(status: DatabaseStatus | None) -> None:
             logger.bind(
                 group=group.view.name,
                 database=effect.database,
@@ -67,29 +67,29 @@
             self._handle(group.view.name, SteppedDown(effect.database, status))
 
         kind = StatementKind.STEP_DOWN
-        self._ask(group.pool(effect.database), kind, str(effect.term), told)
+        self._request(group.pool(effect.database), kind, str(effect.term), on_status)
 
-    def _ask(
-        self, pool: ConnectionPool, kind: StatementKind, argument: str, told: TakeStatus
+    def _request(
+        self, pool: ConnectionPool, kind: StatementKind, argument: str, on_status: StatusCallback
     ) -> None:
         """Sends a statement; calls back with None without a connection or a timely answer."""
 
-        def given(connection: DatabaseConnection) -> None:
-            timer = self._loop.call_later(STATUS_LIMIT_SECONDS, lambda: lost(connection))
+        def on_connection(connection: DatabaseConnection) -> None:
+            timer = self._loop.call_later(REQUEST_TIMEOUT_SECONDS, lambda: on_timeout(connection))
 
-            def answered(reply: Reply | None) -> None:
+            def on_reply(reply: Reply | None) -> None:
                 timer.cancel()
                 pool.release(connection)
-                told(None if reply is None else self._parse_status(reply))
+                on_status(None if reply is None else self._parse_status(reply))
 
-            connection.send_own(kind, answered, argument=argument)
+            connection.send_own(kind, on_reply, argument=argument)
 
-        def lost(connection: DatabaseConnection) -> None:
+        def on_timeout(connection: DatabaseConnection) -> None:
             connection.close()
             pool.release(connection)
-            told(None)
+            on_status(None)
 
-        def denied(_denial: Denial) -> None:
-            self._loop.call_later(DENIED_SECONDS, lambda: told(None))
+        def on_denied(_denial: Denial) -> None:
+            self._loop.call_later(DENIED_REPORT_DELAY_SECONDS, lambda: on_status(None))
 
-        pool.acquire(Waiter(STATUS_PRIORITY, given, denied), {})
+        pool.acquire(Waiter(REQUEST_PRIORITY, on_connection, on_denied), {})
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -32,17 +32,17 @@
         self,
         context: FailoverContext,
         promotions: PromotionCalls | None,
-        take_rows: Callable[[Sequence[StoreRow]], None],
+        apply_rows: Callable[[Sequence[StoreRow]], None],
         handle: Callable[[str, FailoverEvent], None],
     ) -> None:
         """`promotions`: the platform's promotion API; None if the platform has none.
 
-        `take_rows`: called with the claim row after a write, or as read after a failed write.
+        `apply_rows`: called with the claim row after a write, or as read after a failed write.
         `handle`: called with a group's name and the event that resulted from a call.
         """
         self._context = context
         self._promotions = promotions
-        self._take_rows = take_rows
+        self._apply_rows = apply_rows
         self._handle = handle
 
     def write_claim(self, group: str, effect: WriteClaim) -> None:
@@ -72,28 +72,28 @@
             logger.bind(group=group, expected=effect.expected, error=error.message).info(
                 "claim_not_written"
             )
-            self._read_claim_back(group, key)
+            self._read_claim_after_failure(group, key)
             return
         row = StoreRow(key, value, version)
 
-        def tell() -> None:
-            self._take_rows([row])
+        def report() -> None:
+            self._apply_rows([row])
             self._context.claim_events.written.tell()
 
-        self._context.loop.post(tell)
+        self._context.loop.post(report)
 
-    def _read_claim_back(self, group: str, key: str) -> None:
+    def _read_claim_after_failure(self, group: str, key: str) -> None:
         try:
             row = self._context.store.read_row(TABLE, key)
         except StoreError:
             row = None
         rows = [] if row is None else [row]
 
-        def tell() -> None:
-            self._take_rows(rows)
+        def report() -> None:
+            self._apply_rows(rows)
             self._handle(group, ClaimRefused())
 
-        self._context.loop.post(tell)
+        self._context.loop.post(report)
 
     def _promote(self, group: str, effect: Promote) -> None:
         """Calls the promotion API; produces no event if the call is too late or gets no answer."""
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -1,7 +1,7 @@
 """Runs the failover state machines of all groups: passes in events and carries out the effects.
 
 Also selects the judges of each group: the processes that decide whether its primary is lost.
-FailoverCalls serves the effects on store and platform, DatabaseQuestions the requests to databases,
+FailoverCalls serves the effects on store and platform, DatabaseRequests the requests to databases,
 IndirectProbes the test connections, ClaimEvents the exchange of claims. All methods run on the
 loop's thread.
 """
@@ -40,14 +40,14 @@
     WriteClaim,
 )
 from dewledge.core.pooler.statements.statements import Reply
-from dewledge.shell.pooler.failover.database_questions import DatabaseQuestions
+from dewledge.shell.pooler.failover.database_requests import DatabaseRequests
 from dewledge.shell.pooler.failover.failover_calls import FailoverCalls
 from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.indirect_probes import IndirectProbes
 from dewledge.shell.pooler.links.peer_messages import IndirectProbeAnswer, LeaderNotice
 from dewledge.shell.pooler.tables.coordination_rows import CLAIM_PREFIX, read_claim
 
-TICK_SECONDS = 0.05
+TICK_INTERVAL_SECONDS = 0.05
 """Seconds between ticks of a group whose failover is active or whose primary is suspected."""
 STEADY_TICKS = 20
 """Ticks of the driver for each tick of a group whose primary is not suspected."""
@@ -74,12 +74,12 @@
         self._probes: IndirectProbes | None = None
         self._stopped = False
         self._ticks = 0
-        self._panels: dict[str, Sequence[str]] = {}
+        self._judges_by_group: dict[str, Sequence[str]] = {}
         self._registered = RegisteredProcesses()
         self._calls = FailoverCalls(context, promotions, self.take_rows, self._handle)
-        self._questions = DatabaseQuestions(context.loop, parse_status, self._handle)
-        context.claim_events.noticed.add(self.take_claim)
-        context.claim_events.known.add(self.take_known)
+        self._requests = DatabaseRequests(context.loop, parse_status, self._handle)
+        context.claim_events.received.add(self.apply_claim)
+        context.claim_events.acknowledged.add(self.on_claim_acknowledged)
 
     def start(self, probes: IndirectProbes) -> None:
         """Starts the periodic ticks, with `probes` for test connections and leader notices."""
@@ -100,9 +100,9 @@
             if row.key.startswith(CLAIM_PREFIX) and not row.gone:
                 claim = read_claim(row)
                 if claim is not None:
-                    self.take_claim(row.key.removeprefix(CLAIM_PREFIX), claim)
+                    self.apply_claim(row.key.removeprefix(CLAIM_PREFIX), claim)
 
-    def take_claim(self, group: str, claim: Claim) -> None:
+    def apply_claim(self, group: str, claim: Claim) -> None:
         """Applies a claim; without a configured group, the claim is recorded in its lease only."""
         if claim.fencing_token > self._context.leases.of(group).fencing_token:
             self._context.claim_events.learned.tell(group, claim)
@@ -111,9 +111,9 @@
         else:
             self._context.leases.of(group).take_claim(claim)
 
-    def take_known(self, group: str, known: ClaimKnown) -> None:
+    def on_claim_acknowledged(self, group: str, acknowledgement: ClaimKnown) -> None:
         """Passes on that another process acknowledged a claim."""
-        self._handle(group, known)
+        self._handle(group, acknowledgement)
 
     def take_registered(self, registered: RegisteredProcesses) -> None:
         """Stores the names of the processes that have rows in the store."""
@@ -121,14 +121,14 @@
 
     def take_answer(self, answer: IndirectProbeAnswer) -> None:
         """Passes on another process's answer to an indirect probe."""
-        record = self._find(answer.database)
+        record = self._find_database(answer.database)
         if record is not None:
             event = IndirectProbeReported(answer.witness, answer.database, answer.reachable)
             self._handle(record.group, event)
 
     def take_leader(self, notice: LeaderNotice) -> None:
         """Uses a database as primary; only a hint, since each statement still requires proof."""
-        record = self._find(notice.database)
+        record = self._find_database(notice.database)
         if record is None:
             return
         group = self._groups[record.group]
@@ -149,12 +149,12 @@
             return
         self._ticks += 1
         for number, name in enumerate(list(self._groups)):
-            due = (self._ticks + number) % STEADY_TICKS == 0
-            if due or self._is_unsettled(name):
+            is_due = (self._ticks + number) % STEADY_TICKS == 0
+            if is_due or self._is_active(name):
                 self._handle(name, Ticked())
-        self._context.loop.call_later(TICK_SECONDS, self._tick)
+        self._context.loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
-    def _is_unsettled(self, name: str) -> bool:
+    def _is_active(self, name: str) -> bool:
         failover = self._failovers.get(name)
         if failover is None:
             return True
@@ -169,7 +169,7 @@
             lease = self._context.leases.of(group_name)
             failover = GroupFailover(group_name, self._own_name, self._record, lease)
             self._failovers[group_name] = failover
-        judges = self._panel(group_name)
+        judges = self._judges_of(group_name)
         effects = failover.handle(
             event, group.view, judges, self._context.loop.now(), self._registered
         )
@@ -180,25 +180,25 @@
 
     def _carry_out(self, group: Group, effect: FailoverEffect) -> None:
         if isinstance(effect, TestReach):
-            self._test(group, effect.database)
+            self._test_connection(group, effect.database)
         elif isinstance(effect, AskIndirectProbes):
-            self._ask(group, effect.database)
+            self._request_indirect_probes(group, effect.database)
         elif isinstance(effect, AnnounceLeader):
-            self._announce(effect.database)
+            self._announce_leader(effect.database)
         elif isinstance(effect, ReadStatus):
-            self._questions.read_status(group, effect.database)
+            self._requests.read_status(group, effect.database)
         elif isinstance(effect, SendClaim):
             self._context.claim_events.to_send.tell(group.view.name, effect.processes)
         elif isinstance(effect, TryLeader):
             self.take_leader(LeaderNotice(self._own_name, effect.database))
         elif isinstance(effect, StepDown):
-            self._questions.step_down(group, effect)
+            self._requests.step_down(group, effect)
         elif isinstance(effect, WriteClaim):
             self._calls.write_claim(group.view.name, effect)
         elif isinstance(effect, Promote):
             self._calls.promote(group.view.name, effect)
 
-    def _test(self, group: Group, database_id: str) -> None:
+    def _test_connection(self, group: Group, database_id: str) -> None:
         record = group.view.databases.get(database_id)
         if record is None or self._probes is None:
             return
@@ -208,23 +208,23 @@
 
         self._probes.test(record, done)
 
-    def _panel(self, group_name: str) -> Sequence[str]:
-        known = self._panels.get(group_name)
-        if known is None:
-            known = panel(group_name, self._addresses().keys() | {self._own_name})
-            self._panels[group_name] = known
-        return known
+    def _judges_of(self, group_name: str) -> Sequence[str]:
+        judges = self._judges_by_group.get(group_name)
+        if judges is None:
+            judges = panel(group_name, self._addresses().keys() | {self._own_name})
+            self._judges_by_group[group_name] = judges
+        return judges
 
     def members_changed(self) -> None:
         """Discards the selected judges, so that they are selected from the current processes."""
-        self._panels.clear()
+        self._judges_by_group.clear()
 
-    def _ask(self, group: Group, database_id: str) -> None:
-        names = [name for name in self._panel(group.view.name) if name != self._own_name]
+    def _request_indirect_probes(self, group: Group, database_id: str) -> None:
+        names = [name for name in self._judges_of(group.view.name) if name != self._own_name]
         if self._probes is not None:
             self._probes.ask([self._addresses()[name] for name in names], database_id)
 
-    def _announce(self, database_id: str) -> None:
+    def _announce_leader(self, database_id: str) -> None:
         if self._probes is not None:
             self._probes.tell_leader(self._other_addresses(), database_id)
         self.take_leader(LeaderNotice(self._own_name, database_id))
@@ -233,7 +233,7 @@
         members = self._addresses().items()
         return [address for name, address in members if name != self._own_name]
 
-    def _find(self, database_id: str) -> DatabaseRecord | None:
+    def _find_database(self, database_id: str) -> DatabaseRecord | None:
         for group in self._groups.values():
             record = group.view.databases.get(database_id)
             if record is not None:
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -53,7 +53,7 @@
         self._find = find
         self._reach_limit = reach_limit
         self._listener = listener
-        peers.on(IndirectProbeQuestion, self._take_question)
+        peers.on(IndirectProbeQuestion, self._on_question)
         peers.on(IndirectProbeAnswer, lambda answer, _sender: listener.take_answer(answer))
         peers.on(LeaderNotice, lambda notice, _sender: listener.take_leader(notice))
 
@@ -70,21 +70,21 @@
         limit = self._reach_limit.seconds
         started_at = self._loop.now()
 
-        def connected(sock: socket.socket) -> None:
+        def on_connected(sock: socket.socket) -> None:
             self._reach_limit.observe(self._loop.now() - started_at)
             sock.close()
             done(True)
 
-        Connecting(self._loop, record.address, limit, connected, lambda: done(False))
+        Connecting(self._loop, record.address, limit, on_connected, lambda: done(False))
 
-    def _take_question(self, question: IndirectProbeQuestion, sender: str) -> None:
+    def _on_question(self, question: IndirectProbeQuestion, sender: str) -> None:
         record = self._find(question.database)
         if record is None:
             return
         self._listener.doubt(record.group, record.id)
 
-        def say(reachable: bool) -> None:
+        def send_answer(reachable: bool) -> None:
             answer = IndirectProbeAnswer(self._own_name, question.database, reachable)
             self._peers.send(answer, [sender])
 
-        self.test(record, say)
+        self.test(record, send_answer)
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -20,7 +20,7 @@
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
-TICK_SECONDS = 0.1
+TICK_INTERVAL_SECONDS = 0.1
 """Seconds between checks of the age of confirmations."""
 
 
@@ -44,8 +44,8 @@
         self._confirmation = QuorumConfirmation(context.own_name)
         self._lapsed: set[str] = set()
         self._stopped = False
-        peers.on(ConfirmationQuestion, self._take_question)
-        peers.on(ConfirmationAnswer, self._take_confirmation)
+        peers.on(ConfirmationQuestion, self._on_question)
+        peers.on(ConfirmationAnswer, self._on_answer)
 
     def start(self) -> None:
         """Starts to renew the leases, if fencing depends on the processes (Fencing.PROCESSES)."""
@@ -70,10 +70,10 @@
         inquiry = self._confirmation.ask(self._leases.by_group, now)
         if inquiry is not None:
             addresses = self._members.addresses
-            known = [addresses[name] for name in inquiry.voters if name in addresses]
-            self._peers.send(inquiry.question, known)
+            voter_addresses = [addresses[name] for name in inquiry.voters if name in addresses]
+            self._peers.send(inquiry.question, voter_addresses)
         self._log_lapses(now)
-        self._loop.call_later(TICK_SECONDS, self._tick)
+        self._loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
     def _log_lapses(self, now: float) -> None:
         for name in self._groups:
@@ -87,7 +87,7 @@
             )
             self._lapsed ^= {name}
 
-    def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
+    def _on_question(self, question: ConfirmationQuestion, sender: str) -> None:
         answer = self._confirmation.answer(question, self._leases.by_group, self._members.members)
         if answer is None:
             return
@@ -96,12 +96,12 @@
             if answer.tokens.get(group, 0) > fencing_token:
                 self._send_claim(group, [sender])
 
-    def _take_confirmation(self, answer: ConfirmationAnswer, sender: str) -> None:
+    def _on_answer(self, answer: ConfirmationAnswer, sender: str) -> None:
         for name in self._confirmation.take(answer, self._leases.by_group):
             group = self._groups.get(name)
             if group is not None:
                 group.right_confirmed()
         for name, fencing_token in answer.tokens.items():
-            is_known = name in self._leases.by_group
-            if is_known and fencing_token < self._leases.of(name).fencing_token:
+            has_lease = name in self._leases.by_group
+            if has_lease and fencing_token < self._leases.of(name).fencing_token:
                 self._send_claim(name, [sender])
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from typing import TextIO
 
-MAX_WAITING_LINES = 4000
+MAX_BUFFERED_LINES = 4000
 """Lines in the buffer from which every new line is dropped."""
-MAX_WAITING_PLAIN = 2000
+MAX_BUFFERED_PLAIN_LINES = 2000
 """Lines in the buffer from which new plain lines are dropped."""
 PLAIN_LINES_PER_SECOND = 400
 """Lines: rate limit of plain lines."""
-WAKE_SECONDS = 0.2
+WRITE_INTERVAL_SECONDS = 0.2
 """Seconds between writes to the stream."""
 
 
@@ -29,9 +29,9 @@
         self._clock = clock
         self._lines: deque[str] = deque()
         self._lock = threading.Lock()
-        self._second = 0
+        self._current_second = 0
         self._plain_in_second = 0
-        self._left_out = 0
+        self._dropped = 0
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, name="log-writer", daemon=True)
 
@@ -42,11 +42,11 @@
     def write(self, line: str, is_plain: bool) -> None:
         """Adds a line to the buffer, or counts it as dropped. Never waits for the stream."""
         with self._lock:
-            if not self._has_room(is_plain):
-                self._left_out += 1
+            if not self._has_capacity(is_plain):
+                self._dropped += 1
                 return
-            if self._left_out and not is_plain:
-                self._note_left_out()
+            if self._dropped and not is_plain:
+                self._append_dropped_count()
             self._lines.append(line)
 
     def stop(self, seconds: float = 1.0) -> None:
@@ -54,38 +54,38 @@
         self._stopped.set()
         self._thread.join(seconds)
 
-    def take(self) -> list[str]:
+    def drain(self) -> list[str]:
         """Empties the buffer and returns its lines, with a last one for dropped lines if any."""
         with self._lock:
-            if self._left_out:
-                self._note_left_out()
+            if self._dropped:
+                self._append_dropped_count()
             lines = list(self._lines)
             self._lines.clear()
             return lines
 
-    def _has_room(self, is_plain: bool) -> bool:
+    def _has_capacity(self, is_plain: bool) -> bool:
         if not is_plain:
-            return len(self._lines) < MAX_WAITING_LINES
+            return len(self._lines) < MAX_BUFFERED_LINES
         second = int(self._clock())
-        if second != self._second:
-            self._second = second
+        if second != self._current_second:
+            self._current_second = second
             self._plain_in_second = 0
         self._plain_in_second += 1
         if self._plain_in_second > PLAIN_LINES_PER_SECOND:
             return False
-        return len(self._lines) < MAX_WAITING_PLAIN
+        return len(self._lines) < MAX_BUFFERED_PLAIN_LINES
 
-    def _note_left_out(self) -> None:
-        self._lines.append(f"level=warning event=log_lines_left_out count={self._left_out}")
-        self._left_out = 0
+    def _append_dropped_count(self) -> None:
+        self._lines.append(f"level=warning event=log_lines_left_out count={self._dropped}")
+        self._dropped = 0
 
     def _run(self) -> None:
-        while not self._stopped.wait(WAKE_SECONDS):
+        while not self._stopped.wait(WRITE_INTERVAL_SECONDS):
             self._flush()
         self._flush()
 
     def _flush(self) -> None:
-        lines = self.take()
+        lines = self.drain()
         if not lines:
             return
         try:
--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -24,11 +24,11 @@
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 """Media type of the result of `PoolerMetrics.render`."""
 
-QUARTER = 1.25
+WITHIN_QUARTER_FACTOR = 1.25
 """Factor between expected and actual duration up to which they count as within a quarter."""
-TWICE = 2.0
+WITHIN_TWICE_FACTOR = 2.0
 """Factor between expected and actual duration up to which they count as within twice."""
-LEAST_COMPARED_MS = 5
+MIN_COMPARED_MS = 5
 """Milliseconds to which shorter durations are raised before they are compared, because rounding
 alone makes such durations differ by large factors."""
 
@@ -96,7 +96,7 @@
 
     def __init__(self) -> None:
         self._statements: Counter[StatementLabels] = Counter()
-        self._seconds: dict[DurationLabels, _Durations] = {}
+        self._durations: dict[DurationLabels, _Durations] = {}
         self._attempts: Counter[AttemptLabels] = Counter()
         self._events: Counter[str] = Counter()
         self._accuracies: Counter[Accuracy] = Counter()
@@ -110,7 +110,7 @@
         """Counts an answered statement, its duration and its attempts."""
         self._statements[StatementLabels(event.kind, event.consistency, event.outcome)] += 1
         labels = DurationLabels(event.kind, event.consistency)
-        durations = self._seconds.setdefault(labels, _Durations())
+        durations = self._durations.setdefault(labels, _Durations())
         durations.add(event.waited_ms / MILLISECONDS)
         attempts = event.way.split(",")
         if event.expected_ms >= 0 and len(attempts) == 1 and event.outcome == "done":
@@ -168,7 +168,7 @@
             "Seconds from a statement to its answer.",
             labels=DurationLabels.__struct_fields__,
         )
-        for labels, durations in self._seconds.items():
+        for labels, durations in self._durations.items():
             values = msgspec.structs.astuple(labels)
             seconds.add_metric(values, list(durations.cumulative()), durations.total)
         return seconds
@@ -189,8 +189,8 @@
     return family
 
 
-def _accuracy(expected_ms: int, real_ms: int) -> Accuracy:
-    shorter, longer = sorted(max(each, LEAST_COMPARED_MS) for each in (expected_ms, real_ms))
-    if longer <= shorter * QUARTER:
+def _accuracy(expected_ms: int, actual_ms: int) -> Accuracy:
+    shorter, longer = sorted(max(each, MIN_COMPARED_MS) for each in (expected_ms, actual_ms))
+    if longer <= shorter * WITHIN_QUARTER_FACTOR:
         return Accuracy.WITHIN_QUARTER
-    return Accuracy.WITHIN_TWICE if longer <= shorter * TWICE else Accuracy.BEYOND
+    return Accuracy.WITHIN_TWICE if longer <= shorter * WITHIN_TWICE_FACTOR else Accuracy.BEYOND
--- a/src/dewledge/shell/pooler/observing/stall_watch.py
+++ b/src/dewledge/shell/pooler/observing/stall_watch.py
@@ -17,12 +17,12 @@
     def __init__(self, interval: float) -> None:
         """`interval`: seconds between two ticks."""
         self._interval = interval
-        self._last: float | None = None
+        self._last_tick: float | None = None
 
     def tick(self, now: float) -> ProcessStoodStill | None:
         """Records a tick at `now` (steady clock); returns an event if the tick was too late."""
-        before, self._last = self._last, now
-        late = 0.0 if before is None else now - before - self._interval
+        previous, self._last_tick = self._last_tick, now
+        late = 0.0 if previous is None else now - previous - self._interval
         if late < STALL_SECONDS:
             return None
         return ProcessStoodStill(int(late * 1000))
--- a/src/dewledge/shell/pooler/observing/status_pages.py
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -28,23 +28,25 @@
         self._metrics = metrics
         self._is_ready = is_ready
         limits = HttpLimits()
-        self._ready = HttpServer(loop, settings.ready_address, limits, self._answer_ready)
-        self._numbers = HttpServer(loop, settings.metrics_address, limits, self._answer_metrics)
+        self._ready_server = HttpServer(loop, settings.ready_address, limits, self._answer_ready)
+        self._metrics_server = HttpServer(
+            loop, settings.metrics_address, limits, self._answer_metrics
+        )
 
     @property
     def ready_address(self) -> str:
         """Address that serves readiness."""
-        return self._ready.address
+        return self._ready_server.address
 
     def start(self) -> None:
         """Starts to answer requests."""
-        self._ready.start()
-        self._numbers.start()
+        self._ready_server.start()
+        self._metrics_server.start()
 
     def close(self) -> None:
         """Closes both servers."""
-        self._ready.close()
-        self._numbers.close()
+        self._ready_server.close()
+        self._metrics_server.close()
 
     def _answer_ready(self, exchange: Exchange) -> None:
         status = READY if self._is_ready() else NOT_READY
--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -30,14 +30,14 @@
 
     def start(self) -> None:
         """Schedules the next report; each report schedules another."""
-        self._scheduler.call_later(SUMMARY_SECONDS, self._tell_and_go_on)
+        self._scheduler.call_later(SUMMARY_SECONDS, self._report_and_reschedule)
 
     def tell(self) -> None:
         """Logs the waits counted since the last report."""
         for summary in self._summaries.collect(self._counts()):
             self._record(summary)
 
-    def _tell_and_go_on(self) -> None:
+    def _report_and_reschedule(self) -> None:
         self.tell()
         self.start()
 
--- a/tests/platform/test_log_and_settings.py
+++ b/tests/platform/test_log_and_settings.py
@@ -18,7 +18,7 @@
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy
 from dewledge.errors import InvalidInput
 from dewledge.pooler_settings import check_pooler_settings, load_pooler_settings
-from dewledge.shell.pooler.observing.log_writer import MAX_WAITING_LINES, LogWriter
+from dewledge.shell.pooler.observing.log_writer import MAX_BUFFERED_LINES, LogWriter
 from dewledge.shell.pooler.observing.pooler_metrics import PoolerMetrics
 from dewledge.shell.pooler.settings_file import SettingsFile
 
@@ -146,7 +146,7 @@
         stream.released.set()
         writer.stop(5.0)
         lines = stream.getvalue().splitlines()
-        self.assertLessEqual(len(lines), MAX_WAITING_LINES + 10)
+        self.assertLessEqual(len(lines), MAX_BUFFERED_LINES + 10)
         self.assertTrue(any("log_lines_left_out" in line for line in lines))
 
     def test_plain_lines_have_a_budget_and_others_are_never_crowded_out(self) -> None:
@@ -156,7 +156,7 @@
             writer.write(f"plain {number}", is_plain=True)
             if number % 100 == 0:
                 writer.write(f"change {number}", is_plain=False)
-        lines = writer.take()
+        lines = writer.drain()
         self.assertEqual(sum(line.startswith("change") for line in lines), 100)
         self.assertLessEqual(sum(line.startswith("plain") for line in lines), 400)
         counted = sum(int(line.split("=")[-1]) for line in lines if "left_out" in line)
