--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -48,7 +48,7 @@
         """Versions of this process's acknowledgement rows in the store, by key; 0 if removed."""
         self._stopped = False
         self._events.learned.add(self._on_claim_learned)
-        self._events.to_send.add(self._send_to)
+        self._events.to_send.add(self._send_newest_claim)
         peers.on(ClaimNotice, self._on_claim_notice)
         peers.on(ClaimAnswer, self._on_claim_answer)
 
@@ -96,7 +96,7 @@
                 lambda: self._acknowledge_through_store(group, fencing_token),
             )
 
-    def _send_to(self, group: str, processes: Sequence[str]) -> None:
+    def _send_newest_claim(self, group: str, processes: Sequence[str]) -> None:
         """Sends the newest claim on a group to the named processes."""
         addresses = self._members.addresses
         self._send_claim(group, [addresses[name] for name in processes if name in addresses])
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -91,7 +91,7 @@
         self._stopped = True
 
     def doubt(self, group: str, database_id: str) -> None:
-        """Reports that a database did not answer a statement or could not be connected to."""
+        """Reports a suspected database: statement or connection failed, or a process asked."""
         self._handle(group, PrimaryDoubted(database_id))
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -67,7 +67,7 @@
 
     def test(self, record: DatabaseRecord, done: Callable[[bool], None]) -> None:
         """Opens a test connection; calls `done` with whether it was accepted within the timeout."""
-        limit = self._reach_limit.seconds
+        timeout_seconds = self._reach_limit.seconds
         started_at = self._loop.now()
 
         def on_connected(sock: socket.socket) -> None:
@@ -75,7 +75,7 @@
             sock.close()
             done(True)
 
-        Connecting(self._loop, record.address, limit, on_connected, lambda: done(False))
+        Connecting(self._loop, record.address, timeout_seconds, on_connected, lambda: done(False))
 
     def _on_question(self, question: IndirectProbeQuestion, sender: str) -> None:
         record = self._find(question.database)
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -42,7 +42,7 @@
         self._peers = peers
         self._send_claim = send_claim
         self._confirmation = QuorumConfirmation(context.own_name)
-        self._lapsed: set[str] = set()
+        self._expired: set[str] = set()
         self._stopped = False
         peers.on(ConfirmationQuestion, self._on_question)
         peers.on(ConfirmationAnswer, self._on_answer)
@@ -72,20 +72,20 @@
             addresses = self._members.addresses
             voter_addresses = [addresses[name] for name in inquiry.voters if name in addresses]
             self._peers.send(inquiry.question, voter_addresses)
-        self._log_lapses(now)
+        self._log_expirations(now)
         self._loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
-    def _log_lapses(self, now: float) -> None:
+    def _log_expirations(self, now: float) -> None:
         for name in self._groups:
             lease = self._leases.of(name)
-            is_lapsed = not lease.is_confirmed(now)
-            if is_lapsed == (name in self._lapsed):
+            is_expired = not lease.is_confirmed(now)
+            if is_expired == (name in self._expired):
                 continue
             age_ms = int((now - lease.confirmed_at) * 1000) if lease.confirmed_at > 0 else -1
             logger.bind(group=name, token=lease.fencing_token, age_ms=age_ms).info(
-                "lead_right_lapsed" if is_lapsed else "lead_right_regained"
+                "lead_right_lapsed" if is_expired else "lead_right_regained"
             )
-            self._lapsed ^= {name}
+            self._expired ^= {name}
 
     def _on_question(self, question: ConfirmationQuestion, sender: str) -> None:
         answer = self._confirmation.answer(question, self._leases.by_group, self._members.members)
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -1,8 +1,8 @@
 """Buffers log lines for a stream whose reader may be slow, so that logging never blocks the caller.
 
-A separate thread writes to the stream. Plain lines (one for each statement) have a rate limit and a
-smaller share of the buffer; all other lines are dropped only when the whole buffer is full. A log
-line reports how many lines were dropped.
+A separate thread writes to the stream. Plain lines (of frequent events, such as answered
+statements) have a rate limit and a smaller part of the buffer; other lines are dropped only when
+the whole buffer is full. A log line reports how many lines were dropped.
 """
 
 import threading
--- a/src/dewledge/shell/pooler/observing/status_pages.py
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -9,9 +9,9 @@
 from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
 from dewledge.shell.shared.http_server import HttpServer
 
-PLAIN = "text/plain"
-READY = 200
-NOT_READY = 503
+PLAIN_TEXT = "text/plain"
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
 
 
 class StatusPages:
@@ -49,8 +49,8 @@
         self._metrics_server.close()
 
     def _answer_ready(self, exchange: Exchange) -> None:
-        status = READY if self._is_ready() else NOT_READY
-        exchange.respond(HttpResponse(status, b"", PLAIN))
+        status = STATUS_OK if self._is_ready() else STATUS_UNAVAILABLE
+        exchange.respond(HttpResponse(status, b"", PLAIN_TEXT))
 
     def _answer_metrics(self, exchange: Exchange) -> None:
-        exchange.respond(HttpResponse(READY, self._metrics.render(), METRICS_TYPE))
+        exchange.respond(HttpResponse(STATUS_OK, self._metrics.render(), METRICS_TYPE))
