--- /dev/null
+++ b/src/dewledge/shell/pooler/failover/database_requests.py
@@ -0,0 +1,95 @@
+"""Sends status and step-down requests to databases, over pooled connections, during a failover.
+
+All methods run on the loop's thread.
+"""
+
+from collections.abc import Callable
+
+from loguru import logger
+
+from dewledge.core.pooler.databases.group import Group
+from dewledge.core.pooler.failover.messages import (
+    DatabaseStatus,
+    FailoverEvent,
+    StatusRead,
+    StepDown,
+    SteppedDown,
+)
+from dewledge.core.pooler.pool.connection_pool import ConnectionPool
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.pool.waiter import Denial, Waiter
+from dewledge.core.pooler.statements.statements import Reply, StatementKind
+from dewledge.shell.shared.event_loop import EventLoop
+
+REQUEST_PRIORITY = -1
+"""Queue priority of these requests: below the priorities of client statements, so served first."""
+REQUEST_TIMEOUT_SECONDS = 1.0
+"""Seconds that a database has to answer a request; then the connection is closed."""
+DENIED_REPORT_DELAY_SECONDS = 0.05
+"""Seconds until a request that got no connection is reported as unanswered: one tick of the driver,
+so that the request is not repeated within the call that was denied."""
+
+StatusCallback = Callable[[DatabaseStatus | None], None]
+
+
+class DatabaseRequests:
+    """Sends requests to databases and passes each answer on as a failover event of the group."""
+
+    def __init__(
+        self,
+        loop: EventLoop,
+        parse_status: Callable[[Reply], DatabaseStatus | None],
+        handle: Callable[[str, FailoverEvent], None],
+    ) -> None:
+        """`handle`: called with a group's name and an event that holds the database's answer."""
+        self._loop = loop
+        self._parse_status = parse_status
+        self._handle = handle
+
+    def read_status(self, group: Group, database_id: str) -> None:
+        """Requests a database's status: its role, term and last received log position."""
+
+        def on_status(status: DatabaseStatus | None) -> None:
+            self._handle(group.view.name, StatusRead(database_id, status))
+
+        self._request(group.pool(database_id), StatementKind.STATUS, "", on_status)
+
+    def step_down(self, group: Group, effect: StepDown) -> None:
+        """Requests that a database step down as primary."""
+
+        def on_status(status: DatabaseStatus | None) -> None:
+            logger.bind(
+                group=group.view.name,
+                database=effect.database,
+                term=effect.term,
+                is_primary=None if status is None else status.is_primary,
+            ).info("step_down_answered")
+            self._handle(group.view.name, SteppedDown(effect.database, status))
+
+        kind = StatementKind.STEP_DOWN
+        self._request(group.pool(effect.database), kind, str(effect.term), on_status)
+
+    def _request(
+        self, pool: ConnectionPool, kind: StatementKind, argument: str, on_status: StatusCallback
+    ) -> None:
+        """Sends a statement; calls back with None without a connection or a timely answer."""
+
+        def on_connection(connection: DatabaseConnection) -> None:
+            timer = self._loop.call_later(REQUEST_TIMEOUT_SECONDS, lambda: on_timeout(connection))
+
+            def on_reply(reply: Reply | None) -> None:
+                timer.cancel()
+                pool.release(connection)
+                on_status(None if reply is None else self._parse_status(reply))
+
+            connection.send_own(kind, on_reply, argument=argument)
+
+        def on_timeout(connection: DatabaseConnection) -> None:
+            connection.close()
+            pool.release(connection)
+            on_status(None)
+
+        def on_denied(_denial: Denial) -> None:
+            self._loop.call_later(DENIED_REPORT_DELAY_SECONDS, lambda: on_status(None))
+
+        pool.acquire(Waiter(REQUEST_PRIORITY, on_connection, on_denied), {})
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -1,9 +1,9 @@
-"""Keeps this process's leases on primaries confirmed: by the store's tables, else by a quorum.
+"""Renews this process's leases on primaries, by reads of the store or by a quorum of voters.
 
-Owns the questions to voters and the log of lapses; what a confirmation is worth decides
-core/pooler/failover/quorum_confirmation.py. Relies on the members' table for addresses and for
-whether this process has a row: a confirmation counts only for a process that holders of claims wait
-for. All methods belong to the loop's thread.
+Sends and answers the confirmation requests and logs expired leases;
+core/pooler/failover/quorum_confirmation.py decides what answers confirm. A confirmation by the
+store counts only while this process has a row in the members' table, because holders of claims wait
+only for processes with a row. All methods run on the loop's thread.
 """
 
 from collections.abc import Callable, Sequence
@@ -20,12 +20,12 @@
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
-TICK_SECONDS = 0.1
-"""Seconds between two looks at the age of confirmations."""
+TICK_INTERVAL_SECONDS = 0.1
+"""Seconds between checks of the age of confirmations."""
 
 
 class LeaseConfirmations:
-    """The confirmations of one process, and its answers to others that ask for theirs."""
+    """Renews the leases of one process and answers the confirmation requests of others."""
 
     def __init__(
         self,
@@ -42,22 +42,22 @@
         self._peers = peers
         self._send_claim = send_claim
         self._confirmation = QuorumConfirmation(context.own_name)
-        self._lapsed: set[str] = set()
+        self._expired: set[str] = set()
         self._stopped = False
-        peers.on(ConfirmationQuestion, self._take_question)
-        peers.on(ConfirmationAnswer, self._take_confirmation)
+        peers.on(ConfirmationQuestion, self._on_question)
+        peers.on(ConfirmationAnswer, self._on_answer)
 
     def start(self) -> None:
-        """Starts to look after the leases, where the platform does not fence."""
+        """Starts to renew the leases, if fencing depends on the processes (Fencing.PROCESSES)."""
         if self._leases.fencing is Fencing.PROCESSES:
             self._tick()
 
     def stop(self) -> None:
-        """Asks for no more."""
+        """Stops sending confirmation requests."""
         self._stopped = True
 
     def store_confirmed(self, at: float) -> None:
-        """At `at` the store held no claim that this process does not know."""
+        """Confirms all leases: at time `at`, the store held no claim unknown to this process."""
         if self._members.is_registered:
             self._leases.confirm_all(at)
             for group in self._groups.values():
@@ -70,24 +70,24 @@
         inquiry = self._confirmation.ask(self._leases.by_group, now)
         if inquiry is not None:
             addresses = self._members.addresses
-            known = [addresses[name] for name in inquiry.voters if name in addresses]
-            self._peers.send(inquiry.question, known)
-        self._log_lapses(now)
-        self._loop.call_later(TICK_SECONDS, self._tick)
+            voter_addresses = [addresses[name] for name in inquiry.voters if name in addresses]
+            self._peers.send(inquiry.question, voter_addresses)
+        self._log_expirations(now)
+        self._loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
-    def _log_lapses(self, now: float) -> None:
+    def _log_expirations(self, now: float) -> None:
         for name in self._groups:
             lease = self._leases.of(name)
-            is_lapsed = not lease.is_confirmed(now)
-            if is_lapsed == (name in self._lapsed):
+            is_expired = not lease.is_confirmed(now)
+            if is_expired == (name in self._expired):
                 continue
             age_ms = int((now - lease.confirmed_at) * 1000) if lease.confirmed_at > 0 else -1
             logger.bind(group=name, token=lease.fencing_token, age_ms=age_ms).info(
-                "lead_right_lapsed" if is_lapsed else "lead_right_regained"
+                "lead_right_lapsed" if is_expired else "lead_right_regained"
             )
-            self._lapsed ^= {name}
+            self._expired ^= {name}
 
-    def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
+    def _on_question(self, question: ConfirmationQuestion, sender: str) -> None:
         answer = self._confirmation.answer(question, self._leases.by_group, self._members.members)
         if answer is None:
             return
@@ -96,12 +96,12 @@
             if answer.tokens.get(group, 0) > fencing_token:
                 self._send_claim(group, [sender])
 
-    def _take_confirmation(self, answer: ConfirmationAnswer, sender: str) -> None:
+    def _on_answer(self, answer: ConfirmationAnswer, sender: str) -> None:
         for name in self._confirmation.take(answer, self._leases.by_group):
             group = self._groups.get(name)
             if group is not None:
                 group.right_confirmed()
         for name, fencing_token in answer.tokens.items():
-            is_known = name in self._leases.by_group
-            if is_known and fencing_token < self._leases.of(name).fencing_token:
+            has_lease = name in self._leases.by_group
+            if has_lease and fencing_token < self._leases.of(name).fencing_token:
                 self._send_claim(name, [sender])
--- a/src/dewledge/shell/pooler/observing/status_pages.py
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -1,7 +1,4 @@
-"""What a process answers over HTTP: whether it is ready, and its metrics.
-
-Owns both listening addresses.
-"""
+"""Serves readiness and metrics of a process over HTTP, on an address each."""
 
 from collections.abc import Callable
 
@@ -12,13 +9,13 @@
 from dewledge.shell.shared.http_messages import Exchange, HttpLimits, HttpResponse
 from dewledge.shell.shared.http_server import HttpServer
 
-PLAIN = "text/plain"
-READY = 200
-NOT_READY = 503
+PLAIN_TEXT = "text/plain"
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
 
 
 class StatusPages:
-    """All methods belong to the loop's thread once it runs."""
+    """HTTP servers for readiness and metrics. Once the loop runs, methods run on its thread."""
 
     def __init__(
         self,
@@ -31,27 +28,29 @@
         self._metrics = metrics
         self._is_ready = is_ready
         limits = HttpLimits()
-        self._ready = HttpServer(loop, settings.ready_address, limits, self._answer_ready)
-        self._numbers = HttpServer(loop, settings.metrics_address, limits, self._answer_metrics)
+        self._ready_server = HttpServer(loop, settings.ready_address, limits, self._answer_ready)
+        self._metrics_server = HttpServer(
+            loop, settings.metrics_address, limits, self._answer_metrics
+        )
 
     @property
     def ready_address(self) -> str:
-        """Where readiness is asked for."""
-        return self._ready.address
+        """Address that serves readiness."""
+        return self._ready_server.address
 
     def start(self) -> None:
-        """Starts to answer."""
-        self._ready.start()
-        self._numbers.start()
+        """Starts to answer requests."""
+        self._ready_server.start()
+        self._metrics_server.start()
 
     def close(self) -> None:
-        """Answers no more."""
-        self._ready.close()
-        self._numbers.close()
+        """Closes both servers."""
+        self._ready_server.close()
+        self._metrics_server.close()
 
     def _answer_ready(self, exchange: Exchange) -> None:
-        status = READY if self._is_ready() else NOT_READY
-        exchange.respond(HttpResponse(status, b"", PLAIN))
+        status = STATUS_OK if self._is_ready() else STATUS_UNAVAILABLE
+        exchange.respond(HttpResponse(status, b"", PLAIN_TEXT))
 
     def _answer_metrics(self, exchange: Exchange) -> None:
-        exchange.respond(HttpResponse(READY, self._metrics.render(), METRICS_TYPE))
+        exchange.respond(HttpResponse(STATUS_OK, self._metrics.render(), METRICS_TYPE))
