--- a/src/dewledge/shell/pooler/links/__init__.py
+++ b/src/dewledge/shell/pooler/links/__init__.py
@@ -1,1 +1,1 @@
-"""Streams and datagrams: clients, databases, and other processes of the pooler."""
+"""TCP and UDP connections of the pooler to clients, databases and other pooler processes."""
--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -1,6 +1,7 @@
-"""A non-blocking TCP connection on the event loop: bytes in, bytes out, one end.
+"""Non-blocking TCP connections on the event loop.
 
-Owns the socket and what was not sent yet. An end is told once, a close of one's own never.
+A `ByteStream` owns its socket and the buffer of unsent bytes. It calls `ended` at most once, and
+never after `close`.
 """
 
 import contextlib
@@ -12,15 +13,16 @@
 from dewledge.shell.shared.sockets import KeepAlive, family_of, parse_address, tune_link
 
 READ_BYTES = 64 * 1024
-"""Taken in one turn of the loop."""
+"""Bytes read from a connection in one turn of the loop."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-"""Of one connection; an other end that takes so little is given up."""
+"""Bytes buffered for one connection; beyond them the peer reads too slowly and is disconnected."""
 CLOSE_LINGER_SECONDS = 1.0
-"""Read on after the last answer, so that no reset cuts it."""
+"""Seconds between the shutdown of the sending side and the close of the socket. A close with unread
+input would send a reset, and the peer could lose the last answer."""
 NOTICES_SILENCE = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
-"""An idle connection whose other end is gone ends after 4 s."""
+"""Closes an idle connection after 4 seconds if its peer no longer answers keep-alive probes."""
 USER_TIMEOUT_MS = 4000
-"""Bytes that were sent and not taken for so long end the connection."""
+"""Milliseconds that sent bytes may stay unacknowledged before the system closes the connection."""
 
 
 class ByteStream:
@@ -47,7 +49,10 @@
         loop.watch(sock, READABLE, self._on_ready)
 
     def send(self, data: bytes) -> None:
-        """Sends bytes now or as the other end takes them."""
+        """Sends bytes, and buffers those that the socket does not accept yet.
+
+        Ends the connection if the buffer exceeds `MAX_UNSENT_BYTES`.
+        """
         if self.closed or self._closing:
             return
         self._unsent += data
@@ -57,12 +62,12 @@
         self._flush()
 
     def take_arrived(self) -> None:
-        """Takes what has arrived by now, before the loop comes to it."""
+        """Reads bytes that have arrived already, without waiting for the loop."""
         if not self.closed and not self._closing:
             self._read()
 
     def close_after_sending(self) -> None:
-        """Closes once everything sent has left."""
+        """Closes the connection after all buffered bytes are sent; later input is discarded."""
         if self.closed:
             return
         self._closing = True
@@ -70,7 +75,7 @@
             self._shut_down()
 
     def close(self) -> None:
-        """Closes at once, without a call of `ended`."""
+        """Closes the connection immediately, without calling `ended`."""
         if self.closed:
             return
         self.closed = True
@@ -78,7 +83,7 @@
         self._socket.close()
 
     def _shut_down(self) -> None:
-        """Ends the sending side, and reads on for a moment so that no reset cuts the answer."""
+        """Shuts down the sending side and closes the socket after `CLOSE_LINGER_SECONDS`."""
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
         self._loop.call_later(CLOSE_LINGER_SECONDS, self._end)
@@ -127,7 +132,7 @@
 
 
 class Connecting:
-    """An attempt to connect; calls `connected` or `failed` once."""
+    """An attempt to connect within `limit` seconds; calls `connected` or `failed` once."""
 
     def __init__(
         self,
@@ -152,7 +157,7 @@
             loop.call_later(0.0, self._fail)
 
     def cancel(self) -> None:
-        """Gives the attempt up, without a call."""
+        """Aborts the attempt without calling `connected` or `failed`."""
         if not self._over:
             self._over = True
             self._release()
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -1,7 +1,8 @@
-"""Connections to databases that other processes hold: channels on links to them.
+"""Opens channels: connections to databases through the processes that hold them.
 
-Owns the channels of this process by link and number. Relies on `outgoing_links` for links and on
-what these judge of the processes at their other ends; a channel ends with its link.
+Channels are multiplexed on the links of `outgoing_links` and numbered within this process. A
+channel ends with its link. When the health of a holder changes, its channels are marked as retiring
+or usable again, so that new statements avoid a holder that does not reply.
 """
 
 import itertools
@@ -32,17 +33,18 @@
 
 
 class HolderNews(Protocol):
-    """Takes what answers of holders tell besides the answers themselves."""
+    """Receives the positions and load reports that holders attach to replies."""
 
     def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
-        """A database's group was surely at `position` at a time (steady clock)."""
+        """Records a position proven for a database's group at the time `true_at` (steady clock,
+        seconds)."""
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        """The load before a database, as the holder at this address tells it."""
+        """Records the load of a database, as reported by the holder at this address."""
 
 
 class ChannelClient:
-    """All channels of one process to others."""
+    """All channels that this process has opened through other processes."""
 
     def __init__(self, loop: EventLoop, links: OutgoingLinks, news: HolderNews) -> None:
         self._news = news
@@ -57,9 +59,9 @@
             links.watch_health(self._retire_silent)
 
     def open(self, request: OpenRequest, addresses: Sequence[str]) -> None:
-        """Opens a channel through the first process that can be reached.
+        """Opens a channel through the first usable process.
 
-        Those that are thought lost are dialled, as far as it is time to, and not waited for.
+        An unusable one is skipped; if a probe of it is due, it is dialled in the background.
         """
         usable = [address for address in addresses if self._is_usable(address)]
         if not usable:
@@ -86,7 +88,7 @@
         return link.is_usable
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """Takes a message of a link."""
+        """Handles replies and the ends of channels."""
         channels = self._channels.get(link, {})
         if isinstance(message, ChannelReply):
             channel = channels.get(message.channel)
@@ -99,7 +101,11 @@
                 channel.end()
 
     def _learn(self, channel: "_Channel", message: ChannelReply) -> None:
-        """The holder answered after the statement was sent: what it knew then is as old at most."""
+        """Passes on the proven position and the load report of a reply.
+
+        The age of the position is counted back from when the statement was sent: the reply was
+        sent later, so the position is at least as recent.
+        """
         if message.proof is not None and channel.sent_at:
             true_at = channel.sent_at[0] - message.proof.age_seconds
             self._news.take_proof(channel.connection.database_id, true_at, message.proof.position)
@@ -107,17 +113,17 @@
             self._news.take_load(channel.connection.database_id, channel.holder, message.load)
 
     def link_lost(self, link: OutgoingLink) -> None:
-        """A link ended: so do its channels."""
+        """Ends the channels of a lost link."""
         for channel in self._channels.pop(link, {}).values():
             channel.end()
 
     def link_retiring(self, link: OutgoingLink) -> None:
-        """Nothing new should begin on a link's channels."""
+        """Marks the channels of a link as retiring, so that they are not assigned again."""
         for channel in self._channels.get(link, {}).values():
             channel.connection.is_retiring = True
 
     def _holder_judged(self, link: OutgoingLink) -> None:
-        """All statements on a link's channels are told what is known of its other end."""
+        """Informs the connections on a link that the state of its holder has changed."""
         for channel in list(self._channels.get(link, {}).values()):
             channel.connection.is_retiring = not link.is_usable
             channel.connection.holder_judged(link.health.state)
@@ -148,7 +154,7 @@
         self._forget = forget
         self._now = now
         self.sent_at: deque[float] = deque()
-        """When each statement without an answer was sent."""
+        """When each unanswered statement was sent (steady clock, seconds), oldest first."""
 
     @property
     def holder(self) -> str:
@@ -156,7 +162,7 @@
         return self._link.address
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
-        """Sends one statement; its answer comes later, in order."""
+        """Sends a statement. Replies arrive in the order of the statements."""
         now = self._now()
         self.sent_at.append(now)
         self._link.expect_answer()
@@ -173,21 +179,21 @@
         self._link.send(message)
 
     def close(self) -> None:
-        """Gives the channel up; the holder rolls back what is open."""
+        """Closes the channel; the holder rolls back an open transaction."""
         self._link.send(ChannelClosed(self.number))
         self._link.answer_came(len(self.sent_at))
         self._forget(self._link, self.number)
         self._closed(self.connection)
 
     def answer(self, message: ChannelReply) -> None:
-        """Takes the next answer."""
+        """Passes the reply to the oldest unanswered statement on to the connection."""
         if self.sent_at:
             self.sent_at.popleft()
         self._link.answer_came()
         self.connection.on_reply(message.reply)
 
     def end(self) -> None:
-        """The channel is lost."""
+        """Informs the connection and its pool that the channel has ended."""
         self._link.answer_came(len(self.sent_at))
         self.connection.on_closed()
         self._closed(self.connection)
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -1,7 +1,7 @@
-"""Lends this process's database connections to others: accepts links and their channels.
+"""Lends database connections of this process to other processes, over links that they dial.
 
-Owns the links that others have dialled, and the channels on each. Relies on `core/pooler/sharing`
-for what a channel does, and on the publisher of tables for those who follow them through here.
+Each link carries numbered channels. A `ChannelSession` of `core/pooler/sharing` executes the
+statements of a channel. Requests to follow the store's tables are passed to a callback.
 """
 
 import socket
@@ -36,16 +36,17 @@
 ACCEPT_BATCH = 32
 """Links accepted in one turn of the loop."""
 MAX_CHANNELS = 2048
-"""Of one link; a peer that opens more is refused."""
+"""Channels open on one link; further ones are refused."""
 MOST_TOLD_DATABASES = 256
-"""Whose last load report to one peer is remembered; beyond that all are reported anew."""
+"""Databases per link whose last load report is remembered. Beyond them, all are forgotten, and the
+load of each database is reported again with its next reply."""
 
 
 FollowCallback = Callable[["IncomingLink", FollowTables], None]
 
 
 class ChannelServer:
-    """The listener of one process for others' links."""
+    """Listens for the links of other processes."""
 
     def __init__(
         self,
@@ -55,10 +56,10 @@
         find: Callable[[str], Group | None],
         followed: FollowCallback,
     ) -> None:
-        """Binds `address`. Raises OSError if it cannot.
+        """Binds `address`. Raises OSError on failure.
 
-        find: the group of a database.
-        followed: called with a link whose process asks for the store's tables.
+        find: returns the group of a database, None if it is unknown.
+        followed: called with a link whose process asks to follow the store's tables.
         """
         self._loop = loop
         self._services = services
@@ -69,12 +70,12 @@
 
     @property
     def channel_count(self) -> int:
-        """The channels that are open."""
+        """The number of open channels on all links."""
         return sum(link.channel_count for link in self._links)
 
     @property
     def at_rest(self) -> bool:
-        """Whether nothing of another process runs here."""
+        """Whether no other process has a statement or an open transaction here."""
         return all(link.at_rest for link in self._links)
 
     def start(self) -> None:
@@ -82,12 +83,12 @@
         self._loop.watch(self._listener, READABLE, self._accept)
 
     def leave(self) -> None:
-        """Tells the others to begin nothing new here."""
+        """Asks the processes at the other ends to start no new work on their links."""
         for link in self._links:
             link.send(Leaving())
 
     def close(self) -> None:
-        """Accepts no more and ends all links."""
+        """Stops accepting links and closes all of them."""
         self._loop.unwatch(self._listener)
         self._listener.close()
         for link in list(self._links):
@@ -111,7 +112,7 @@
 
 
 class IncomingLink:
-    """One other process's link and its channels."""
+    """A link that another process has dialled, and the channels on it."""
 
     def __init__(
         self,
@@ -134,17 +135,17 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the link is over."""
+        """Whether the link has ended."""
         return self._stream.closed
 
     @property
     def channel_count(self) -> int:
-        """The channels that are open."""
+        """The number of open channels."""
         return len(self._channels)
 
     @property
     def at_rest(self) -> bool:
-        """Whether nothing runs on any channel."""
+        """Whether no channel has a statement or an open transaction."""
         return all(session.at_rest for session in self._channels.values())
 
     def send(self, message: PeerLinkMessage) -> None:
@@ -152,7 +153,7 @@
         self._stream.send(message)
 
     def close(self) -> None:
-        """Ends the link; what its channels had open is rolled back."""
+        """Closes the link and its channels; their open transactions are rolled back."""
         self._stream.close()
         channels, self._channels = self._channels, {}
         for session in channels.values():
@@ -197,7 +198,7 @@
         self._channels[message.channel] = session
 
     def load_report(self, group: Group, database_id: str) -> LoadReport | None:
-        """Returns what goes with an answer of the load before a database, if it says anything."""
+        """Returns the load report to attach to a reply, None if there is none or none is due."""
         report = group.load_report(database_id)
         if report is None:
             return None
@@ -209,12 +210,12 @@
         return reporter.due_report(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
-        """A channel is over."""
+        """Removes a channel that has ended."""
         self._channels.pop(channel, None)
 
 
 class _ChannelTransport:
-    """Takes a channel's answers to its link."""
+    """Sends the replies of one channel over its link."""
 
     def __init__(self, link: IncomingLink, channel: int, group: Group, database_id: str) -> None:
         self._link = link
@@ -223,11 +224,11 @@
         self._database_id = database_id
 
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
-        """Answers the oldest statement that has no answer."""
+        """Sends the reply to the oldest unanswered statement, with a load report if one is due."""
         load = self._link.load_report(self._group, self._database_id)
         self._link.send(channel_reply(self._channel, reply, proof, load))
 
     def send_ended(self) -> None:
-        """Tells that the channel is over."""
+        """Informs the other process that the channel has ended."""
         self._link.forget(self._channel)
         self._link.send(ChannelEnded(self._channel))
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -1,7 +1,7 @@
-"""Accepts clients' connections and gives each a session.
+"""Accepts the connections of clients and creates a session for each.
 
-Owns the clients' connections of one process. Relies on `core/pooler/sessions`, for
-whose sessions connections are transports, and on FailedLoginThrottle for when a refusal is told.
+A connection is the transport of its `ClientSession`. Refused logins are answered after a delay that
+`FailedLoginThrottle` decides, so that clients without a valid key cannot overload the process.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 """Connections accepted in one turn of the loop."""
 
 _PACED = frozenset({ErrorCode.UNAUTHENTICATED, ErrorCode.UNKNOWN_GROUP})
-"""Refusals that a client which comes back at once only repeats."""
+"""Refusals that an immediate retry would only repeat; `FailedLoginThrottle` delays them."""
 
 
 class ClientConnection:
@@ -51,15 +51,18 @@
         self._stream = ByteStream(loop, sock, self._received, self._ended)
 
     def send_ready(self) -> None:
-        """Tells the client that its session has begun."""
+        """Informs the client that its session is open."""
         self._stream.send(self._codec.ready())
 
     def send_reply(self, statement_id: str, reply: Reply) -> None:
-        """Answers a statement."""
+        """Sends the reply to a statement."""
         self._stream.send(self._codec.reply(statement_id, reply))
 
     def send_refusal(self, failure: Failure) -> None:
-        """Refuses the session and closes the connection; see FailedLoginThrottle for when."""
+        """Refuses the session and closes the connection.
+
+        `FailedLoginThrottle` may delay the answer, or have the connection closed without one.
+        """
         self._is_refused = True
         pause = self._throttle.pause(self._loop.now()) if failure.code in _PACED else 0.0
         if pause is None:
@@ -85,14 +88,14 @@
             self._throttle.told()
 
     def close(self) -> None:
-        """Closes the connection once everything sent has left."""
+        """Closes the connection after all buffered bytes are sent."""
         self._stream.close_after_sending()
         self._gone(self)
 
     def leave(self) -> None:
-        """Planned stop: closes at the next rest, once what has come by now is answered.
+        """Closes the session as soon as it is idle, for a planned stop.
 
-        While the loop was busy a statement may have come that was not read yet.
+        Reads input first: a statement that arrived while the loop was busy is still answered.
         """
         if not self._is_refused:
             self._stream.take_arrived()
@@ -110,7 +113,7 @@
 
 
 class ClientListener:
-    """One listening address for clients."""
+    """Listens on one address for clients; at most `max_connections` are open at a time."""
 
     def __init__(
         self,
@@ -120,7 +123,8 @@
         new_codec: Callable[[], ClientCodec],
         max_connections: int,
     ) -> None:
-        """`listener`: listens already, so that early clients wait and are not refused."""
+        """`listener`: a socket that already listens, so that connections made before `start` wait
+        instead of being refused."""
         self._loop = loop
         self._services = services
         self._new_codec = new_codec
@@ -136,7 +140,7 @@
         self._loop.watch(self._listener, READABLE, self._accept)
 
     def close(self) -> None:
-        """Accepts no more."""
+        """Stops accepting connections; open ones are left as they are."""
         self._loop.unwatch(self._listener)
         self._listener.close()
 
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -1,8 +1,7 @@
-"""Opens connections to databases and carries statements and answers on them.
+"""Opens connections to databases, directly or through processes that hold connections.
 
-A connection is one of this process's own, or a channel to a process that holds connections. Owns
-the connections of this process from the dial to their end, and the count of those opened because no
-holder could be reached. Relies on `channel_client` for channels.
+`DirectOpener` dials databases itself. `SharingOpener` opens channels through holders; if no holder
+can be reached, it keeps at most `FALLBACK_CONNECTIONS` direct connections to each database.
 """
 
 import socket
@@ -25,13 +24,13 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_LIMIT_SECONDS = 0.6
-"""For a database to accept a connection."""
+"""Time limit for a database to accept a connection."""
 STARTUP_LIMIT_SECONDS = 1.5
-"""From an accepted connection to the answer of its startup."""
+"""Time limit from an accepted connection to the reply to its startup message."""
 
 
 class DirectOpener:
-    """Opens connections to the databases that `find` knows."""
+    """Opens direct connections to databases."""
 
     def __init__(
         self,
@@ -41,9 +40,11 @@
         find: Callable[[str], DatabaseRecord | None],
         reach_limit: ReachLimit | None = None,
     ) -> None:
-        """`user`: what databases are told where there is no caller.
+        """`user`: the user name for connections without a caller.
 
-        reach_limit: is told how long connections take to be accepted."""
+        find: returns the record of a database, None if it is unknown.
+        reach_limit: records how long databases take to accept connections.
+        """
         self._loop = loop
         self._reach_limit = reach_limit or ReachLimit()
         self._user = user
@@ -58,11 +59,11 @@
         failed: Callable[[ErrorCode], None],
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
-        """Opens one for a caller; see Opener.open."""
+        """Opens a connection for a caller; see Opener.open."""
         self.dial(OpenRequest(database_id, caller, opened, failed, closed))
 
     def dial(self, request: OpenRequest) -> None:
-        """Opens a connection of this process's own."""
+        """Opens a direct connection."""
         record = self._find(request.database_id)
         if record is None:
             self._loop.call_later(0.0, lambda: request.failed(ErrorCode.DATABASE_UNREACHABLE))
@@ -82,7 +83,7 @@
 
 
 class SharingOpener:
-    """Opens connections directly or through holders, as `find_route` says."""
+    """Opens connections directly or through holders, depending on `find_route`."""
 
     def __init__(
         self,
@@ -90,8 +91,8 @@
         channels: ChannelClient,
         find_route: Callable[[str, str], Sequence[str] | None],
     ) -> None:
-        """`find_route`: the addresses of the processes to go through to a database for a caller,
-        None for a direct connection.
+        """`find_route`: returns the addresses of the holders of a database for a caller, None for a
+        direct connection.
         """
         self._direct = direct
         self._channels = channels
@@ -106,7 +107,7 @@
         failed: Callable[[ErrorCode], None],
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
-        """Opens one for a caller; see Opener.open."""
+        """Opens a connection for a caller; see Opener.open."""
         request = OpenRequest(database_id, caller, opened, failed, closed)
         addresses = self._find_route(database_id, caller)
         if addresses is None:
@@ -120,7 +121,7 @@
         self._channels.open(through_holders, addresses)
 
     def _dial_without_holders(self, request: OpenRequest) -> None:
-        """No holder can be reached: a few connections are opened without them."""
+        """Dials directly because no holder can be reached; fails at `FALLBACK_CONNECTIONS`."""
         database_id = request.database_id
         if self._fallbacks[database_id] >= FALLBACK_CONNECTIONS:
             request.failed(ErrorCode.CONNECTION_LIMIT)
@@ -139,7 +140,7 @@
 
 
 class _DatabaseLink:
-    """One connection to a database, from its startup on."""
+    """The transport of a direct connection to a database, from its startup to its end."""
 
     def __init__(
         self,
@@ -160,11 +161,11 @@
         self._stream.send(codec.startup(record.group, user, record.id))
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
-        """Sends one statement; its answer comes later, in order."""
+        """Sends a statement. Replies arrive in the order of the statements."""
         self._stream.send(self._codec.statement(statement, floor))
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection immediately."""
         self._stream.close()
         if self._connection is not None:
             self._request.closed(self._connection)
--- a/src/dewledge/shell/pooler/links/framed_stream.py
+++ b/src/dewledge/shell/pooler/links/framed_stream.py
@@ -1,7 +1,4 @@
-"""Messages of a link between processes over one TCP connection.
-
-Relies on `byte_stream` for the connection and on `core/pooler/sharing/messages` for the encoding.
-"""
+"""Sends and receives the messages of a link between processes as frames on a TCP connection."""
 
 import socket
 from collections.abc import Callable
@@ -16,7 +13,10 @@
 
 
 class FramedStream:
-    """One end of a link. `received` and `ended` are called on the loop's thread."""
+    """One end of a link. `received` and `ended` are called on the loop's thread.
+
+    An unreadable message ends the connection.
+    """
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         ended: Callable[[], None],
         heard: Callable[[], None] = lambda: None,
     ) -> None:
-        """`heard`: called whenever bytes have come, before what they hold is told."""
+        """`heard`: called when bytes arrive, before their messages are passed to `received`."""
         self._received = received
         self._ended = ended
         self._heard = heard
@@ -35,15 +35,15 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the connection is over."""
+        """Whether the connection has ended."""
         return self._stream.closed
 
     def send(self, message: PeerLinkMessage) -> None:
-        """Sends a message now or as the other end takes it."""
+        """Sends a message; see ByteStream.send."""
         self._stream.send(frame_of(encode(message)))
 
     def close(self) -> None:
-        """Closes at once, without a call of `ended`."""
+        """Closes the connection immediately, without calling `ended`."""
         self._stream.close()
 
     def _take_bytes(self, data: bytes) -> None:
--- a/src/dewledge/shell/pooler/links/open_request.py
+++ b/src/dewledge/shell/pooler/links/open_request.py
@@ -1,4 +1,4 @@
-"""A connection to a database that a pool asks for, as the openers of this folder hand it on."""
+"""The request of a pool for a database connection, as passed between openers."""
 
 from collections.abc import Callable
 
@@ -9,9 +9,11 @@
 
 
 class OpenRequest(msgspec.Struct, frozen=True):
-    """`opened` or `failed` is called once; after `opened`, `closed` at the connection's end.
+    """A requested connection and the callbacks that report its progress.
 
-    caller: whose statements the connection carries, empty for the process's own.
+    Exactly one of `opened` and `failed` is called; after `opened`, `closed` is called when the
+    connection ends. caller: the caller whose statements the connection carries, empty for
+    statements of the pooler itself.
     """
 
     database_id: str
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -1,7 +1,8 @@
-"""A link that this process dials, and how it is judged: usable, doubted, silent, leaving, lost.
+"""A link that this process dials to a connection holder.
 
-Owns one connection and the callers that wait for it. `core/pooler/load/holder_health` judges the
-other end by what comes and when; this module reports to it and acts on the judgement.
+The link reports its traffic to `HolderHealth`, which judges whether the holder is alive. When the
+holder is suspected or silent, requests that wait for the link fail immediately, so that they can go
+to another holder. A link that stays silent is closed; it is dialled again on demand or by a probe.
 """
 
 import socket
@@ -17,27 +18,32 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 CONNECT_LIMIT_SECONDS = 0.4
-"""For another process to accept a connection."""
+"""Time limit for another process to accept a connection."""
 
 
 class LinkWatcher(Protocol):
-    """Is told what happens to a link."""
+    """Receives the messages and the state changes of links."""
 
     def received(self, link: "OutgoingLink", message: PeerLinkMessage) -> None:
-        """A message came."""
+        """Handles a message from the link."""
 
     def lost(self, link: "OutgoingLink") -> None:
-        """The link ended; what was on it is in doubt."""
+        """Handles the loss of the link; the results of its unanswered statements are unknown."""
 
     def leaving(self, link: "OutgoingLink") -> None:
-        """Nothing new should begin on what the link carries."""
+        """Handles the announcement that the process at the other end will stop: no new work may
+        start on the link."""
 
     def judged(self, link: "OutgoingLink", silence: float, lasted: float) -> None:
-        """The state changed, after `silence` seconds; the state before had lasted `lasted`."""
+        """Handles a change of the health state.
+
+        silence: seconds that the holder was silent. lasted: seconds that the previous state
+        lasted.
+        """
 
 
 class OutgoingLink:
-    """One link to the process at an address; dialled when needed, dialled again after its end."""
+    """The link to the process at an address. It is dialled on demand, also after it was lost."""
 
     def __init__(
         self,
@@ -64,30 +70,30 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether messages leave at once."""
+        """Whether the link is connected."""
         return self._stream is not None
 
     @property
     def heard_at(self) -> float:
-        """When bytes came last (steady clock, seconds)."""
+        """When the last sign of life was received (steady clock, seconds)."""
         return self.health.heard_at
 
     @property
     def is_usable(self) -> bool:
-        """Whether something new may begin here now."""
+        """Whether new work may start on the link."""
         return not self._is_leaving and self.health.is_usable(self._loop.now())
 
     def probe(self) -> None:
-        """Dials if the other end is thought lost and it is time to see whether it is back."""
+        """Dials a lost holder if a probe is due, to find out whether it answers again."""
         if self._stream is None and self._connecting is None:
             now = self._loop.now()
             if self.health.may_probe(now):
                 self._dial()
 
     def when_open(self, opened: Callable[[], None], failed: Callable[[], None]) -> None:
-        """Calls one of both later, dialling if there is need.
+        """Calls `opened` once the link is connected or `failed` if it is unusable; may dial.
 
-        `failed` is called as soon as the other end is doubted, however long the dial goes on.
+        `failed` is called as soon as the holder is suspected, even while the dial is in progress.
         """
         if self._stream is not None:
             self._loop.call_later(0.0, opened if self.is_usable else failed)
@@ -101,21 +107,21 @@
             self._dial()
 
     def send(self, message: PeerLinkMessage) -> None:
-        """Sends a message; one for a link that is lost is dropped."""
+        """Sends a message; drops it if the link is not connected."""
         if self._stream is not None:
             self._stream.send(message)
 
     def expect_answer(self) -> None:
-        """An answer is due: from now on silence means something."""
+        """Records that a request was sent, and schedules a health check."""
         if self._stream is not None:
             self._plan_look(self.health.sent(self._loop.now()))
 
     def answer_came(self, count: int = 1) -> None:
-        """So many answers have come, or are not awaited any more."""
+        """Records replies that arrived or are no longer awaited."""
         self.health.answered(count)
 
     def close(self) -> None:
-        """Ends the link without a call of `lost`."""
+        """Closes the link without calling `lost`."""
         if self._connecting is not None:
             self._connecting.cancel()
             self._connecting = None
@@ -196,7 +202,7 @@
         self._tell_state(self.health.silence(now))
 
     def _tell_state(self, silence: float) -> None:
-        """Reports a new state; callers do not wait for the dial of an end that is doubted."""
+        """Reports a changed state; fails waiting requests if the holder is not usable."""
         state, now = self.health.state, self._loop.now()
         if state is not self._known_state:
             lasted = now - self._known_since
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -1,6 +1,6 @@
-"""The links that this process dials, by address, and the parts that use them.
+"""The links that this process dials, by address.
 
-Owns the links; passes their messages and ends on to each user, in the order in which users came.
+Messages and the loss of links are passed to all users, in the order in which they were added.
 """
 
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 
 
 class LinkUser(Protocol):
-    """A part that uses links; it is told of all of them and looks at its own messages."""
+    """Receives the events of all links; ignores messages of kinds that it does not handle."""
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """A message came."""
+        """Handles a message from a link."""
 
     def link_lost(self, link: OutgoingLink) -> None:
-        """A link ended."""
+        """Handles the loss of a link."""
 
     def link_retiring(self, link: OutgoingLink) -> None:
-        """Nothing new should begin on a link."""
+        """Handles the announcement that no new work may start on a link."""
 
 
 class OutgoingLinks:
-    """All links of one process to others."""
+    """All links that this process has dialled."""
 
     def __init__(
         self,
@@ -38,9 +38,9 @@
         record: Callable[[PoolingEvent], None] = lambda event: None,
         is_judged: bool = True,
     ) -> None:
-        """`record`: is told when a holder is judged anew.
+        """`record`: called with an event when the state of a holder changes.
 
-        is_judged: whether silence of a holder is known to all statements; see LoadPolicy.
+        is_judged: whether to probe silent holders and report their state; see LoadPolicy.
         """
         self._loop = loop
         self._own_name = own_name
@@ -54,23 +54,23 @@
 
     @property
     def open_count(self) -> int:
-        """The links that are open."""
+        """The number of connected links."""
         return sum(link.is_open for link in self._links.values())
 
     def count(self, state: HolderState) -> int:
-        """Returns how many links are in a state."""
+        """Returns the number of links whose holder is in a state."""
         return sum(link.health.state is state for link in self._links.values())
 
     def add_user(self, user: LinkUser) -> None:
-        """Has a part be told of all links."""
+        """Registers a user that receives the events of all links."""
         self._users.append(user)
 
     def watch_health(self, judged: Callable[[OutgoingLink], None]) -> None:
-        """Has `judged` be called with each link whose state has changed."""
+        """Registers a callback that is called with each link whose health state has changed."""
         self._health_watchers.append(judged)
 
     def to(self, address: str) -> OutgoingLink:
-        """Returns the link to an address; it is dialled when first needed."""
+        """Returns the link to an address, which is dialled on first use."""
         known = self._links.get(address)
         if known is None:
             known = OutgoingLink(
@@ -80,7 +80,7 @@
         return known
 
     def close(self) -> None:
-        """Ends all links."""
+        """Closes all links."""
         for link in self._links.values():
             link.close()
 
--- a/src/dewledge/shell/pooler/links/peer_messages.py
+++ b/src/dewledge/shell/pooler/links/peer_messages.py
@@ -1,7 +1,7 @@
-"""What poolers say to each other in cbor2 over UDP: on lost databases, claims and rate limits.
+"""Messages between poolers over UDP, in CBOR: probes, claims, confirmations and rate limits.
 
-Owns the encoding of datagrams. Fields go by position, so their order must not change; a message of
-an unknown kind is unreadable and dropped.
+Fields are encoded by position, so their order must not change. Decoding a message of an unknown
+kind raises ProtocolError.
 """
 
 import cbor2
@@ -16,7 +16,7 @@
 from dewledge.errors import ProtocolError
 
 MAX_BYTES = 8192
-"""Of one datagram; longer ones are neither sent nor read."""
+"""Maximum size of a datagram; longer ones are neither sent nor decoded."""
 
 
 class IndirectProbeQuestion(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
@@ -27,7 +27,7 @@
 
 
 class IndirectProbeAnswer(msgspec.Struct, frozen=True, array_like=True, tag="say"):
-    """The answer. A process that does not know the database gives none."""
+    """Answers an IndirectProbeQuestion; a process that does not know the database sends none."""
 
     witness: str
     database: str
@@ -35,14 +35,14 @@
 
 
 class LeaderNotice(msgspec.Struct, frozen=True, array_like=True, tag="lead"):
-    """Tells that a database is the primary of its group now."""
+    """Announces that a database has become the primary of its group."""
 
     sender: str
     database: str
 
 
 class ClaimNotice(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Tells the newest claim on a group; the receiver answers that it knows it."""
+    """Announces the newest claim on a group; the receiver confirms it with a ClaimAnswer."""
 
     sender: str
     group: str
@@ -50,7 +50,7 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, array_like=True, tag="known"):
-    """The fencing token of the newest claim on a group that the sender knows."""
+    """Reports the fencing token of the newest claim on a group that the sender knows."""
 
     sender: str
     group: str
@@ -71,14 +71,14 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Returns a message as one datagram."""
+    """Returns the datagram that encodes a message."""
     return cbor2.dumps(msgspec.to_builtins(message))
 
 
 def decode(data: bytes) -> PeerMessage:
-    """Returns the message of a datagram. Raises ProtocolError."""
+    """Returns the message in a datagram. Raises ProtocolError if it is unreadable."""
     if len(data) > MAX_BYTES:
-        raise ProtocolError("a datagram is too long")
+        raise ProtocolError(f"datagram exceeds {MAX_BYTES} bytes")
     try:
         message: PeerMessage = msgspec.convert(cbor2.loads(data), type=PeerMessage)
     except (cbor2.CBORDecodeError, msgspec.ValidationError, ValueError, TypeError) as error:
--- a/src/dewledge/shell/pooler/links/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -1,7 +1,7 @@
-"""The datagram socket of one process towards other poolers: each kind of message has its taker.
+"""A UDP socket for messages between poolers, with one handler per kind of message.
 
-Owns the socket. Unreadable datagrams and those that cannot be sent are dropped: a sender that
-needs an answer asks again.
+Unreadable datagrams and those that cannot be sent are dropped: a sender that needs an answer sends
+its message again.
 """
 
 import contextlib
@@ -16,36 +16,40 @@
 from dewledge.shell.shared.sockets import bind_udp, format_address, parse_address
 
 READ_BATCH = 64
-"""Datagrams taken in one turn of the loop."""
+"""Datagrams received in one turn of the loop."""
 
 MessageTaker = Callable[[Any, str], None]
-"""Gets a message of the kind it was set for, and the address ("ip:port") of its sender."""
+"""Handles a message of the kind it is registered for; the second argument is the address
+("ip:port") of the sender."""
 
 
 class PeerSocket:
-    """All methods belong to the loop's thread. Datagrams may be lost or come twice."""
+    """Sends and receives datagrams, which may be lost or duplicated.
+
+    All methods must be called on the loop's thread.
+    """
 
     def __init__(self, loop: EventLoop, address: str) -> None:
-        """Binds `address`. Raises OSError if it cannot."""
+        """Binds `address`. Raises OSError on failure."""
         self._loop = loop
         self._takers: dict[type[msgspec.Struct], MessageTaker] = {}
         self._socket, self.address = bind_udp(address)
 
     def on(self, kind: type[msgspec.Struct], taker: MessageTaker) -> None:
-        """Has messages of a kind given to `taker`."""
+        """Registers the handler for messages of a kind."""
         self._takers[kind] = taker
 
     def start(self) -> None:
-        """Starts to take datagrams."""
+        """Starts to receive datagrams."""
         self._loop.watch(self._socket, READABLE, self._receive)
 
     def close(self) -> None:
-        """Takes no more datagrams."""
+        """Closes the socket."""
         self._loop.unwatch(self._socket)
         self._socket.close()
 
     def send(self, message: PeerMessage, addresses: Iterable[str]) -> None:
-        """Sends one message to each address; one too long for a datagram is not sent."""
+        """Sends a message to each address; drops it if it exceeds `MAX_BYTES`."""
         data = encode(message)
         if len(data) > MAX_BYTES:
             return
