--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -19,7 +19,7 @@
 CLOSE_LINGER_SECONDS = 1.0
 """Seconds between the shutdown of the sending side and the close of the socket. A close with unread
 input would send a reset, and the peer could lose the last answer."""
-NOTICES_SILENCE = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
+KEEP_ALIVE_PROBES = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
 """Closes an idle connection after 4 seconds if its peer no longer answers keep-alive probes."""
 USER_TIMEOUT_MS = 4000
 """Milliseconds that sent bytes may stay unacknowledged before the system closes the connection."""
@@ -43,7 +43,7 @@
         self._closing = False
         self.closed = False
         sock.setblocking(False)
-        tune_link(sock, NOTICES_SILENCE)
+        tune_link(sock, KEEP_ALIVE_PROBES)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         loop.watch(sock, READABLE, self._on_ready)
@@ -61,7 +61,7 @@
             return
         self._flush()
 
-    def take_arrived(self) -> None:
+    def read_available(self) -> None:
         """Reads bytes that have arrived already, without waiting for the loop."""
         if not self.closed and not self._closing:
             self._read()
@@ -145,7 +145,7 @@
         self._loop = loop
         self._connected = connected
         self._failed = failed
-        self._over = False
+        self._is_finished = False
         host, port = parse_address(address)
         self._socket = socket.socket(family_of(host), socket.SOCK_STREAM)
         self._socket.setblocking(False)
@@ -158,23 +158,23 @@
 
     def cancel(self) -> None:
         """Aborts the attempt without calling `connected` or `failed`."""
-        if not self._over:
-            self._over = True
+        if not self._is_finished:
+            self._is_finished = True
             self._release()
             self._socket.close()
 
     def _on_ready(self, _events: int) -> None:
-        if self._over:
+        if self._is_finished:
             return
         if self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._fail()
             return
-        self._over = True
+        self._is_finished = True
         self._release()
         self._connected(self._socket)
 
     def _fail(self) -> None:
-        if self._over:
+        if self._is_finished:
             return
         self.cancel()
         self._failed()
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -32,7 +32,7 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 
-class HolderNews(Protocol):
+class HolderReportReceiver(Protocol):
     """Receives the positions and load reports that holders attach to replies."""
 
     def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
@@ -46,15 +46,17 @@
 class ChannelClient:
     """All channels that this process has opened through other processes."""
 
-    def __init__(self, loop: EventLoop, links: OutgoingLinks, news: HolderNews) -> None:
-        self._news = news
+    def __init__(
+        self, loop: EventLoop, links: OutgoingLinks, report_receiver: HolderReportReceiver
+    ) -> None:
+        self._report_receiver = report_receiver
         self._loop = loop
         self._links = links
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
         self._numbers = itertools.count(1)
         links.add_user(self)
         if links.is_judged:
-            links.watch_health(self._holder_judged)
+            links.watch_health(self._on_health_changed)
         else:
             links.watch_health(self._retire_silent)
 
@@ -69,12 +71,12 @@
             return
         link = self._links.to(usable[0])
 
-        def go_on() -> None:
+        def try_next() -> None:
             self.open(request, usable[1:])
 
-        link.when_open(lambda: self._begin(link, request), go_on)
+        link.when_open(lambda: self._open_channel(link, request), try_next)
 
-    def _begin(self, link: OutgoingLink, request: OpenRequest) -> None:
+    def _open_channel(self, link: OutgoingLink, request: OpenRequest) -> None:
         number = next(self._numbers)
         channel = _Channel(link, number, request, self._forget, self._loop.now)
         self._channels.setdefault(link, {})[number] = channel
@@ -93,14 +95,14 @@
         if isinstance(message, ChannelReply):
             channel = channels.get(message.channel)
             if channel is not None:
-                self._learn(channel, message)
+                self._pass_on_reports(channel, message)
                 channel.answer(message)
         elif isinstance(message, ChannelEnded):
             channel = channels.pop(message.channel, None)
             if channel is not None:
                 channel.end()
 
-    def _learn(self, channel: "_Channel", message: ChannelReply) -> None:
+    def _pass_on_reports(self, channel: "_Channel", message: ChannelReply) -> None:
         """Passes on the proven position and the load report of a reply.
 
         The age of the position is counted back from when the statement was sent: the reply was
@@ -108,9 +110,13 @@
         """
         if message.proof is not None and channel.sent_at:
             true_at = channel.sent_at[0] - message.proof.age_seconds
-            self._news.take_proof(channel.connection.database_id, true_at, message.proof.position)
+            self._report_receiver.take_proof(
+                channel.connection.database_id, true_at, message.proof.position
+            )
         if message.load is not None:
-            self._news.take_load(channel.connection.database_id, channel.holder, message.load)
+            self._report_receiver.take_load(
+                channel.connection.database_id, channel.holder, message.load
+            )
 
     def link_lost(self, link: OutgoingLink) -> None:
         """Ends the channels of a lost link."""
@@ -122,7 +128,7 @@
         for channel in self._channels.get(link, {}).values():
             channel.connection.is_retiring = True
 
-    def _holder_judged(self, link: OutgoingLink) -> None:
+    def _on_health_changed(self, link: OutgoingLink) -> None:
         """Informs the connections on a link that the state of its holder has changed."""
         for channel in list(self._channels.get(link, {}).values()):
             channel.connection.is_retiring = not link.is_usable
@@ -165,7 +171,7 @@
         """Sends a statement. Replies arrive in the order of the statements."""
         now = self._now()
         self.sent_at.append(now)
-        self._link.expect_answer()
+        self._link.record_request()
         connection = self.connection
         message = channel_statement(
             self.number,
@@ -181,7 +187,7 @@
     def close(self) -> None:
         """Closes the channel; the holder rolls back an open transaction."""
         self._link.send(ChannelClosed(self.number))
-        self._link.answer_came(len(self.sent_at))
+        self._link.record_replies(len(self.sent_at))
         self._forget(self._link, self.number)
         self._closed(self.connection)
 
@@ -189,11 +195,11 @@
         """Passes the reply to the oldest unanswered statement on to the connection."""
         if self.sent_at:
             self.sent_at.popleft()
-        self._link.answer_came()
+        self._link.record_replies()
         self.connection.on_reply(message.reply)
 
     def end(self) -> None:
         """Informs the connection and its pool that the channel has ended."""
-        self._link.answer_came(len(self.sent_at))
+        self._link.record_replies(len(self.sent_at))
         self.connection.on_closed()
         self._closed(self.connection)
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -37,7 +37,7 @@
 """Links accepted in one turn of the loop."""
 MAX_CHANNELS = 2048
 """Channels open on one link; further ones are refused."""
-MOST_TOLD_DATABASES = 256
+MAX_REPORTED_DATABASES = 256
 """Databases per link whose last load report is remembered. Beyond them, all are forgotten, and the
 load of each database is reported again with its next reply."""
 
@@ -121,12 +121,12 @@
         services: PoolServices,
         find: Callable[[str], Group | None],
         followed: FollowCallback,
-        gone: Callable[["IncomingLink"], None],
+        on_closed: Callable[["IncomingLink"], None],
     ) -> None:
         self._services = services
         self._find = find
         self._followed = followed
-        self._gone = gone
+        self._on_closed = on_closed
         self._peer = ""
         self._loop = loop
         self._reporters: dict[str, LoadReporter] = {}
@@ -158,7 +158,7 @@
         channels, self._channels = self._channels, {}
         for session in channels.values():
             session.close()
-        self._gone(self)
+        self._on_closed(self)
 
     def _received(self, message: PeerLinkMessage) -> None:
         if isinstance(message, ChannelStatement):
@@ -204,7 +204,7 @@
             return None
         reporter = self._reporters.get(database_id)
         if reporter is None:
-            if len(self._reporters) >= MOST_TOLD_DATABASES:
+            if len(self._reporters) >= MAX_REPORTED_DATABASES:
                 self._reporters.clear()
             reporter = self._reporters[database_id] = LoadReporter()
         return reporter.due_report(report, self._loop.now())
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -25,7 +25,7 @@
 ACCEPT_BATCH = 64
 """Connections accepted in one turn of the loop."""
 
-_PACED = frozenset({ErrorCode.UNAUTHENTICATED, ErrorCode.UNKNOWN_GROUP})
+_THROTTLED_CODES = frozenset({ErrorCode.UNAUTHENTICATED, ErrorCode.UNKNOWN_GROUP})
 """Refusals that an immediate retry would only repeat; `FailedLoginThrottle` delays them."""
 
 
@@ -38,15 +38,15 @@
         sock: socket.socket,
         codec: ClientCodec,
         throttle: FailedLoginThrottle,
-        gone: Callable[["ClientConnection"], None],
+        on_closed: Callable[["ClientConnection"], None],
         new_session: Callable[[ClientTransport], ClientSession],
     ) -> None:
         self._loop = loop
         self._codec = codec
-        self._gone = gone
+        self._on_closed = on_closed
         self._throttle = throttle
         self._is_refused = False
-        self._held: Timer | None = None
+        self._delayed_refusal: Timer | None = None
         self.session = new_session(self)
         self._stream = ByteStream(loop, sock, self._received, self._ended)
 
@@ -64,33 +64,35 @@
         `FailedLoginThrottle` may delay the answer, or have the connection closed without one.
         """
         self._is_refused = True
-        pause = self._throttle.pause(self._loop.now()) if failure.code in _PACED else 0.0
+        pause = self._throttle.pause(self._loop.now()) if failure.code in _THROTTLED_CODES else 0.0
         if pause is None:
             self._stream.close()
-            self._gone(self)
+            self._on_closed(self)
         elif pause > 0.0:
-            self._held = self._loop.call_later(pause, lambda: self._refuse_held(failure))
+            self._delayed_refusal = self._loop.call_later(
+                pause, lambda: self._send_delayed_refusal(failure)
+            )
         else:
             self._refuse(failure)
 
-    def _refuse_held(self, failure: Failure) -> None:
-        self._end_hold()
+    def _send_delayed_refusal(self, failure: Failure) -> None:
+        self._cancel_delayed_refusal()
         self._refuse(failure)
 
     def _refuse(self, failure: Failure) -> None:
         self._stream.send(self._codec.refusal(failure))
         self.close()
 
-    def _end_hold(self) -> None:
-        if self._held is not None:
-            self._held.cancel()
-            self._held = None
+    def _cancel_delayed_refusal(self) -> None:
+        if self._delayed_refusal is not None:
+            self._delayed_refusal.cancel()
+            self._delayed_refusal = None
             self._throttle.told()
 
     def close(self) -> None:
         """Closes the connection after all buffered bytes are sent."""
         self._stream.close_after_sending()
-        self._gone(self)
+        self._on_closed(self)
 
     def leave(self) -> None:
         """Closes the session as soon as it is idle, for a planned stop.
@@ -98,7 +100,7 @@
         Reads input first: a statement that arrived while the loop was busy is still answered.
         """
         if not self._is_refused:
-            self._stream.take_arrived()
+            self._stream.read_available()
         self.session.leave()
 
     def _received(self, data: bytes) -> None:
@@ -107,9 +109,9 @@
         self.session.handle_all(self._codec.feed(data))
 
     def _ended(self) -> None:
-        self._end_hold()
+        self._cancel_delayed_refusal()
         self.session.end()
-        self._gone(self)
+        self._on_closed(self)
 
 
 class ClientListener:
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -23,9 +23,9 @@
 from dewledge.shell.pooler.links.open_request import OpenRequest
 from dewledge.shell.shared.event_loop import EventLoop
 
-CONNECT_LIMIT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 """Time limit for a database to accept a connection."""
-STARTUP_LIMIT_SECONDS = 1.5
+STARTUP_TIMEOUT_SECONDS = 1.5
 """Time limit from an accepted connection to the reply to its startup message."""
 
 
@@ -68,18 +68,18 @@
         if record is None:
             self._loop.call_later(0.0, lambda: request.failed(ErrorCode.DATABASE_UNREACHABLE))
             return
-        known = record
+        database_record = record
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
             self._reach_limit.observe(self._loop.now() - started_at)
             user = request.caller or self._user
-            _DatabaseLink(self._loop, sock, known, user, self._new_codec(), request)
+            _DatabaseLink(self._loop, sock, database_record, user, self._new_codec(), request)
 
         def refused() -> None:
             request.failed(ErrorCode.DATABASE_UNREACHABLE)
 
-        Connecting(self._loop, record.address, CONNECT_LIMIT_SECONDS, connected, refused)
+        Connecting(self._loop, record.address, CONNECT_TIMEOUT_SECONDS, connected, refused)
 
 
 class SharingOpener:
@@ -114,10 +114,10 @@
             self._direct.dial(request)
             return
 
-        def without_holders(_code: ErrorCode) -> None:
+        def on_holders_unreachable(_code: ErrorCode) -> None:
             self._dial_without_holders(request)
 
-        through_holders = msgspec.structs.replace(request, failed=without_holders)
+        through_holders = msgspec.structs.replace(request, failed=on_holders_unreachable)
         self._channels.open(through_holders, addresses)
 
     def _dial_without_holders(self, request: OpenRequest) -> None:
@@ -155,9 +155,9 @@
         self._request = request
         self._connection: DatabaseConnection | None = None
         self._record = record
-        self._over = False
+        self._has_ended = False
         self._stream = ByteStream(loop, sock, self._received, self._ended)
-        self._timer = loop.call_later(STARTUP_LIMIT_SECONDS, self._startup_silent)
+        self._timer = loop.call_later(STARTUP_TIMEOUT_SECONDS, self._on_startup_timeout)
         self._stream.send(codec.startup(record.group, user, record.id))
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
@@ -178,10 +178,10 @@
             self._ended()
             return
         for reply in replies:
-            self._take(reply)
+            self._handle_reply(reply)
 
-    def _take(self, reply: Reply) -> None:
-        if self._over:
+    def _handle_reply(self, reply: Reply) -> None:
+        if self._has_ended:
             return
         if self._connection is not None:
             if not self._connection.closed:
@@ -194,13 +194,13 @@
         self._connection = DatabaseConnection(self._record.id, self)
         self._request.opened(self._connection)
 
-    def _startup_silent(self) -> None:
+    def _on_startup_timeout(self) -> None:
         self._refuse(ErrorCode.DATABASE_UNREACHABLE)
 
     def _refuse(self, code: ErrorCode) -> None:
-        if self._over or self._connection is not None:
+        if self._has_ended or self._connection is not None:
             return
-        self._over = True
+        self._has_ended = True
         self._timer.cancel()
         self._stream.close()
         self._request.failed(code)
@@ -209,6 +209,6 @@
         if self._connection is None:
             self._refuse(ErrorCode.DATABASE_UNREACHABLE)
             return
-        self._over = True
+        self._has_ended = True
         self._connection.on_closed()
         self._request.closed(self._connection)
--- a/src/dewledge/shell/pooler/links/framed_stream.py
+++ b/src/dewledge/shell/pooler/links/framed_stream.py
@@ -24,14 +24,14 @@
         sock: socket.socket,
         received: Callable[[PeerLinkMessage], None],
         ended: Callable[[], None],
-        heard: Callable[[], None] = lambda: None,
+        on_bytes: Callable[[], None] = lambda: None,
     ) -> None:
-        """`heard`: called when bytes arrive, before their messages are passed to `received`."""
+        """`on_bytes`: called when bytes arrive, before their messages are passed to `received`."""
         self._received = received
         self._ended = ended
-        self._heard = heard
+        self._on_bytes = on_bytes
         self._reader = FrameReader()
-        self._stream = ByteStream(loop, sock, self._take_bytes, ended)
+        self._stream = ByteStream(loop, sock, self._read_frames, ended)
 
     @property
     def closed(self) -> bool:
@@ -46,8 +46,8 @@
         """Closes the connection immediately, without calling `ended`."""
         self._stream.close()
 
-    def _take_bytes(self, data: bytes) -> None:
-        self._heard()
+    def _read_frames(self, data: bytes) -> None:
+        self._on_bytes()
         try:
             for body in self._reader.feed(data):
                 if not self._stream.closed:
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -17,7 +17,7 @@
 from dewledge.shell.pooler.links.framed_stream import FramedStream
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
-CONNECT_LIMIT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 """Time limit for another process to accept a connection."""
 
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        own_name: str,
+        local_name: str,
         address: str,
         watcher: LinkWatcher,
         rules: HolderRules,
@@ -59,13 +59,13 @@
         self.health = HolderHealth(rules, jitter)
         self._is_leaving = False
         self._loop = loop
-        self._own_name = own_name
+        self._local_name = local_name
         self._watcher = watcher
         self._stream: FramedStream | None = None
         self._connecting: Connecting | None = None
         self._waiting: list[tuple[Callable[[], None], Callable[[], None]]] = []
-        self._known_state = self.health.state
-        self._known_since = loop.now()
+        self._reported_state = self.health.state
+        self._reported_since = loop.now()
         self._timer: Timer | None = None
 
     @property
@@ -111,12 +111,12 @@
         if self._stream is not None:
             self._stream.send(message)
 
-    def expect_answer(self) -> None:
+    def record_request(self) -> None:
         """Records that a request was sent, and schedules a health check."""
         if self._stream is not None:
-            self._plan_look(self.health.sent(self._loop.now()))
+            self._schedule_check(self.health.sent(self._loop.now()))
 
-    def answer_came(self, count: int = 1) -> None:
+    def record_replies(self, count: int = 1) -> None:
         """Records replies that arrived or are no longer awaited."""
         self.health.answered(count)
 
@@ -131,9 +131,9 @@
         self._clear_timer()
 
     def _dial(self) -> None:
-        self._plan_look(self.health.dialled(self._loop.now()))
+        self._schedule_check(self.health.dialled(self._loop.now()))
         self._connecting = Connecting(
-            self._loop, self.address, CONNECT_LIMIT_SECONDS, self._connected, self._refused
+            self._loop, self.address, CONNECT_TIMEOUT_SECONDS, self._connected, self._on_dial_failed
         )
 
     def _connected(self, sock: socket.socket) -> None:
@@ -141,31 +141,31 @@
         self._is_leaving = False
         self._clear_timer()
         self.health.opened(self._loop.now())
-        self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._heard)
-        self._stream.send(LinkOpened(self._own_name))
-        self._tell_state(0.0)
+        self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._on_bytes)
+        self._stream.send(LinkOpened(self._local_name))
+        self._report_state(0.0)
         waiting, self._waiting = self._waiting, []
         for opened, _ in waiting:
             opened()
 
-    def _refused(self) -> None:
+    def _on_dial_failed(self) -> None:
         self._connecting = None
         now = self._loop.now()
         silence = self.health.silence(now)
         self._clear_timer()
         self.health.ended(now, is_dial=True)
-        self._tell_state(silence)
-        self._move_on()
+        self._report_state(silence)
+        self._fail_waiting()
 
-    def _move_on(self) -> None:
+    def _fail_waiting(self) -> None:
         waiting, self._waiting = self._waiting, []
         for _, failed in waiting:
             failed()
 
-    def _heard(self) -> None:
+    def _on_bytes(self) -> None:
         silence = self.health.silence(self._loop.now())
         self.health.heard(self._loop.now())
-        self._tell_state(silence)
+        self._report_state(silence)
 
     def _received(self, message: PeerLinkMessage) -> None:
         if isinstance(message, Leaving):
@@ -186,35 +186,35 @@
         logger.bind(peer=self.address, reason=reason, due=self.health.due).info("link_lost")
         self.close()
         self.health.ended(now, is_dial=False)
-        self._tell_state(silence)
+        self._report_state(silence)
         self._watcher.lost(self)
 
-    def _look(self) -> None:
+    def _check_health(self) -> None:
         self._timer = None
         now = self._loop.now()
-        look = self.health.look(now)
-        if look.is_lost and self._stream is not None:
+        check = self.health.look(now)
+        if check.is_lost and self._stream is not None:
             self._lose("silent")
             return
-        if look.sends_ping:
+        if check.sends_ping:
             self.send(Ping())
-        self._plan_look(look.again)
-        self._tell_state(self.health.silence(now))
+        self._schedule_check(check.again)
+        self._report_state(self.health.silence(now))
 
-    def _tell_state(self, silence: float) -> None:
+    def _report_state(self, silence: float) -> None:
         """Reports a changed state; fails waiting requests if the holder is not usable."""
         state, now = self.health.state, self._loop.now()
-        if state is not self._known_state:
-            lasted = now - self._known_since
-            self._known_state, self._known_since = state, now
+        if state is not self._reported_state:
+            lasted = now - self._reported_since
+            self._reported_state, self._reported_since = state, now
             self._watcher.judged(self, silence, lasted)
         if state is not HolderState.USABLE:
-            self._move_on()
+            self._fail_waiting()
 
-    def _plan_look(self, delay: float | None) -> None:
+    def _schedule_check(self, delay: float | None) -> None:
         if delay is not None:
             self._clear_timer()
-            self._timer = self._loop.call_later(delay, self._look)
+            self._timer = self._loop.call_later(delay, self._check_health)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         loop: EventLoop,
-        own_name: str,
+        local_name: str,
         record: Callable[[PoolingEvent], None] = lambda event: None,
         is_judged: bool = True,
     ) -> None:
@@ -43,11 +43,11 @@
         is_judged: whether to probe silent holders and report their state; see LoadPolicy.
         """
         self._loop = loop
-        self._own_name = own_name
+        self._local_name = local_name
         self._record = record
         self.is_judged = is_judged
         self._rules = HolderRules() if is_judged else WITHOUT_PROBES
-        self._jitter = Random(own_name).random
+        self._jitter = Random(local_name).random
         self._links: dict[str, OutgoingLink] = {}
         self._users: list[LinkUser] = []
         self._health_watchers: list[Callable[[OutgoingLink], None]] = []
@@ -71,13 +71,13 @@
 
     def to(self, address: str) -> OutgoingLink:
         """Returns the link to an address, which is dialled on first use."""
-        known = self._links.get(address)
-        if known is None:
-            known = OutgoingLink(
-                self._loop, self._own_name, address, self, self._rules, self._jitter
+        link = self._links.get(address)
+        if link is None:
+            link = OutgoingLink(
+                self._loop, self._local_name, address, self, self._rules, self._jitter
             )
-            self._links[address] = known
-        return known
+            self._links[address] = link
+        return link
 
     def close(self) -> None:
         """Closes all links."""
--- a/src/dewledge/shell/pooler/links/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -18,7 +18,7 @@
 READ_BATCH = 64
 """Datagrams received in one turn of the loop."""
 
-MessageTaker = Callable[[Any, str], None]
+MessageHandler = Callable[[Any, str], None]
 """Handles a message of the kind it is registered for; the second argument is the address
 ("ip:port") of the sender."""
 
@@ -32,12 +32,12 @@
     def __init__(self, loop: EventLoop, address: str) -> None:
         """Binds `address`. Raises OSError on failure."""
         self._loop = loop
-        self._takers: dict[type[msgspec.Struct], MessageTaker] = {}
+        self._handlers: dict[type[msgspec.Struct], MessageHandler] = {}
         self._socket, self.address = bind_udp(address)
 
-    def on(self, kind: type[msgspec.Struct], taker: MessageTaker) -> None:
+    def on(self, kind: type[msgspec.Struct], handler: MessageHandler) -> None:
         """Registers the handler for messages of a kind."""
-        self._takers[kind] = taker
+        self._handlers[kind] = handler
 
     def start(self) -> None:
         """Starts to receive datagrams."""
@@ -64,9 +64,9 @@
             except OSError:
                 return
             with contextlib.suppress(ProtocolError):
-                self._take(decode(data), format_address(sender[0], sender[1]))
+                self._dispatch(decode(data), format_address(sender[0], sender[1]))
 
-    def _take(self, message: PeerMessage, sender: str) -> None:
-        taker = self._takers.get(type(message))
-        if taker is not None:
-            taker(message, sender)
+    def _dispatch(self, message: PeerMessage, sender: str) -> None:
+        handler = self._handlers.get(type(message))
+        if handler is not None:
+            handler(message, sender)
