--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -1,4 +1,4 @@
-"""Sessions over sockets: what clients without a key cost, and any bytes as a first message."""
+"""Sessions over sockets: failed logins, malformed startup messages and a planned stop."""
 
 import socket
 import threading
@@ -52,7 +52,7 @@
         return f"STARTUP {DATABASE} {key}\r\n".encode("latin-1")
 
     def answer(self, data: bytes, ends: bool = False) -> bytes:
-        """Returns what a connection that sends `data` is told, READY or all up to its end."""
+        """Returns the listener's answer to `data`, up to READY or the end of the connection."""
         with socket.create_connection(self.address, LIMIT_SECONDS) as sock:
             sock.sendall(data)
             if ends:
@@ -107,11 +107,11 @@
         flood = [self.connect() for _ in range(60)]
         for sock in flood:
             sock.sendall(self.start("wrong"))
-        self.await_state("some wait", lambda: self.listener._throttle.held > 0)
+        self.await_state("a refusal is delayed", lambda: self.listener._throttle.held > 0)
         for sock in flood:
             sock.close()
-        self.await_state("none waits", lambda: self.listener._throttle.held == 0)
-        self.await_state("all are gone", lambda: not self.listener.connections)
+        self.await_state("no refusal is delayed", lambda: self.listener._throttle.held == 0)
+        self.await_state("all connections are closed", lambda: not self.listener.connections)
 
     def await_state(self, what: str, is_reached: object) -> None:
         assert callable(is_reached)
@@ -161,7 +161,7 @@
 
 class LeavingTest(ListenerCase):
     def test_what_has_come_before_a_planned_stop_closes_the_session_is_answered(self) -> None:
-        """The loop was busy while the statement came; the sweep that closes sessions runs first."""
+        """A statement that arrives while the loop is busy is read before sessions are closed."""
         sock = self.connect()
         sock.sendall(self.start(KEY))
         self.assertTrue(sock.recv(100).startswith(b"READY"))
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -1,7 +1,5 @@
-"""Links to processes that hold connections: what a silent one costs the statements that come later.
-
-The load: a region cut off, so that dials and answers of its holders stay away, and their return.
-"""
+"""Links to connection holders: new statements must avoid a silent holder and use it again once it
+replies."""
 
 import socket
 import time
@@ -38,7 +36,7 @@
 
 
 class Holder:
-    """Takes links on the test's loop; answers pings, and statements unless its database is slow."""
+    """Accepts links on the test's loop; answers pings, and statements unless `is_slow`."""
 
     def __init__(self, loop: EventLoop, port: int = 0) -> None:
         self.is_silent = False
@@ -78,7 +76,7 @@
 
 
 class Full:
-    """An address whose dials hang, as across a cut: its queue of connections is full."""
+    """An address whose dials hang, as in a network partition: its accept queue is full."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
@@ -115,7 +113,7 @@
         return holder
 
     def run_until(self, what: str, is_reached: Callable[[], bool]) -> float:
-        """Returns how long it took."""
+        """Runs the loop until a condition holds; returns the elapsed seconds."""
         started = time.monotonic()
         while not is_reached():
             self.assertLess(time.monotonic(), started + PATIENCE_SECONDS, what)
@@ -146,7 +144,7 @@
         return replies
 
     def serves(self, holder: Holder, connection: DatabaseConnection) -> bool:
-        """Whether a channel goes through a holder."""
+        """Sends a statement; returns whether it reached the holder."""
         before = holder.statements
         replies = self.ask(connection)
         self.run_until("an answer", lambda: bool(replies))
@@ -165,11 +163,11 @@
         connection.holder_judged = judged.append
         self.first.is_silent = True
         self.ask(connection)
-        took = self.run_until("the holder is doubted", lambda: bool(judged))
+        took = self.run_until("the holder is suspected", lambda: bool(judged))
         self.assertLess(took, 0.4)
         self.assertTrue(connection.is_retiring)
         self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        self.run_until("it is silent", lambda: HolderState.SILENT in judged)
+        self.run_until("the holder is silent", lambda: HolderState.SILENT in judged)
         states = [event.state for event in self.events if isinstance(event, HolderJudged)]
         self.assertEqual(states, ["doubted", "silent"])
 
@@ -177,21 +175,25 @@
         connection = self.channel(self.first.address)
         self.first.is_silent = True
         self.ask(connection)
-        self.run_until("doubted", lambda: connection.is_retiring)
+        self.run_until("the holder is suspected", lambda: connection.is_retiring)
         self.first.streams[0].send(Pong())
-        self.run_until("usable", lambda: not connection.is_retiring)
+        self.run_until("the holder is usable", lambda: not connection.is_retiring)
         self.assertIs(self.state_of(self.first), HolderState.USABLE)
 
     def test_a_leaving_holder_stays_so_though_it_speaks(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
-        self.run_until("it stands", lambda: bool(self.first.streams))
+        self.run_until("the link is open", lambda: bool(self.first.streams))
         self.first.streams[0].send(Leaving())
-        self.run_until("it leaves", lambda: connection.is_retiring)
+        self.run_until("the holder announces its stop", lambda: connection.is_retiring)
         self.ask(connection)
-        self.run_until("doubted", lambda: self.state_of(self.first) is not HolderState.USABLE)
+        self.run_until(
+            "the holder is suspected", lambda: self.state_of(self.first) is not HolderState.USABLE
+        )
         self.first.streams[0].send(Pong())
-        self.run_until("heard", lambda: self.state_of(self.first) is HolderState.USABLE)
+        self.run_until(
+            "the holder is usable", lambda: self.state_of(self.first) is HolderState.USABLE
+        )
         self.assertTrue(connection.is_retiring)
 
     def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
@@ -206,38 +208,42 @@
         full = Full()
         self.addCleanup(full.close)
         opened, _ = self.open(full.address, self.second.address)
-        took = self.run_until("the second holder", lambda: bool(opened))
+        took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertLess(took, 0.35)
         opened, _ = self.open(full.address, self.second.address)
-        self.assertLess(self.run_until("at once", lambda: bool(opened)), 0.1)
+        self.assertLess(self.run_until("an immediate result", lambda: bool(opened)), 0.1)
 
     def test_all_silent_is_told_at_once(self) -> None:
         full = Full()
         self.addCleanup(full.close)
         _, failed = self.open(full.address)
-        self.run_until("the first", lambda: bool(failed))
+        self.run_until("the first failure", lambda: bool(failed))
         _, failed = self.open(full.address)
-        self.assertLess(self.run_until("at once", lambda: bool(failed)), 0.1)
+        self.assertLess(self.run_until("an immediate result", lambda: bool(failed)), 0.1)
 
     def test_after_a_loss_a_probe_and_no_statement_finds_that_it_is_back(self) -> None:
         addresses = (self.first.address, self.second.address)
         self.channel(*addresses)
-        self.run_until("it stands", lambda: bool(self.first.streams))
+        self.run_until("the link is open", lambda: bool(self.first.streams))
         port = int(self.first.address.rpartition(":")[2])
         self.first.close()
-        self.run_until("lost", lambda: self.state_of(self.first) is HolderState.SILENT)
+        self.run_until(
+            "the holder is lost", lambda: self.state_of(self.first) is HolderState.SILENT
+        )
         for _ in range(3):
             self.assertTrue(self.serves(self.second, self.channel(*addresses)))
         again = Holder(self.loop, port)
         self.addCleanup(again.close)
         self.run_for(0.4)
         self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        self.run_until("the probe", lambda: self.state_of(again) is HolderState.USABLE)
+        self.run_until(
+            "the probe finds the holder", lambda: self.state_of(again) is HolderState.USABLE
+        )
         self.assertTrue(self.serves(again, self.channel(*addresses)))
 
 
 class WithoutJudgementTest(LinksCase):
-    """As it is where the settings turn the part off."""
+    """The behaviour with `[load] silent_holders = false`."""
 
     is_judged = False
 
@@ -245,14 +251,14 @@
         connection = self.channel(self.first.address, self.second.address)
         self.first.is_silent = True
         self.ask(connection)
-        took = self.run_until("retired", lambda: connection.is_retiring)
+        took = self.run_until("the connection is retiring", lambda: connection.is_retiring)
         self.assertGreater(took, 0.45)
 
     def test_a_dial_that_hangs_is_waited_for(self) -> None:
         full = Full()
         self.addCleanup(full.close)
         opened, _ = self.open(full.address, self.second.address)
-        took = self.run_until("the second holder", lambda: bool(opened))
+        took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertGreater(took, 0.35)
 
     def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Links between proxies: what is reported when they work, break, fall silent or carry rubbish."""
+"""Links between proxies: delivery, loss, silent peers and malformed frames."""
 
 import socket
 import threading
@@ -55,7 +55,7 @@
 
 
 class Node:
-    """PeerLinks on a loop of its own; notes what is reported."""
+    """PeerLinks on a separate loop; records all callbacks."""
 
     def __init__(self, name: str, incarnation: int = 1, answers: bool = True) -> None:
         self.name = name
@@ -105,7 +105,7 @@
 
 
 class SilentPeer:
-    """Accepts links and greets, and then says nothing, not even to a heartbeat."""
+    """Accepts links and sends a Hello, but nothing else, not even replies to heartbeats."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -182,7 +182,7 @@
         first = self.node("a")
         first.send("nobody", request(7))
         first.send("nobody", request(8))
-        self.await_state("both are told", lambda: len(first.unsent) == 2)
+        self.await_state("both are reported as unsent", lambda: len(first.unsent) == 2)
         told = [(it.peer, it.requests) for it in first.unsent]
         self.assertEqual(told, [("nobody", (7,)), ("nobody", (8,))])
         self.assertEqual(first.lost, [])
@@ -195,7 +195,9 @@
                 first.links.send("b", request(correlation))
 
         first.loop.post(send_too_much)
-        self.await_state("all are told", lambda: len(first.messages) == MAX_WAITING_MESSAGES)
+        self.await_state(
+            "all others are answered", lambda: len(first.messages) == MAX_WAITING_MESSAGES
+        )
         self.assertEqual([it.requests for it in first.unsent], [(MAX_WAITING_MESSAGES,)])
         self.assertEqual((first.lost, len(second.messages)), ([], MAX_WAITING_MESSAGES))
 
@@ -221,7 +223,7 @@
         node.send("s", request(1, remaining=60.0))
         time.sleep((OVERDUE_SECONDS + DEAD_AFTER_SECONDS) / 2)
         node.send("s", request(2, remaining=60.0))
-        self.await_state("the link is given up", lambda: bool(node.lost))
+        self.await_state("the link is closed", lambda: bool(node.lost))
         self.assertEqual(node.lost[0].unsent_requests, (2,))
 
     def test_what_waited_for_a_sign_of_life_leaves_with_it(self) -> None:
@@ -242,7 +244,7 @@
         first, second = self.pair(answers=False)
         first.send("b", request(7))
         self.await_state("the request", lambda: bool(second.messages))
-        time.sleep(1.5)  # longer than silence is borne; only a wrong loss could fail the test
+        time.sleep(1.5)  # longer than the limit of silence
         self.assertEqual(first.lost, [])
         second.send("a", done(7))
         self.await_state("the answer", lambda: bool(first.messages))
