--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -20,7 +20,7 @@
 from tests.core.pooler.harness import PoolerHarness
 
 KEY, CALLER, DATABASE = "k3y-of-north", "north", "read_own_writes"
-LIMIT_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class ListenerCase(unittest.TestCase):
@@ -39,12 +39,12 @@
         self.loop.post(self.listener.start)
         thread = threading.Thread(target=self.loop.run, daemon=True)
         thread.start()
-        self.addCleanup(thread.join, LIMIT_SECONDS)
+        self.addCleanup(thread.join, TIMEOUT_SECONDS)
         self.addCleanup(self.loop.stop)
         self.addCleanup(lambda: self.loop.post(self.listener.close))
 
     def connect(self) -> socket.socket:
-        sock = socket.create_connection(self.address, LIMIT_SECONDS)
+        sock = socket.create_connection(self.address, TIMEOUT_SECONDS)
         self.addCleanup(sock.close)
         return sock
 
@@ -53,26 +53,26 @@
 
     def answer(self, data: bytes, ends: bool = False) -> bytes:
         """Returns the listener's answer to `data`, up to READY or the end of the connection."""
-        with socket.create_connection(self.address, LIMIT_SECONDS) as sock:
+        with socket.create_connection(self.address, TIMEOUT_SECONDS) as sock:
             sock.sendall(data)
             if ends:
                 sock.shutdown(socket.SHUT_WR)
-            told = b""
-            while not told.startswith(b"READY"):
+            received = b""
+            while not received.startswith(b"READY"):
                 try:
                     piece = sock.recv(4096)
                 except ConnectionResetError:
                     break
                 if not piece:
                     break
-                told += piece
-            return told
+                received += piece
+            return received
 
 
 class RefusalTest(ListenerCase):
-    def test_a_thousand_tries_a_second_beside_a_client_with_a_key(self) -> None:
+    def test_flood_of_failed_logins_does_not_delay_valid_client(self) -> None:
         flood = [self.connect() for _ in range(400)]
-        began = time.monotonic()
+        started_at = time.monotonic()
         for sock in flood:
             sock.sendall(self.start("wrong"))
         waits = []
@@ -81,10 +81,10 @@
             self.assertTrue(self.answer(self.start(KEY)).startswith(b"READY"))
             waits.append(time.monotonic() - asked)
         self.assertLess(max(waits), PAUSE_SECONDS / 2)
-        told = [self.read_to_end(sock) for sock in flood]
-        answered = [text for text, _ in told if text]
+        received = [self.read_to_end(sock) for sock in flood]
+        answered = [text for text, _ in received if text]
         self.assertEqual(len(set(answered)), 1)
-        early = [text for text, at in told if text and at - began < PAUSE_SECONDS * 0.9]
+        early = [text for text, at in received if text and at - started_at < PAUSE_SECONDS * 0.9]
         self.assertLessEqual(len(early), 3 * ANSWERS_PER_SECOND)
         self.assertLess(len(answered), len(flood))
         time.sleep(1.2)
@@ -93,17 +93,17 @@
         self.assertEqual(sum(event.tries for event in denied), len(flood))
 
     def read_to_end(self, sock: socket.socket) -> tuple[bytes, float]:
-        told = b""
+        received = b""
         while True:
             try:
                 piece = sock.recv(4096)
             except ConnectionResetError:
                 piece = b""
             if not piece:
-                return told, time.monotonic()
-            told += piece
+                return received, time.monotonic()
+            received += piece
 
-    def test_a_client_that_goes_while_it_waits_makes_room(self) -> None:
+    def test_disconnect_releases_place_of_delayed_refusal(self) -> None:
         flood = [self.connect() for _ in range(60)]
         for sock in flood:
             sock.sendall(self.start("wrong"))
@@ -115,14 +115,14 @@
 
     def await_state(self, what: str, is_reached: object) -> None:
         assert callable(is_reached)
-        give_up_at = time.monotonic() + LIMIT_SECONDS
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not is_reached():
-            self.assertLess(time.monotonic(), give_up_at, what)
+            self.assertLess(time.monotonic(), deadline, what)
             time.sleep(0.005)
 
 
 class StartupFuzzTest(ListenerCase):
-    def test_no_answer_tells_a_guesser_more(self) -> None:
+    def test_all_wrong_keys_get_same_answer(self) -> None:
         keys = [
             "wrong",
             CALLER,
@@ -147,41 +147,41 @@
             st.integers(1, 20000).map(lambda size: b"STARTUP d " + b"k" * size + b"\r\n"),
         )
     )
-    def test_any_bytes_start_no_session(self, data: bytes) -> None:
+    def test_arbitrary_bytes_open_no_session(self, data: bytes) -> None:
         if KEY.encode() in data:
             return
         self.assertNotIn(b"READY", self.answer(data, ends=True))
 
-    def test_a_key_taken_away_is_refused_as_one_never_given(self) -> None:
-        never = self.answer(self.start("wrong"))
+    def test_revoked_key_gets_answer_of_unknown_key(self) -> None:
+        unknown_key_answer = self.answer(self.start("wrong"))
         routes = msgspec.structs.replace(self.services.routes, callers={})
         self.services.routes = routes
-        self.assertEqual(self.answer(self.start(KEY)), never)
+        self.assertEqual(self.answer(self.start(KEY)), unknown_key_answer)
 
 
-class LeavingTest(ListenerCase):
-    def test_what_has_come_before_a_planned_stop_closes_the_session_is_answered(self) -> None:
+class PlannedStopTest(ListenerCase):
+    def test_statement_that_arrived_before_planned_stop_is_answered(self) -> None:
         """A statement that arrives while the loop is busy is read before sessions are closed."""
         sock = self.connect()
         sock.sendall(self.start(KEY))
         self.assertTrue(sock.recv(100).startswith(b"READY"))
         is_sent, is_over = threading.Event(), threading.Event()
 
-        def leave_late() -> None:
-            is_sent.wait(LIMIT_SECONDS)
+        def leave_when_sent() -> None:
+            is_sent.wait(TIMEOUT_SECONDS)
             for connection in list(self.listener.connections):
                 connection.leave()
             is_over.set()
 
-        self.loop.post(leave_late)
+        self.loop.post(leave_when_sent)
         sock.sendall(b"QUERY s1 SET tz north\r\n")
         time.sleep(0.05)
         is_sent.set()
-        self.assertTrue(is_over.wait(LIMIT_SECONDS))
-        told = b""
+        self.assertTrue(is_over.wait(TIMEOUT_SECONDS))
+        received = b""
         while piece := sock.recv(100):
-            told += piece
-        self.assertIn(b"COMPLETE", told)
+            received += piece
+        self.assertIn(b"COMPLETE", received)
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -32,7 +32,7 @@
 from dewledge.shell.shared.event_loop import READABLE, EventLoop
 from dewledge.shell.shared.sockets import bound_address
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Holder:
@@ -60,11 +60,11 @@
         number = len(self.streams)
 
         def received(message: PeerLinkMessage) -> None:
-            self._take(self.streams[number], message)
+            self._handle(self.streams[number], message)
 
         self.streams.append(FramedStream(self._loop, sock, received, lambda: None))
 
-    def _take(self, stream: FramedStream, message: PeerLinkMessage) -> None:
+    def _handle(self, stream: FramedStream, message: PeerLinkMessage) -> None:
         if isinstance(message, ChannelStatement):
             self.statements += 1
         if self.is_silent:
@@ -75,7 +75,7 @@
             stream.send(channel_reply(message.channel, Reply(TransactionState.IDLE)))
 
 
-class Full:
+class UnresponsiveAddress:
     """An address whose dials hang, as in a network partition: its accept queue is full."""
 
     def __init__(self) -> None:
@@ -116,7 +116,7 @@
         """Runs the loop until a condition holds; returns the elapsed seconds."""
         started = time.monotonic()
         while not is_reached():
-            self.assertLess(time.monotonic(), started + PATIENCE_SECONDS, what)
+            self.assertLess(time.monotonic(), started + TIMEOUT_SECONDS, what)
             self.loop.call_later(0.005, lambda: None)
             self.loop.run_once()
         return time.monotonic() - started
@@ -138,7 +138,7 @@
         self.assertEqual(failed, [])
         return opened[0]
 
-    def ask(self, connection: DatabaseConnection) -> list[Reply | None]:
+    def send_statement(self, connection: DatabaseConnection) -> list[Reply | None]:
         replies: list[Reply | None] = []
         connection.send(Statement("s", StatementKind.READ, "read"), replies.append)
         return replies
@@ -146,7 +146,7 @@
     def serves(self, holder: Holder, connection: DatabaseConnection) -> bool:
         """Sends a statement; returns whether it reached the holder."""
         before = holder.statements
-        replies = self.ask(connection)
+        replies = self.send_statement(connection)
         self.run_until("an answer", lambda: bool(replies))
         return holder.statements > before
 
@@ -155,14 +155,14 @@
 
 
 class OutgoingLinksTest(LinksCase):
-    def test_what_comes_later_goes_to_the_next_holder_at_once(self) -> None:
+    def test_suspected_holder_is_skipped_immediately(self) -> None:
         addresses = (self.first.address, self.second.address)
         connection = self.channel(*addresses)
         self.assertTrue(self.serves(self.first, connection))
         judged: list[HolderState] = []
         connection.holder_judged = judged.append
         self.first.is_silent = True
-        self.ask(connection)
+        self.send_statement(connection)
         took = self.run_until("the holder is suspected", lambda: bool(judged))
         self.assertLess(took, 0.4)
         self.assertTrue(connection.is_retiring)
@@ -171,22 +171,22 @@
         states = [event.state for event in self.events if isinstance(event, HolderJudged)]
         self.assertEqual(states, ["doubted", "silent"])
 
-    def test_a_holder_that_speaks_again_is_used_again(self) -> None:
+    def test_holder_that_replies_again_is_usable(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_until("the holder is suspected", lambda: connection.is_retiring)
         self.first.streams[0].send(Pong())
         self.run_until("the holder is usable", lambda: not connection.is_retiring)
         self.assertIs(self.state_of(self.first), HolderState.USABLE)
 
-    def test_a_leaving_holder_stays_so_though_it_speaks(self) -> None:
+    def test_leaving_holder_stays_unusable_after_reply(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
         self.run_until("the link is open", lambda: bool(self.first.streams))
         self.first.streams[0].send(Leaving())
         self.run_until("the holder announces its stop", lambda: connection.is_retiring)
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_until(
             "the holder is suspected", lambda: self.state_of(self.first) is not HolderState.USABLE
         )
@@ -196,32 +196,32 @@
         )
         self.assertTrue(connection.is_retiring)
 
-    def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
+    def test_slow_database_does_not_make_holder_silent(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_slow = True
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_for(1.5)
         self.assertEqual(self.events, [])
         self.assertFalse(connection.is_retiring)
 
-    def test_who_waits_for_a_dial_that_hangs_is_moved_on_early(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        opened, _ = self.open(full.address, self.second.address)
+    def test_hanging_dial_falls_back_to_next_holder_early(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        opened, _ = self.open(unresponsive.address, self.second.address)
         took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertLess(took, 0.35)
-        opened, _ = self.open(full.address, self.second.address)
+        opened, _ = self.open(unresponsive.address, self.second.address)
         self.assertLess(self.run_until("an immediate result", lambda: bool(opened)), 0.1)
 
-    def test_all_silent_is_told_at_once(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        _, failed = self.open(full.address)
+    def test_request_fails_immediately_if_all_holders_are_silent(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        _, failed = self.open(unresponsive.address)
         self.run_until("the first failure", lambda: bool(failed))
-        _, failed = self.open(full.address)
+        _, failed = self.open(unresponsive.address)
         self.assertLess(self.run_until("an immediate result", lambda: bool(failed)), 0.1)
 
-    def test_after_a_loss_a_probe_and_no_statement_finds_that_it_is_back(self) -> None:
+    def test_lost_holder_is_found_again_by_probe_and_not_by_statement(self) -> None:
         addresses = (self.first.address, self.second.address)
         self.channel(*addresses)
         self.run_until("the link is open", lambda: bool(self.first.streams))
@@ -232,39 +232,39 @@
         )
         for _ in range(3):
             self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        again = Holder(self.loop, port)
-        self.addCleanup(again.close)
+        restarted = Holder(self.loop, port)
+        self.addCleanup(restarted.close)
         self.run_for(0.4)
         self.assertTrue(self.serves(self.second, self.channel(*addresses)))
         self.run_until(
-            "the probe finds the holder", lambda: self.state_of(again) is HolderState.USABLE
+            "the probe finds the holder", lambda: self.state_of(restarted) is HolderState.USABLE
         )
-        self.assertTrue(self.serves(again, self.channel(*addresses)))
+        self.assertTrue(self.serves(restarted, self.channel(*addresses)))
 
 
-class WithoutJudgementTest(LinksCase):
+class ProbesDisabledTest(LinksCase):
     """The behaviour with `[load] silent_holders = false`."""
 
     is_judged = False
 
-    def test_half_a_second_of_silence_is_borne(self) -> None:
+    def test_half_a_second_of_silence_is_tolerated(self) -> None:
         connection = self.channel(self.first.address, self.second.address)
         self.first.is_silent = True
-        self.ask(connection)
+        self.send_statement(connection)
         took = self.run_until("the connection is retiring", lambda: connection.is_retiring)
         self.assertGreater(took, 0.45)
 
-    def test_a_dial_that_hangs_is_waited_for(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        opened, _ = self.open(full.address, self.second.address)
+    def test_hanging_dial_delays_next_holder(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        opened, _ = self.open(unresponsive.address, self.second.address)
         took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertGreater(took, 0.35)
 
-    def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
+    def test_slow_database_does_not_make_holder_silent(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_slow = True
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_for(1.5)
         self.assertFalse(connection.is_retiring)
 
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -37,7 +37,7 @@
 from dewledge.shell.shared.frames import FrameReader, frame_of
 from dewledge.shell.shared.sockets import bound_address, parse_address
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 def frame_of_message(message: PeerMessage) -> bytes:
@@ -91,7 +91,7 @@
     def inbound_lost(self, peer: str) -> None:
         self.inbound_ends.append(peer)
 
-    def knows(self, name: str, address: str) -> None:
+    def set_address(self, name: str, address: str) -> None:
         self.loop.post(lambda: self.links.set_addresses({name: address}))
 
     def send(self, peer: str, message: PeerMessage) -> None:
@@ -100,7 +100,7 @@
     def close(self) -> None:
         self.loop.post(self.links.close)
         self.loop.stop()
-        self._thread.join(PATIENCE_SECONDS)
+        self._thread.join(TIMEOUT_SECONDS)
         assert not self._thread.is_alive(), "the loop hangs"
 
 
@@ -137,14 +137,14 @@
 
     def pair(self, **options: object) -> tuple[Node, Node]:
         first, second = self.node("a"), self.node("b", **options)
-        first.knows("b", second.links.address)
-        second.knows("a", first.links.address)
+        first.set_address("b", second.links.address)
+        second.set_address("a", first.links.address)
         return first, second
 
     def await_state(self, what: str, is_reached: Callable[[], bool]) -> None:
-        give_up_at = time.monotonic() + PATIENCE_SECONDS
+        deadline = time.monotonic() + TIMEOUT_SECONDS
         while not is_reached():
-            self.assertLess(time.monotonic(), give_up_at, what)
+            self.assertLess(time.monotonic(), deadline, what)
             time.sleep(0.005)
 
     def silent(self) -> SilentPeer:
@@ -157,10 +157,10 @@
         for correlation in range(200):
             first.send("b", request(correlation))
         self.await_state("answers", lambda: len(first.messages) == 200)
-        self.assertEqual([it.correlation for _, it in first.messages], list(range(200)))  # type: ignore[union-attr]
+        self.assertEqual([item.correlation for _, item in first.messages], list(range(200)))  # type: ignore[union-attr]
         self.assertEqual(second.opened, [("a", 1)])
 
-    def test_both_ways_at_once(self) -> None:
+    def test_concurrent_requests_in_both_directions(self) -> None:
         first, second = self.pair()
         for correlation in range(50):
             first.send("b", request(correlation))
@@ -173,21 +173,21 @@
         unused = socket.create_server(("127.0.0.1", 0))
         address = bound_address(unused)
         unused.close()
-        first.knows("b", address)
+        first.set_address("b", address)
         first.send("b", request(7))
         self.await_state("the loss", lambda: bool(first.lost))
         self.assertEqual(first.lost[0].unsent_requests, (7,))
 
-    def test_each_request_to_an_unknown_peer_is_told_as_unsent_and_no_link_as_lost(self) -> None:
+    def test_requests_to_unknown_peer_are_reported_unsent_without_lost_link(self) -> None:
         first = self.node("a")
         first.send("nobody", request(7))
         first.send("nobody", request(8))
         self.await_state("both are reported as unsent", lambda: len(first.unsent) == 2)
-        told = [(it.peer, it.requests) for it in first.unsent]
-        self.assertEqual(told, [("nobody", (7,)), ("nobody", (8,))])
+        reported = [(item.peer, item.requests) for item in first.unsent]
+        self.assertEqual(reported, [("nobody", (7,)), ("nobody", (8,))])
         self.assertEqual(first.lost, [])
 
-    def test_what_finds_no_room_is_told_as_unsent_and_the_link_goes_on(self) -> None:
+    def test_request_beyond_full_queue_is_reported_unsent_and_link_stays_open(self) -> None:
         first, second = self.pair()
 
         def send_too_much() -> None:
@@ -198,35 +198,35 @@
         self.await_state(
             "all others are answered", lambda: len(first.messages) == MAX_WAITING_MESSAGES
         )
-        self.assertEqual([it.requests for it in first.unsent], [(MAX_WAITING_MESSAGES,)])
+        self.assertEqual([item.requests for item in first.unsent], [(MAX_WAITING_MESSAGES,)])
         self.assertEqual((first.lost, len(second.messages)), ([], MAX_WAITING_MESSAGES))
 
-    def test_address_of_another_peer(self) -> None:
+    def test_hello_of_wrong_peer_closes_link(self) -> None:
         first, second = self.node("a"), self.node("b")
-        first.knows("c", second.links.address)
+        first.set_address("c", second.links.address)
         first.send("c", request(7))
         self.await_state("the loss", lambda: bool(first.lost))
         self.assertEqual(first.lost[0].unsent_requests, (7,))
         self.assertEqual(second.messages, [])
 
-    def test_silent_peer_is_given_up_and_its_requests_are_in_doubt(self) -> None:
+    def test_link_to_silent_peer_is_closed_with_unknown_request_results(self) -> None:
         first = self.node("a")
-        first.knows("s", self.silent().address)
+        first.set_address("s", self.silent().address)
         first.send("s", request(7))
         self.await_state("the loss", lambda: bool(first.lost))
         self.assertIn("silent", first.lost[0].reason)
         self.assertEqual(first.lost[0].unsent_requests, ())
 
-    def test_what_is_sent_while_a_sign_of_life_is_overdue_never_leaves(self) -> None:
+    def test_requests_are_withheld_while_heartbeat_reply_is_overdue(self) -> None:
         node, silent = self.node("a"), self.silent()
-        node.knows("s", silent.address)
+        node.set_address("s", silent.address)
         node.send("s", request(1, remaining=60.0))
         time.sleep((OVERDUE_SECONDS + DEAD_AFTER_SECONDS) / 2)
         node.send("s", request(2, remaining=60.0))
         self.await_state("the link is closed", lambda: bool(node.lost))
         self.assertEqual(node.lost[0].unsent_requests, (2,))
 
-    def test_what_waited_for_a_sign_of_life_leaves_with_it(self) -> None:
+    def test_withheld_requests_are_sent_when_peer_replies(self) -> None:
         first, second = self.pair()
         first.send("b", request(1))
         self.await_state("the first is answered", lambda: len(first.messages) == 1)
@@ -240,7 +240,7 @@
         self.await_state("the third is answered", lambda: len(first.messages) == 2)
         self.assertEqual(first.lost, [])
 
-    def test_slow_peer_that_answers_heartbeats_is_not_given_up(self) -> None:
+    def test_slow_peer_that_answers_heartbeats_keeps_link(self) -> None:
         first, second = self.pair(answers=False)
         first.send("b", request(7))
         self.await_state("the request", lambda: bool(second.messages))
@@ -249,35 +249,35 @@
         second.send("a", done(7))
         self.await_state("the answer", lambda: bool(first.messages))
 
-    def test_killed_peer_comes_back_as_another_process(self) -> None:
+    def test_restarted_peer_is_reconnected(self) -> None:
         first = self.node("a")
         second = Node("b")
-        first.knows("b", second.links.address)
+        first.set_address("b", second.links.address)
         first.send("b", request(1))
         self.await_state("the answer", lambda: bool(first.messages))
         second.close()
         self.await_state("the loss", lambda: bool(first.lost))
         third = self.node("b", incarnation=2)
-        first.knows("b", third.links.address)
+        first.set_address("b", third.links.address)
         first.send("b", request(2))
         self.await_state("the second answer", lambda: len(first.messages) == 2)
 
-    def test_acceptor_learns_of_the_end_and_of_a_new_process(self) -> None:
+    def test_acceptor_reports_link_end_and_restarted_peer(self) -> None:
         second = self.node("b")
         first = Node("a", incarnation=1)
-        first.knows("b", second.links.address)
+        first.set_address("b", second.links.address)
         first.send("b", request(1))
         self.await_state("the link", lambda: second.opened == [("a", 1)])
         first.close()
         self.await_state("the end", lambda: second.inbound_ends == ["a"])
-        again = self.node("a", incarnation=2)
-        again.knows("b", second.links.address)
-        again.send("b", request(1))
+        restarted = self.node("a", incarnation=2)
+        restarted.set_address("b", second.links.address)
+        restarted.send("b", request(1))
         self.await_state("the new link", lambda: second.opened == [("a", 1), ("a", 2)])
 
-    def test_peer_that_does_not_read_is_closed_not_buffered_for(self) -> None:
+    def test_peer_that_does_not_read_is_disconnected(self) -> None:
         first = self.node("a")
-        first.knows("s", self.silent().address)
+        first.set_address("s", self.silent().address)
         big = "k" * 60_000
         count = 4 * MAX_OUTBOUND_BYTES // len(big)
         for correlation in range(count):
@@ -286,7 +286,7 @@
         unsent = sum(len(lost.unsent_requests) for lost in first.lost)
         self.assertGreater(unsent, 0)
 
-    def test_status_request_takes_its_own_link_though_another_is_open(self) -> None:
+    def test_status_request_uses_outbound_link_despite_open_inbound_link(self) -> None:
         first, second = self.pair()
         first.send("b", request(1))
         self.await_state("the link", lambda: bool(first.messages))
@@ -294,7 +294,7 @@
         answer = ("a", GroupStatusAnswer(5, "g", (), ()))
         self.await_state("the answer", lambda: answer in second.messages)
 
-    def test_control_messages_take_the_open_link(self) -> None:
+    def test_control_messages_use_open_inbound_link(self) -> None:
         first, second = self.pair()
         first.send("b", request(1))
         self.await_state("the link", lambda: bool(first.messages))
@@ -335,7 +335,7 @@
             with self.subTest(name):
                 self.send_and_read_to_end(data, ends_input=False)
 
-    def test_frame_cut_short_by_the_end(self) -> None:
+    def test_frame_truncated_by_end_of_input(self) -> None:
         self.send_and_read_to_end(BAD_FRAMES[-1][1])
 
     @settings(max_examples=150, deadline=None, derandomize=True)
@@ -349,16 +349,16 @@
             max_size=6,
         )
     )
-    def test_any_bytes(self, pieces: list[bytes]) -> None:
+    def test_arbitrary_bytes_close_the_link(self, pieces: list[bytes]) -> None:
         self.send_and_read_to_end(b"".join(pieces))
 
-    def test_node_still_answers(self) -> None:
+    def test_node_answers_requests(self) -> None:
         peer = Node("a")
         self.addCleanup(peer.close)
-        peer.knows("b", self.node.links.address)
+        peer.set_address("b", self.node.links.address)
         peer.send("b", request(1))
-        give_up_at = time.monotonic() + PATIENCE_SECONDS
-        while not peer.messages and time.monotonic() < give_up_at:
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while not peer.messages and time.monotonic() < deadline:
             time.sleep(0.005)
         self.assertTrue(peer.messages)
 
