--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -1,7 +1,7 @@
 """Non-blocking TCP connections on the event loop.
 
-A `ByteStream` owns its socket and the buffer of unsent bytes. It calls `ended` at most once, and
-never after `close`.
+A `ByteStream` owns its socket and a buffer of unsent bytes. The callback `ended` is called at most
+once, and never after `close`.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 
 
 class ByteStream:
-    """One connection. `received` and `ended` are called on the loop's thread."""
+    """A connected TCP socket. `received` and `ended` are called on the loop's thread."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         loop.watch(sock, READABLE, self._on_ready)
 
     def send(self, data: bytes) -> None:
-        """Sends bytes, and buffers those that the socket does not accept yet.
+        """Sends bytes, buffering whatever the socket does not accept yet.
 
         Ends the connection if the buffer exceeds `MAX_UNSENT_BYTES`.
         """
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -63,7 +63,7 @@
     def open(self, request: OpenRequest, addresses: Sequence[str]) -> None:
         """Opens a channel through the first usable process.
 
-        An unusable one is skipped; if a probe of it is due, it is dialled in the background.
+        Unusable processes are skipped; those whose probe is due are dialled in the background.
         """
         usable = [address for address in addresses if self._is_usable(address)]
         if not usable:
@@ -143,7 +143,7 @@
 
 
 class _Channel:
-    """One channel: the transport of a connection that another process holds."""
+    """The transport of a connection that another process holds."""
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -149,7 +149,7 @@
         return all(session.at_rest for session in self._channels.values())
 
     def send(self, message: PeerLinkMessage) -> None:
-        """Sends a message."""
+        """Sends a message; see FramedStream.send."""
         self._stream.send(message)
 
     def close(self) -> None:
@@ -215,7 +215,7 @@
 
 
 class _ChannelTransport:
-    """Sends the replies of one channel over its link."""
+    """Sends the replies of a channel over the link."""
 
     def __init__(self, link: IncomingLink, channel: int, group: Group, database_id: str) -> None:
         self._link = link
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -30,7 +30,7 @@
 
 
 class ClientConnection:
-    """One client's connection: the transport of its session."""
+    """The connection of a client, used as the transport of its session."""
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/links/framed_stream.py
+++ b/src/dewledge/shell/pooler/links/framed_stream.py
@@ -13,7 +13,7 @@
 
 
 class FramedStream:
-    """One end of a link. `received` and `ended` are called on the loop's thread.
+    """A TCP connection with message framing. Callbacks are called on the loop's thread.
 
     An unreadable message ends the connection.
     """
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -1,4 +1,4 @@
-"""A link that this process dials to a connection holder.
+"""A link that this process dials to another process, usually a connection holder.
 
 The link reports its traffic to `HolderHealth`, which judges whether the holder is alive. When the
 holder is suspected or silent, requests that wait for the link fail immediately, so that they can go
@@ -43,7 +43,7 @@
 
 
 class OutgoingLink:
-    """The link to the process at an address. It is dialled on demand, also after it was lost."""
+    """The link to the process at an address, dialled on demand and again after a loss."""
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/links/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -1,7 +1,6 @@
 """A UDP socket for messages between poolers, with one handler per kind of message.
 
-Unreadable datagrams and those that cannot be sent are dropped: a sender that needs an answer sends
-its message again.
+Datagrams that cannot be sent or decoded are dropped; senders that need an answer must retry.
 """
 
 import contextlib
