--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -103,7 +103,7 @@
                 return received, time.monotonic()
             received += piece
 
-    def test_disconnect_releases_place_of_delayed_refusal(self) -> None:
+    def test_disconnect_cancels_delayed_refusal(self) -> None:
         flood = [self.connect() for _ in range(60)]
         for sock in flood:
             sock.sendall(self.start("wrong"))
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -180,7 +180,7 @@
         self.run_until("the holder is usable", lambda: not connection.is_retiring)
         self.assertIs(self.state_of(self.first), HolderState.USABLE)
 
-    def test_leaving_holder_stays_unusable_after_reply(self) -> None:
+    def test_reply_does_not_make_leaving_holder_usable(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
         self.run_until("the link is open", lambda: bool(self.first.streams))
@@ -204,7 +204,7 @@
         self.assertEqual(self.events, [])
         self.assertFalse(connection.is_retiring)
 
-    def test_hanging_dial_falls_back_to_next_holder_early(self) -> None:
+    def test_hanging_dial_tries_next_holder_before_connect_timeout(self) -> None:
         unresponsive = UnresponsiveAddress()
         self.addCleanup(unresponsive.close)
         opened, _ = self.open(unresponsive.address, self.second.address)
--- a/tests/shell/test_peer_links.py
+++ b/tests/shell/test_peer_links.py
@@ -187,7 +187,7 @@
         self.assertEqual(reported, [("nobody", (7,)), ("nobody", (8,))])
         self.assertEqual(first.lost, [])
 
-    def test_request_beyond_full_queue_is_reported_unsent_and_link_stays_open(self) -> None:
+    def test_request_beyond_queue_limit_is_reported_unsent_without_lost_link(self) -> None:
         first, second = self.pair()
 
         def send_too_much() -> None:
