--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -1,6 +1,7 @@
-"""A non-blocking TCP connection on the event loop: bytes in, bytes out, one end.
+"""Non-blocking TCP connections on the event loop.
 
-Owns the socket and what was not sent yet. An end is told once, a close of one's own never.
+A `ByteStream` owns its socket and a buffer of unsent bytes. The callback `ended` is called at most
+once, and never after `close`.
 """
 
 import contextlib
@@ -12,19 +13,20 @@
 from dewledge.shell.shared.sockets import KeepAlive, family_of, parse_address, tune_link
 
 READ_BYTES = 64 * 1024
-"""Taken in one turn of the loop."""
+"""Bytes read from a connection in one turn of the loop."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-"""Of one connection; an other end that takes so little is given up."""
+"""Bytes buffered for one connection; beyond them the peer reads too slowly and is disconnected."""
 CLOSE_LINGER_SECONDS = 1.0
-"""Read on after the last answer, so that no reset cuts it."""
-NOTICES_SILENCE = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
-"""An idle connection whose other end is gone ends after 4 s."""
+"""Seconds between the shutdown of the sending side and the close of the socket. A close with unread
+input would send a reset, and the peer could lose the last answer."""
+KEEP_ALIVE_PROBES = KeepAlive(idle_seconds=1, interval_seconds=1, probes=3)
+"""Closes an idle connection after 4 seconds if its peer no longer answers keep-alive probes."""
 USER_TIMEOUT_MS = 4000
-"""Bytes that were sent and not taken for so long end the connection."""
+"""Milliseconds that sent bytes may stay unacknowledged before the system closes the connection."""
 
 
 class ByteStream:
-    """One connection. `received` and `ended` are called on the loop's thread."""
+    """A connected TCP socket. `received` and `ended` are called on the loop's thread."""
 
     def __init__(
         self,
@@ -41,13 +43,16 @@
         self._closing = False
         self.closed = False
         sock.setblocking(False)
-        tune_link(sock, NOTICES_SILENCE)
+        tune_link(sock, KEEP_ALIVE_PROBES)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         loop.watch(sock, READABLE, self._on_ready)
 
     def send(self, data: bytes) -> None:
-        """Sends bytes now or as the other end takes them."""
+        """Sends bytes, buffering whatever the socket does not accept yet.
+
+        Ends the connection if the buffer exceeds `MAX_UNSENT_BYTES`.
+        """
         if self.closed or self._closing:
             return
         self._unsent += data
@@ -56,13 +61,13 @@
             return
         self._flush()
 
-    def take_arrived(self) -> None:
-        """Takes what has arrived by now, before the loop comes to it."""
+    def read_available(self) -> None:
+        """Reads bytes that have arrived already, without waiting for the loop."""
         if not self.closed and not self._closing:
             self._read()
 
     def close_after_sending(self) -> None:
-        """Closes once everything sent has left."""
+        """Closes the connection after all buffered bytes are sent; later input is discarded."""
         if self.closed:
             return
         self._closing = True
@@ -70,7 +75,7 @@
             self._shut_down()
 
     def close(self) -> None:
-        """Closes at once, without a call of `ended`."""
+        """Closes the connection immediately, without calling `ended`."""
         if self.closed:
             return
         self.closed = True
@@ -78,7 +83,7 @@
         self._socket.close()
 
     def _shut_down(self) -> None:
-        """Ends the sending side, and reads on for a moment so that no reset cuts the answer."""
+        """Shuts down the sending side and closes the socket after `CLOSE_LINGER_SECONDS`."""
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_WR)
         self._loop.call_later(CLOSE_LINGER_SECONDS, self._end)
@@ -127,7 +132,7 @@
 
 
 class Connecting:
-    """An attempt to connect; calls `connected` or `failed` once."""
+    """An attempt to connect within `limit` seconds; calls `connected` or `failed` once."""
 
     def __init__(
         self,
@@ -140,7 +145,7 @@
         self._loop = loop
         self._connected = connected
         self._failed = failed
-        self._over = False
+        self._is_finished = False
         host, port = parse_address(address)
         self._socket = socket.socket(family_of(host), socket.SOCK_STREAM)
         self._socket.setblocking(False)
@@ -152,24 +157,24 @@
             loop.call_later(0.0, self._fail)
 
     def cancel(self) -> None:
-        """Gives the attempt up, without a call."""
-        if not self._over:
-            self._over = True
+        """Aborts the attempt without calling `connected` or `failed`."""
+        if not self._is_finished:
+            self._is_finished = True
             self._release()
             self._socket.close()
 
     def _on_ready(self, _events: int) -> None:
-        if self._over:
+        if self._is_finished:
             return
         if self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._fail()
             return
-        self._over = True
+        self._is_finished = True
         self._release()
         self._connected(self._socket)
 
     def _fail(self) -> None:
-        if self._over:
+        if self._is_finished:
             return
         self.cancel()
         self._failed()
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -1,7 +1,8 @@
-"""Connections to databases that other processes hold: channels on links to them.
+"""Opens channels: connections to databases through the processes that hold them.
 
-Owns the channels of this process by link and number. Relies on `outgoing_links` for links and on
-what these judge of the processes at their other ends; a channel ends with its link.
+Channels are multiplexed on the links of `outgoing_links` and numbered within this process. A
+channel ends with its link. When the health of a holder changes, its channels are marked as retiring
+or usable again, so that new statements avoid a holder that does not reply.
 """
 
 import itertools
@@ -31,35 +32,38 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 
-class HolderNews(Protocol):
-    """Takes what answers of holders tell besides the answers themselves."""
+class HolderReportReceiver(Protocol):
+    """Receives the positions and load reports that holders attach to replies."""
 
     def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
-        """A database's group was surely at `position` at a time (steady clock)."""
+        """Records a position proven for a database's group at the time `true_at` (steady clock,
+        seconds)."""
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        """The load before a database, as the holder at this address tells it."""
+        """Records the load of a database, as reported by the holder at this address."""
 
 
 class ChannelClient:
-    """All channels of one process to others."""
+    """All channels that this process has opened through other processes."""
 
-    def __init__(self, loop: EventLoop, links: OutgoingLinks, news: HolderNews) -> None:
-        self._news = news
+    def __init__(
+        self, loop: EventLoop, links: OutgoingLinks, report_receiver: HolderReportReceiver
+    ) -> None:
+        self._report_receiver = report_receiver
         self._loop = loop
         self._links = links
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
         self._numbers = itertools.count(1)
         links.add_user(self)
         if links.is_judged:
-            links.watch_health(self._holder_judged)
+            links.watch_health(self._on_health_changed)
         else:
             links.watch_health(self._retire_silent)
 
     def open(self, request: OpenRequest, addresses: Sequence[str]) -> None:
-        """Opens a channel through the first process that can be reached.
+        """Opens a channel through the first usable process.
 
-        Those that are thought lost are dialled, as far as it is time to, and not waited for.
+        Unusable processes are skipped; those whose probe is due are dialled in the background.
         """
         usable = [address for address in addresses if self._is_usable(address)]
         if not usable:
@@ -67,12 +71,12 @@
             return
         link = self._links.to(usable[0])
 
-        def go_on() -> None:
+        def try_next() -> None:
             self.open(request, usable[1:])
 
-        link.when_open(lambda: self._begin(link, request), go_on)
+        link.when_open(lambda: self._open_channel(link, request), try_next)
 
-    def _begin(self, link: OutgoingLink, request: OpenRequest) -> None:
+    def _open_channel(self, link: OutgoingLink, request: OpenRequest) -> None:
         number = next(self._numbers)
         channel = _Channel(link, number, request, self._forget, self._loop.now)
         self._channels.setdefault(link, {})[number] = channel
@@ -86,38 +90,46 @@
         return link.is_usable
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """Takes a message of a link."""
+        """Handles replies and the ends of channels."""
         channels = self._channels.get(link, {})
         if isinstance(message, ChannelReply):
             channel = channels.get(message.channel)
             if channel is not None:
-                self._learn(channel, message)
+                self._pass_on_reports(channel, message)
                 channel.answer(message)
         elif isinstance(message, ChannelEnded):
             channel = channels.pop(message.channel, None)
             if channel is not None:
                 channel.end()
 
-    def _learn(self, channel: "_Channel", message: ChannelReply) -> None:
-        """The holder answered after the statement was sent: what it knew then is as old at most."""
+    def _pass_on_reports(self, channel: "_Channel", message: ChannelReply) -> None:
+        """Passes on the proven position and the load report of a reply.
+
+        The age of the position is counted back from when the statement was sent: the reply was
+        sent later, so the position is at least as recent.
+        """
         if message.proof is not None and channel.sent_at:
             true_at = channel.sent_at[0] - message.proof.age_seconds
-            self._news.take_proof(channel.connection.database_id, true_at, message.proof.position)
+            self._report_receiver.take_proof(
+                channel.connection.database_id, true_at, message.proof.position
+            )
         if message.load is not None:
-            self._news.take_load(channel.connection.database_id, channel.holder, message.load)
+            self._report_receiver.take_load(
+                channel.connection.database_id, channel.holder, message.load
+            )
 
     def link_lost(self, link: OutgoingLink) -> None:
-        """A link ended: so do its channels."""
+        """Ends the channels of a lost link."""
         for channel in self._channels.pop(link, {}).values():
             channel.end()
 
     def link_retiring(self, link: OutgoingLink) -> None:
-        """Nothing new should begin on a link's channels."""
+        """Marks the channels of a link as retiring, so that they are not assigned again."""
         for channel in self._channels.get(link, {}).values():
             channel.connection.is_retiring = True
 
-    def _holder_judged(self, link: OutgoingLink) -> None:
-        """All statements on a link's channels are told what is known of its other end."""
+    def _on_health_changed(self, link: OutgoingLink) -> None:
+        """Informs the connections on a link that the state of its holder has changed."""
         for channel in list(self._channels.get(link, {}).values()):
             channel.connection.is_retiring = not link.is_usable
             channel.connection.holder_judged(link.health.state)
@@ -131,7 +143,7 @@
 
 
 class _Channel:
-    """One channel: the transport of a connection that another process holds."""
+    """The transport of a connection that another process holds."""
 
     def __init__(
         self,
@@ -148,7 +160,7 @@
         self._forget = forget
         self._now = now
         self.sent_at: deque[float] = deque()
-        """When each statement without an answer was sent."""
+        """When each unanswered statement was sent (steady clock, seconds), oldest first."""
 
     @property
     def holder(self) -> str:
@@ -156,10 +168,10 @@
         return self._link.address
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
-        """Sends one statement; its answer comes later, in order."""
+        """Sends a statement. Replies arrive in the order of the statements."""
         now = self._now()
         self.sent_at.append(now)
-        self._link.expect_answer()
+        self._link.record_request()
         connection = self.connection
         message = channel_statement(
             self.number,
@@ -173,21 +185,21 @@
         self._link.send(message)
 
     def close(self) -> None:
-        """Gives the channel up; the holder rolls back what is open."""
+        """Closes the channel; the holder rolls back an open transaction."""
         self._link.send(ChannelClosed(self.number))
-        self._link.answer_came(len(self.sent_at))
+        self._link.record_replies(len(self.sent_at))
         self._forget(self._link, self.number)
         self._closed(self.connection)
 
     def answer(self, message: ChannelReply) -> None:
-        """Takes the next answer."""
+        """Passes the reply to the oldest unanswered statement on to the connection."""
         if self.sent_at:
             self.sent_at.popleft()
-        self._link.answer_came()
+        self._link.record_replies()
         self.connection.on_reply(message.reply)
 
     def end(self) -> None:
-        """The channel is lost."""
-        self._link.answer_came(len(self.sent_at))
+        """Informs the connection and its pool that the channel has ended."""
+        self._link.record_replies(len(self.sent_at))
         self.connection.on_closed()
         self._closed(self.connection)
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -1,8 +1,7 @@
-"""Opens connections to databases and carries statements and answers on them.
+"""Opens connections to databases, directly or through processes that hold connections.
 
-A connection is one of this process's own, or a channel to a process that holds connections. Owns
-the connections of this process from the dial to their end, and the count of those opened because no
-holder could be reached. Relies on `channel_client` for channels.
+`DirectOpener` dials databases itself. `SharingOpener` opens channels through holders; if no holder
+can be reached, it keeps at most `FALLBACK_CONNECTIONS` direct connections to each database.
 """
 
 import socket
@@ -24,14 +23,14 @@
 from dewledge.shell.pooler.links.open_request import OpenRequest
 from dewledge.shell.shared.event_loop import EventLoop
 
-CONNECT_LIMIT_SECONDS = 0.6
-"""For a database to accept a connection."""
-STARTUP_LIMIT_SECONDS = 1.5
-"""From an accepted connection to the answer of its startup."""
+CONNECT_TIMEOUT_SECONDS = 0.6
+"""Time limit for a database to accept a connection."""
+STARTUP_TIMEOUT_SECONDS = 1.5
+"""Time limit from an accepted connection to the reply to its startup message."""
 
 
 class DirectOpener:
-    """Opens connections to the databases that `find` knows."""
+    """Opens direct connections to databases."""
 
     def __init__(
         self,
@@ -41,9 +40,11 @@
         find: Callable[[str], DatabaseRecord | None],
         reach_limit: ReachLimit | None = None,
     ) -> None:
-        """`user`: what databases are told where there is no caller.
+        """`user`: the user name for connections without a caller.
 
-        reach_limit: is told how long connections take to be accepted."""
+        find: returns the record of a database, None if it is unknown.
+        reach_limit: records how long databases take to accept connections.
+        """
         self._loop = loop
         self._reach_limit = reach_limit or ReachLimit()
         self._user = user
@@ -58,31 +59,31 @@
         failed: Callable[[ErrorCode], None],
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
-        """Opens one for a caller; see Opener.open."""
+        """Opens a connection for a caller; see Opener.open."""
         self.dial(OpenRequest(database_id, caller, opened, failed, closed))
 
     def dial(self, request: OpenRequest) -> None:
-        """Opens a connection of this process's own."""
+        """Opens a direct connection."""
         record = self._find(request.database_id)
         if record is None:
             self._loop.call_later(0.0, lambda: request.failed(ErrorCode.DATABASE_UNREACHABLE))
             return
-        known = record
+        database_record = record
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
             self._reach_limit.observe(self._loop.now() - started_at)
             user = request.caller or self._user
-            _DatabaseLink(self._loop, sock, known, user, self._new_codec(), request)
+            _DatabaseLink(self._loop, sock, database_record, user, self._new_codec(), request)
 
         def refused() -> None:
             request.failed(ErrorCode.DATABASE_UNREACHABLE)
 
-        Connecting(self._loop, record.address, CONNECT_LIMIT_SECONDS, connected, refused)
+        Connecting(self._loop, record.address, CONNECT_TIMEOUT_SECONDS, connected, refused)
 
 
 class SharingOpener:
-    """Opens connections directly or through holders, as `find_route` says."""
+    """Opens connections directly or through holders, depending on `find_route`."""
 
     def __init__(
         self,
@@ -90,8 +91,8 @@
         channels: ChannelClient,
         find_route: Callable[[str, str], Sequence[str] | None],
     ) -> None:
-        """`find_route`: the addresses of the processes to go through to a database for a caller,
-        None for a direct connection.
+        """`find_route`: returns the addresses of the holders of a database for a caller, None for a
+        direct connection.
         """
         self._direct = direct
         self._channels = channels
@@ -106,21 +107,21 @@
         failed: Callable[[ErrorCode], None],
         closed: Callable[[DatabaseConnection], None],
     ) -> None:
-        """Opens one for a caller; see Opener.open."""
+        """Opens a connection for a caller; see Opener.open."""
         request = OpenRequest(database_id, caller, opened, failed, closed)
         addresses = self._find_route(database_id, caller)
         if addresses is None:
             self._direct.dial(request)
             return
 
-        def without_holders(_code: ErrorCode) -> None:
+        def on_holders_unreachable(_code: ErrorCode) -> None:
             self._dial_without_holders(request)
 
-        through_holders = msgspec.structs.replace(request, failed=without_holders)
+        through_holders = msgspec.structs.replace(request, failed=on_holders_unreachable)
         self._channels.open(through_holders, addresses)
 
     def _dial_without_holders(self, request: OpenRequest) -> None:
-        """No holder can be reached: a few connections are opened without them."""
+        """Dials directly because no holder can be reached; fails at `FALLBACK_CONNECTIONS`."""
         database_id = request.database_id
         if self._fallbacks[database_id] >= FALLBACK_CONNECTIONS:
             request.failed(ErrorCode.CONNECTION_LIMIT)
@@ -139,7 +140,7 @@
 
 
 class _DatabaseLink:
-    """One connection to a database, from its startup on."""
+    """The transport of a direct connection to a database, from its startup to its end."""
 
     def __init__(
         self,
@@ -154,17 +155,17 @@
         self._request = request
         self._connection: DatabaseConnection | None = None
         self._record = record
-        self._over = False
+        self._has_ended = False
         self._stream = ByteStream(loop, sock, self._received, self._ended)
-        self._timer = loop.call_later(STARTUP_LIMIT_SECONDS, self._startup_silent)
+        self._timer = loop.call_later(STARTUP_TIMEOUT_SECONDS, self._on_startup_timeout)
         self._stream.send(codec.startup(record.group, user, record.id))
 
     def send(self, statement: Statement, floor: LogPosition | None) -> None:
-        """Sends one statement; its answer comes later, in order."""
+        """Sends a statement. Replies arrive in the order of the statements."""
         self._stream.send(self._codec.statement(statement, floor))
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection immediately."""
         self._stream.close()
         if self._connection is not None:
             self._request.closed(self._connection)
@@ -177,10 +178,10 @@
             self._ended()
             return
         for reply in replies:
-            self._take(reply)
+            self._handle_reply(reply)
 
-    def _take(self, reply: Reply) -> None:
-        if self._over:
+    def _handle_reply(self, reply: Reply) -> None:
+        if self._has_ended:
             return
         if self._connection is not None:
             if not self._connection.closed:
@@ -193,13 +194,13 @@
         self._connection = DatabaseConnection(self._record.id, self)
         self._request.opened(self._connection)
 
-    def _startup_silent(self) -> None:
+    def _on_startup_timeout(self) -> None:
         self._refuse(ErrorCode.DATABASE_UNREACHABLE)
 
     def _refuse(self, code: ErrorCode) -> None:
-        if self._over or self._connection is not None:
+        if self._has_ended or self._connection is not None:
             return
-        self._over = True
+        self._has_ended = True
         self._timer.cancel()
         self._stream.close()
         self._request.failed(code)
@@ -208,6 +209,6 @@
         if self._connection is None:
             self._refuse(ErrorCode.DATABASE_UNREACHABLE)
             return
-        self._over = True
+        self._has_ended = True
         self._connection.on_closed()
         self._request.closed(self._connection)
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -1,7 +1,8 @@
-"""A link that this process dials, and how it is judged: usable, doubted, silent, leaving, lost.
+"""A link that this process dials to another process, usually a connection holder.
 
-Owns one connection and the callers that wait for it. `core/pooler/load/holder_health` judges the
-other end by what comes and when; this module reports to it and acts on the judgement.
+The link reports its traffic to `HolderHealth`, which judges whether the holder is alive. When the
+holder is suspected or silent, requests that wait for the link fail immediately, so that they can go
+to another holder. A link that stays silent is closed; it is dialled again on demand or by a probe.
 """
 
 import socket
@@ -16,33 +17,38 @@
 from dewledge.shell.pooler.links.framed_stream import FramedStream
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
-CONNECT_LIMIT_SECONDS = 0.4
-"""For another process to accept a connection."""
+CONNECT_TIMEOUT_SECONDS = 0.4
+"""Time limit for another process to accept a connection."""
 
 
 class LinkWatcher(Protocol):
-    """Is told what happens to a link."""
+    """Receives the messages and the state changes of links."""
 
     def received(self, link: "OutgoingLink", message: PeerLinkMessage) -> None:
-        """A message came."""
+        """Handles a message from the link."""
 
     def lost(self, link: "OutgoingLink") -> None:
-        """The link ended; what was on it is in doubt."""
+        """Handles the loss of the link; the results of its unanswered statements are unknown."""
 
     def leaving(self, link: "OutgoingLink") -> None:
-        """Nothing new should begin on what the link carries."""
+        """Handles the announcement that the process at the other end will stop: no new work may
+        start on the link."""
 
     def judged(self, link: "OutgoingLink", silence: float, lasted: float) -> None:
-        """The state changed, after `silence` seconds; the state before had lasted `lasted`."""
+        """Handles a change of the health state.
+
+        silence: seconds that the holder was silent. lasted: seconds that the previous state
+        lasted.
+        """
 
 
 class OutgoingLink:
-    """One link to the process at an address; dialled when needed, dialled again after its end."""
+    """The link to the process at an address, dialled on demand and again after a loss."""
 
     def __init__(
         self,
         loop: EventLoop,
-        own_name: str,
+        local_name: str,
         address: str,
         watcher: LinkWatcher,
         rules: HolderRules,
@@ -53,41 +59,41 @@
         self.health = HolderHealth(rules, jitter)
         self._is_leaving = False
         self._loop = loop
-        self._own_name = own_name
+        self._local_name = local_name
         self._watcher = watcher
         self._stream: FramedStream | None = None
         self._connecting: Connecting | None = None
         self._waiting: list[tuple[Callable[[], None], Callable[[], None]]] = []
-        self._known_state = self.health.state
-        self._known_since = loop.now()
+        self._reported_state = self.health.state
+        self._reported_since = loop.now()
         self._timer: Timer | None = None
 
     @property
     def is_open(self) -> bool:
-        """Whether messages leave at once."""
+        """Whether the link is connected."""
         return self._stream is not None
 
     @property
     def heard_at(self) -> float:
-        """When bytes came last (steady clock, seconds)."""
+        """When the last sign of life was received (steady clock, seconds)."""
         return self.health.heard_at
 
     @property
     def is_usable(self) -> bool:
-        """Whether something new may begin here now."""
+        """Whether new work may start on the link."""
         return not self._is_leaving and self.health.is_usable(self._loop.now())
 
     def probe(self) -> None:
-        """Dials if the other end is thought lost and it is time to see whether it is back."""
+        """Dials a lost holder if a probe is due, to find out whether it answers again."""
         if self._stream is None and self._connecting is None:
             now = self._loop.now()
             if self.health.may_probe(now):
                 self._dial()
 
     def when_open(self, opened: Callable[[], None], failed: Callable[[], None]) -> None:
-        """Calls one of both later, dialling if there is need.
+        """Calls `opened` once the link is connected or `failed` if it is unusable; may dial.
 
-        `failed` is called as soon as the other end is doubted, however long the dial goes on.
+        `failed` is called as soon as the holder is suspected, even while the dial is in progress.
         """
         if self._stream is not None:
             self._loop.call_later(0.0, opened if self.is_usable else failed)
@@ -101,21 +107,21 @@
             self._dial()
 
     def send(self, message: PeerLinkMessage) -> None:
-        """Sends a message; one for a link that is lost is dropped."""
+        """Sends a message; drops it if the link is not connected."""
         if self._stream is not None:
             self._stream.send(message)
 
-    def expect_answer(self) -> None:
-        """An answer is due: from now on silence means something."""
+    def record_request(self) -> None:
+        """Records that a request was sent, and schedules a health check."""
         if self._stream is not None:
-            self._plan_look(self.health.sent(self._loop.now()))
+            self._schedule_check(self.health.sent(self._loop.now()))
 
-    def answer_came(self, count: int = 1) -> None:
-        """So many answers have come, or are not awaited any more."""
+    def record_replies(self, count: int = 1) -> None:
+        """Records replies that arrived or are no longer awaited."""
         self.health.answered(count)
 
     def close(self) -> None:
-        """Ends the link without a call of `lost`."""
+        """Closes the link without calling `lost`."""
         if self._connecting is not None:
             self._connecting.cancel()
             self._connecting = None
@@ -125,9 +131,9 @@
         self._clear_timer()
 
     def _dial(self) -> None:
-        self._plan_look(self.health.dialled(self._loop.now()))
+        self._schedule_check(self.health.dialled(self._loop.now()))
         self._connecting = Connecting(
-            self._loop, self.address, CONNECT_LIMIT_SECONDS, self._connected, self._refused
+            self._loop, self.address, CONNECT_TIMEOUT_SECONDS, self._connected, self._on_dial_failed
         )
 
     def _connected(self, sock: socket.socket) -> None:
@@ -135,31 +141,31 @@
         self._is_leaving = False
         self._clear_timer()
         self.health.opened(self._loop.now())
-        self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._heard)
-        self._stream.send(LinkOpened(self._own_name))
-        self._tell_state(0.0)
+        self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._on_bytes)
+        self._stream.send(LinkOpened(self._local_name))
+        self._report_state(0.0)
         waiting, self._waiting = self._waiting, []
         for opened, _ in waiting:
             opened()
 
-    def _refused(self) -> None:
+    def _on_dial_failed(self) -> None:
         self._connecting = None
         now = self._loop.now()
         silence = self.health.silence(now)
         self._clear_timer()
         self.health.ended(now, is_dial=True)
-        self._tell_state(silence)
-        self._move_on()
+        self._report_state(silence)
+        self._fail_waiting()
 
-    def _move_on(self) -> None:
+    def _fail_waiting(self) -> None:
         waiting, self._waiting = self._waiting, []
         for _, failed in waiting:
             failed()
 
-    def _heard(self) -> None:
+    def _on_bytes(self) -> None:
         silence = self.health.silence(self._loop.now())
         self.health.heard(self._loop.now())
-        self._tell_state(silence)
+        self._report_state(silence)
 
     def _received(self, message: PeerLinkMessage) -> None:
         if isinstance(message, Leaving):
@@ -180,35 +186,35 @@
         logger.bind(peer=self.address, reason=reason, due=self.health.due).info("link_lost")
         self.close()
         self.health.ended(now, is_dial=False)
-        self._tell_state(silence)
+        self._report_state(silence)
         self._watcher.lost(self)
 
-    def _look(self) -> None:
+    def _check_health(self) -> None:
         self._timer = None
         now = self._loop.now()
-        look = self.health.look(now)
-        if look.is_lost and self._stream is not None:
+        check = self.health.look(now)
+        if check.is_lost and self._stream is not None:
             self._lose("silent")
             return
-        if look.sends_ping:
+        if check.sends_ping:
             self.send(Ping())
-        self._plan_look(look.again)
-        self._tell_state(self.health.silence(now))
+        self._schedule_check(check.again)
+        self._report_state(self.health.silence(now))
 
-    def _tell_state(self, silence: float) -> None:
-        """Reports a new state; callers do not wait for the dial of an end that is doubted."""
+    def _report_state(self, silence: float) -> None:
+        """Reports a changed state; fails waiting requests if the holder is not usable."""
         state, now = self.health.state, self._loop.now()
-        if state is not self._known_state:
-            lasted = now - self._known_since
-            self._known_state, self._known_since = state, now
+        if state is not self._reported_state:
+            lasted = now - self._reported_since
+            self._reported_state, self._reported_since = state, now
             self._watcher.judged(self, silence, lasted)
         if state is not HolderState.USABLE:
-            self._move_on()
+            self._fail_waiting()
 
-    def _plan_look(self, delay: float | None) -> None:
+    def _schedule_check(self, delay: float | None) -> None:
         if delay is not None:
             self._clear_timer()
-            self._timer = self._loop.call_later(delay, self._look)
+            self._timer = self._loop.call_later(delay, self._check_health)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -1,7 +1,5 @@
-"""Links to processes that hold connections: what a silent one costs the statements that come later.
-
-The load: a region cut off, so that dials and answers of its holders stay away, and their return.
-"""
+"""Links to connection holders: new statements must avoid a silent holder and use it again once it
+replies."""
 
 import socket
 import time
@@ -34,11 +32,11 @@
 from dewledge.shell.shared.event_loop import READABLE, EventLoop
 from dewledge.shell.shared.sockets import bound_address
 
-PATIENCE_SECONDS = 10.0
+TIMEOUT_SECONDS = 10.0
 
 
 class Holder:
-    """Takes links on the test's loop; answers pings, and statements unless its database is slow."""
+    """Accepts links on the test's loop; answers pings, and statements unless `is_slow`."""
 
     def __init__(self, loop: EventLoop, port: int = 0) -> None:
         self.is_silent = False
@@ -62,11 +60,11 @@
         number = len(self.streams)
 
         def received(message: PeerLinkMessage) -> None:
-            self._take(self.streams[number], message)
+            self._handle(self.streams[number], message)
 
         self.streams.append(FramedStream(self._loop, sock, received, lambda: None))
 
-    def _take(self, stream: FramedStream, message: PeerLinkMessage) -> None:
+    def _handle(self, stream: FramedStream, message: PeerLinkMessage) -> None:
         if isinstance(message, ChannelStatement):
             self.statements += 1
         if self.is_silent:
@@ -77,8 +75,8 @@
             stream.send(channel_reply(message.channel, Reply(TransactionState.IDLE)))
 
 
-class Full:
-    """An address whose dials hang, as across a cut: its queue of connections is full."""
+class UnresponsiveAddress:
+    """An address whose dials hang, as in a network partition: its accept queue is full."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
@@ -115,10 +113,10 @@
         return holder
 
     def run_until(self, what: str, is_reached: Callable[[], bool]) -> float:
-        """Returns how long it took."""
+        """Runs the loop until a condition holds; returns the elapsed seconds."""
         started = time.monotonic()
         while not is_reached():
-            self.assertLess(time.monotonic(), started + PATIENCE_SECONDS, what)
+            self.assertLess(time.monotonic(), started + TIMEOUT_SECONDS, what)
             self.loop.call_later(0.005, lambda: None)
             self.loop.run_once()
         return time.monotonic() - started
@@ -140,15 +138,15 @@
         self.assertEqual(failed, [])
         return opened[0]
 
-    def ask(self, connection: DatabaseConnection) -> list[Reply | None]:
+    def send_statement(self, connection: DatabaseConnection) -> list[Reply | None]:
         replies: list[Reply | None] = []
         connection.send(Statement("s", StatementKind.READ, "read"), replies.append)
         return replies
 
     def serves(self, holder: Holder, connection: DatabaseConnection) -> bool:
-        """Whether a channel goes through a holder."""
+        """Sends a statement; returns whether it reached the holder."""
         before = holder.statements
-        replies = self.ask(connection)
+        replies = self.send_statement(connection)
         self.run_until("an answer", lambda: bool(replies))
         return holder.statements > before
 
@@ -157,108 +155,116 @@
 
 
 class OutgoingLinksTest(LinksCase):
-    def test_what_comes_later_goes_to_the_next_holder_at_once(self) -> None:
+    def test_suspected_holder_is_skipped_immediately(self) -> None:
         addresses = (self.first.address, self.second.address)
         connection = self.channel(*addresses)
         self.assertTrue(self.serves(self.first, connection))
         judged: list[HolderState] = []
         connection.holder_judged = judged.append
         self.first.is_silent = True
-        self.ask(connection)
-        took = self.run_until("the holder is doubted", lambda: bool(judged))
+        self.send_statement(connection)
+        took = self.run_until("the holder is suspected", lambda: bool(judged))
         self.assertLess(took, 0.4)
         self.assertTrue(connection.is_retiring)
         self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        self.run_until("it is silent", lambda: HolderState.SILENT in judged)
+        self.run_until("the holder is silent", lambda: HolderState.SILENT in judged)
         states = [event.state for event in self.events if isinstance(event, HolderJudged)]
         self.assertEqual(states, ["doubted", "silent"])
 
-    def test_a_holder_that_speaks_again_is_used_again(self) -> None:
+    def test_holder_that_replies_again_is_usable(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
-        self.ask(connection)
-        self.run_until("doubted", lambda: connection.is_retiring)
+        self.send_statement(connection)
+        self.run_until("the holder is suspected", lambda: connection.is_retiring)
         self.first.streams[0].send(Pong())
-        self.run_until("usable", lambda: not connection.is_retiring)
+        self.run_until("the holder is usable", lambda: not connection.is_retiring)
         self.assertIs(self.state_of(self.first), HolderState.USABLE)
 
-    def test_a_leaving_holder_stays_so_though_it_speaks(self) -> None:
+    def test_reply_does_not_make_leaving_holder_usable(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_silent = True
-        self.run_until("it stands", lambda: bool(self.first.streams))
+        self.run_until("the link is open", lambda: bool(self.first.streams))
         self.first.streams[0].send(Leaving())
-        self.run_until("it leaves", lambda: connection.is_retiring)
-        self.ask(connection)
-        self.run_until("doubted", lambda: self.state_of(self.first) is not HolderState.USABLE)
+        self.run_until("the holder announces its stop", lambda: connection.is_retiring)
+        self.send_statement(connection)
+        self.run_until(
+            "the holder is suspected", lambda: self.state_of(self.first) is not HolderState.USABLE
+        )
         self.first.streams[0].send(Pong())
-        self.run_until("heard", lambda: self.state_of(self.first) is HolderState.USABLE)
+        self.run_until(
+            "the holder is usable", lambda: self.state_of(self.first) is HolderState.USABLE
+        )
         self.assertTrue(connection.is_retiring)
 
-    def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
+    def test_slow_database_does_not_make_holder_silent(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_slow = True
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_for(1.5)
         self.assertEqual(self.events, [])
         self.assertFalse(connection.is_retiring)
 
-    def test_who_waits_for_a_dial_that_hangs_is_moved_on_early(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        opened, _ = self.open(full.address, self.second.address)
-        took = self.run_until("the second holder", lambda: bool(opened))
+    def test_hanging_dial_tries_next_holder_before_connect_timeout(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        opened, _ = self.open(unresponsive.address, self.second.address)
+        took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertLess(took, 0.35)
-        opened, _ = self.open(full.address, self.second.address)
-        self.assertLess(self.run_until("at once", lambda: bool(opened)), 0.1)
-
-    def test_all_silent_is_told_at_once(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        _, failed = self.open(full.address)
-        self.run_until("the first", lambda: bool(failed))
-        _, failed = self.open(full.address)
-        self.assertLess(self.run_until("at once", lambda: bool(failed)), 0.1)
-
-    def test_after_a_loss_a_probe_and_no_statement_finds_that_it_is_back(self) -> None:
+        opened, _ = self.open(unresponsive.address, self.second.address)
+        self.assertLess(self.run_until("an immediate result", lambda: bool(opened)), 0.1)
+
+    def test_request_fails_immediately_if_all_holders_are_silent(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        _, failed = self.open(unresponsive.address)
+        self.run_until("the first failure", lambda: bool(failed))
+        _, failed = self.open(unresponsive.address)
+        self.assertLess(self.run_until("an immediate result", lambda: bool(failed)), 0.1)
+
+    def test_lost_holder_is_found_again_by_probe_and_not_by_statement(self) -> None:
         addresses = (self.first.address, self.second.address)
         self.channel(*addresses)
-        self.run_until("it stands", lambda: bool(self.first.streams))
+        self.run_until("the link is open", lambda: bool(self.first.streams))
         port = int(self.first.address.rpartition(":")[2])
         self.first.close()
-        self.run_until("lost", lambda: self.state_of(self.first) is HolderState.SILENT)
+        self.run_until(
+            "the holder is lost", lambda: self.state_of(self.first) is HolderState.SILENT
+        )
         for _ in range(3):
             self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        again = Holder(self.loop, port)
-        self.addCleanup(again.close)
+        restarted = Holder(self.loop, port)
+        self.addCleanup(restarted.close)
         self.run_for(0.4)
         self.assertTrue(self.serves(self.second, self.channel(*addresses)))
-        self.run_until("the probe", lambda: self.state_of(again) is HolderState.USABLE)
-        self.assertTrue(self.serves(again, self.channel(*addresses)))
+        self.run_until(
+            "the probe finds the holder", lambda: self.state_of(restarted) is HolderState.USABLE
+        )
+        self.assertTrue(self.serves(restarted, self.channel(*addresses)))
 
 
-class WithoutJudgementTest(LinksCase):
-    """As it is where the settings turn the part off."""
+class ProbesDisabledTest(LinksCase):
+    """The behaviour with `[load] silent_holders = false`."""
 
     is_judged = False
 
-    def test_half_a_second_of_silence_is_borne(self) -> None:
+    def test_half_a_second_of_silence_is_tolerated(self) -> None:
         connection = self.channel(self.first.address, self.second.address)
         self.first.is_silent = True
-        self.ask(connection)
-        took = self.run_until("retired", lambda: connection.is_retiring)
+        self.send_statement(connection)
+        took = self.run_until("the connection is retiring", lambda: connection.is_retiring)
         self.assertGreater(took, 0.45)
 
-    def test_a_dial_that_hangs_is_waited_for(self) -> None:
-        full = Full()
-        self.addCleanup(full.close)
-        opened, _ = self.open(full.address, self.second.address)
-        took = self.run_until("the second holder", lambda: bool(opened))
+    def test_hanging_dial_delays_next_holder(self) -> None:
+        unresponsive = UnresponsiveAddress()
+        self.addCleanup(unresponsive.close)
+        opened, _ = self.open(unresponsive.address, self.second.address)
+        took = self.run_until("a channel through the second holder", lambda: bool(opened))
         self.assertGreater(took, 0.35)
 
-    def test_a_slow_database_behind_a_holder_is_no_silence(self) -> None:
+    def test_slow_database_does_not_make_holder_silent(self) -> None:
         connection = self.channel(self.first.address)
         self.first.is_slow = True
-        self.ask(connection)
+        self.send_statement(connection)
         self.run_for(1.5)
         self.assertFalse(connection.is_retiring)
 
