--- a/src/dewledge/shell/__init__.py
+++ b/src/dewledge/shell/__init__.py
@@ -1,1 +1,1 @@
-"""The shell around the core: sockets, threads and timers."""
+"""The I/O layer around the decision core: sockets, threads and timers."""
--- a/src/dewledge/shell/pooler/tables/__init__.py
+++ b/src/dewledge/shell/pooler/tables/__init__.py
@@ -1,1 +1,1 @@
-"""How a process reads, follows and publishes the tables of the platform store."""
+"""Replication of the coordination store's tables: reading, following and publishing them."""
--- a/src/dewledge/shell/pooler/tables/coordination_rows.py
+++ b/src/dewledge/shell/pooler/tables/coordination_rows.py
@@ -1,6 +1,7 @@
-"""The product's own rows in the store: members, and claims on groups. Values in cbor2.
+"""Rows that the proxies keep in the store: members, claims on groups, known claims.
 
-Owns the names of the table and of its keys, which processes of other releases read too.
+Values are CBOR. Processes of other releases read the same rows, so the table's name, the key
+prefixes and the fields of the values are a stored format.
 """
 
 from typing import TypeVar
@@ -21,7 +22,7 @@
 
 
 class ClaimValue(msgspec.Struct, frozen=True):
-    """Who replaces a group's primary, and which. Fields as in Claim."""
+    """The stored value of a claim to replace a group's primary. Fields as in Claim."""
 
     holder: str
     replaced: str
@@ -32,7 +33,7 @@
 
 
 class KnownValue(msgspec.Struct, frozen=True):
-    """The newest claim that a process knows, told where it cannot be asked."""
+    """The newest claim known to a process, stored for processes that cannot reach it."""
 
     process: str
     group: str
@@ -40,17 +41,17 @@
 
 
 def encode_value(value: msgspec.Struct) -> bytes:
-    """Returns the value of a row."""
+    """Returns the CBOR encoding of a row's value."""
     return cbor2.dumps(msgspec.to_builtins(value))
 
 
 def read_member(row: StoreRow) -> Member | None:
-    """Returns a member's row, None if it cannot be read."""
+    """Returns the member that a row describes, None if the value cannot be decoded."""
     return _decode(row, Member)
 
 
 def read_claim(row: StoreRow) -> Claim | None:
-    """Returns a claim with the version of its row as its token, None if it cannot be read."""
+    """Returns the claim of a row, with the row's version as fencing token, None if undecodable."""
     value = _decode(row, ClaimValue)
     if value is None:
         return None
@@ -66,7 +67,7 @@
 
 
 def read_known(row: StoreRow) -> KnownValue | None:
-    """Returns what a process knows of a claim, None if it cannot be read."""
+    """Returns the known claim that a row describes, None if the value cannot be decoded."""
     return _decode(row, KnownValue)
 
 
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -1,7 +1,6 @@
-"""One table of the store in this process: what is known, how sure that is, and what followers lack.
+"""One cached table of the store: its rows, when it was last confirmed current, and its deltas.
 
-Owns the rows known here and the time at which they were surely the newest. Relies on `table_cache`
-for what a follower lacks.
+`table_cache` holds the rows and computes the delta that a follower lacks.
 """
 
 from collections.abc import Callable
@@ -15,20 +14,20 @@
 from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 
 RowsCallback = Callable[[tuple[StoreRow, ...], int], None]
-"""Takes rows and the version of the table."""
+"""Receives rows and the version of the table."""
 
 NEVER = -1e9
-"""Seconds of the steady clock, before any that it gives."""
+"""Seconds of the monotonic clock, earlier than any reading of it."""
 FOLLOWED_SLACK_SECONDS = 0.7
-"""Added to the wait before a table is doubtful: a confirmation passes on at once, so at the last
-process it is little older than at the first."""
+"""Added to the wait before a confirmation is too old. Covers the hops from the reader to the last
+follower, which pass a confirmation on at once."""
 LARGE_BYTES = 128 * 1024
-"""Changes above this, compressed, are read from the store by each process: sent to all followers,
-they would fill the link of a small machine for a second."""
+"""Maximum compressed size of a change that is sent to followers unless they ask for large ones.
+Larger changes are read from the store: sending them to all followers would saturate the link."""
 
 
 class FollowedTable:
-    """All methods belong to the loop's thread, but for reading `version`."""
+    """A cached table and its last confirmation. Only `version` may be read on other threads."""
 
     def __init__(
         self,
@@ -38,19 +37,21 @@
         changed: RowsCallback,
         confirmed: Callable[[float], None] | None = None,
     ) -> None:
-        """`wait_seconds`: for which a reader's call waits at the store for a change.
+        """Creates an empty table that was never confirmed.
 
-        confirmed: called with each time at which the table was surely the newest. Then a table read
-        as a whole counts as the newest only once a feed has said so: such reads may lag behind.
+        wait_seconds: how long a reader's call to the store waits for a change. snapshot: receives
+        the whole table. changed: receives the rows of a change. confirmed: called with the time of
+        the last confirmation. If it is given, a read of the whole table, which may be stale, does
+        not confirm the table; only the change feed does.
         """
         self.name = name
         self.wait_seconds = wait_seconds
         self.confirmed_at = NEVER
-        """The table was surely the store's newest at this time (steady clock, seconds)."""
+        """When the cached table was last known to match the store (monotonic clock, seconds)."""
         self._cache = TableCache()
         self._last_change = -1
         self._lacks_removals = False
-        """Whether rows that are known here have gone, and none tells which."""
+        """Whether cached rows were removed from the store and it is not known which."""
         self._packed: dict[str, StoreRow] = {}
         self._confirmed = confirmed
         self._snapshot = snapshot
@@ -58,35 +59,35 @@
 
     @property
     def version(self) -> int:
-        """The newest version known, -1 before the table was read."""
+        """The cached version, -1 before the table was read."""
         return self._cache.version
 
     @property
     def asked_after(self) -> int:
-        """After which version a source is asked for changes, -1 for the whole table."""
+        """The version after which changes are requested from a source, -1 for the whole table."""
         return -1 if self._lacks_removals else self.version
 
     @property
     def is_known(self) -> bool:
-        """Whether the table was ever read, or told by another process."""
+        """Whether the table was ever read or received from another process."""
         return self._cache.is_known
 
     @property
     def is_confirmed_by_feed(self) -> bool:
-        """Whether a table read as a whole is surely the newest only once a feed has said so."""
+        """Whether only the change feed confirms the table, not a read of the whole table."""
         return self._confirmed is not None
 
     def is_doubtful(self, now: float) -> bool:
-        """Tells whether a change may have gone by unnoticed for longer than is usual."""
+        """Returns whether the last confirmation is too old: a change may have been missed."""
         return now > self.confirmed_at + self.wait_seconds + FOLLOWED_SLACK_SECONDS
 
     def take(self, delta: TableDelta, confirmed_at: float) -> bool:
-        """Takes what the store or another process tells; returns whether it was news."""
+        """Applies a delta from the store or a source; returns whether it changed the table."""
         if delta.version < self._cache.version:
             return False
         is_news = bool(delta.rows) or not self._cache.is_known
         if self._confirmed is None or not delta.is_whole:
-            # Known before the rows are taken: what they lead to may ask how sure the table is.
+            # Set before the callbacks run, as they may read the time of the last confirmation.
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
         if is_news:
             self._last_change = max(
@@ -105,7 +106,10 @@
         return is_news
 
     def has_changed_after(self, version: int) -> bool:
-        """Tells whether a follower at `version` lacks rows; the counter alone rises often."""
+        """Returns whether a follower at `version` lacks rows.
+
+        The table's version alone does not show that: it also rises without a change of its rows.
+        """
         if not self._cache.is_known or self._cache.version <= version:
             return False
         return version < self._last_change
@@ -113,7 +117,7 @@
     def news(
         self, after: int, now: float, takes_large: bool, compares_keys: bool = False
     ) -> TableNews:
-        """Returns what a follower at version `after` lacks, or that it is too large to be sent."""
+        """Returns the delta for a follower at version `after`, marked as withheld if too large."""
         age = now - self.confirmed_at if self._cache.is_known else -1.0
         delta = self._cache.delta(after, compares_keys)
         rows = tuple(self._pack(row) for row in delta.rows)
@@ -122,7 +126,10 @@
         return TableNews(self.name, msgspec.structs.replace(delta, rows=rows), age)
 
     def take_news(self, news: TableNews, answered_at: float) -> bool:
-        """Takes another process's answer, given not before `answered_at`. Raises ProtocolError."""
+        """Applies a source's answer, sent at `answered_at` or later.
+
+        Returns whether it changed the table. Raises ProtocolError if a value cannot be unpacked.
+        """
         rows = tuple(_with_value(row, unpack_value(row.value)) for row in news.delta.rows)
         delta = msgspec.structs.replace(news.delta, rows=rows)
         if delta.version >= self._cache.version and not self._cache.agrees_with(delta):
@@ -134,7 +141,7 @@
         return self.take(delta, answered_at - news.age_seconds)
 
     def _pack(self, row: StoreRow) -> StoreRow:
-        """Returns a row as it goes over links; a large one is compressed once for all followers."""
+        """Returns a row as sent to followers; a large value is compressed once and cached."""
         known = self._packed.get(row.key)
         if known is None or known.version != row.version:
             known = _with_value(row, pack_value(row.value))
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -1,7 +1,7 @@
-"""The processes that registered themselves in the store, and the own registration.
+"""The processes registered in the store, and the registration of this process.
 
-Owns what is known of the members and the own row; the row is written again until the store's table
-shows it. Relies on the store's rows being taken here in their order.
+The write of this process's row is retried until the row is seen in the store's table. Rows must be
+applied in the order of their versions.
 """
 
 import random
@@ -23,14 +23,17 @@
 )
 
 RETRY_SECONDS = 0.5
-"""Mean pause after a write that failed; drawn anew each time."""
+"""Mean pause after a failed write; randomised."""
 ASSUMED_MEMBERS = 12
-"""Processes, before the table is known: a share of a database's connections that leaves room for
-those that came earlier."""
+"""Processes assumed before the table is known, so that this process's part of a database's
+connections leaves enough for processes that started earlier."""
 
 
 class _Outcome(Enum):
-    """Of a try to write the own row. REFUSED: nothing was done, so there is nothing to be read."""
+    """Outcome of one attempt to write this process's row.
+
+    REFUSED: the row was not written. IN_DOUBT: it may have been, so it must be read back.
+    """
 
     DONE = auto()
     REFUSED = auto()
@@ -38,7 +41,7 @@
 
 
 class MemberTable:
-    """The processes by name, as the store's rows tell."""
+    """The registered processes by name, always including this one."""
 
     def __init__(self, own_name: str, own: Member, store: CoordinationStore) -> None:
         self._own_name = own_name
@@ -50,7 +53,7 @@
         self._own_row: StoreRow | None = None
         self._is_registering = False
         self.is_known = False
-        """Whether the table was read; before, ASSUMED_MEMBERS share the databases."""
+        """Whether the table was read; until then `count` is ASSUMED_MEMBERS."""
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -59,25 +62,25 @@
 
     @property
     def is_registered(self) -> bool:
-        """Whether the table holds the own row of this start."""
+        """Whether the table holds this process's row with its current value."""
         return self._own_row is not None and self._own_row.value == self._value
 
     @property
     def count(self) -> int:
-        """How many processes share the databases."""
+        """The number of processes that share the databases."""
         return len(self.members) if self.is_known else ASSUMED_MEMBERS
 
     def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes the whole table: a process without a row has gone. Returns as `take_rows`."""
+        """Applies the whole table, removing processes without a row. Returns as `take_rows`."""
         before = self._localities()
         self.members = {self._own_name: self._own}
         self._own_row = None
         return self._take(rows, before)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes rows of the store; returns whether any address or zone changed, or became known.
+        """Applies changed rows; returns whether an address or zone changed, or the first was read.
 
-        A process that starts again where it was changes nothing for the others.
+        A process that restarts with the same address and zone does not count as a change.
         """
         return self._take(rows, self._localities())
 
@@ -104,7 +107,7 @@
         return self._localities() != before
 
     def register_if_missing(self, executor: Executor, is_stopped: Callable[[], bool]) -> None:
-        """Has the own row written unless the table holds it, or it is being written."""
+        """Starts a write of this process's row unless it is stored or being written."""
         if self._is_registering or self.is_registered:
             return
         self._is_registering = True
@@ -112,7 +115,7 @@
         executor.submit(self._register, expected, is_stopped)
 
     def _register(self, expected: int, is_stopped: Callable[[], bool]) -> None:
-        """Writes the own row. Runs on the executor."""
+        """Writes this process's row, with retries. Runs on the executor."""
         while expected >= 0 and not is_stopped():
             outcome = self._try_to_register(expected)
             if outcome is _Outcome.DONE:
@@ -120,7 +123,7 @@
             time.sleep(RETRY_SECONDS * random.uniform(0.7, 1.3))
             if outcome is _Outcome.IN_DOUBT:
                 expected = self._read_back(expected)
-        # The row itself, once it is seen, tells whether there is anything left to do.
+        # `take_rows` clears the flag of the write in progress once the row is seen.
 
     def _try_to_register(self, expected: int) -> "_Outcome":
         try:
@@ -133,7 +136,7 @@
         return _Outcome.DONE
 
     def _read_back(self, expected: int) -> int:
-        """Returns the version of the own row, -1 if it holds what it should."""
+        """Returns the version to expect in the next write, -1 if the row is already correct."""
         try:
             row = self._store.read_row(TABLE, self._key)
         except StoreError:
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -1,10 +1,9 @@
-"""Learns the store's tables from another process, and doubts it in time.
+"""Long-polls another process (the source) for changes of the store's tables.
 
-One question at a time goes to a source; its answer says how long ago the tables were surely the
-newest. What this process knows is at most as old as that, counted from the sending of its question.
-A source that is silent, or whose own confirmation is too old, is left for the next; when none has a
-young one, the store is read by this process itself. Owns the order of the sources and the question
-under way; relies on `followed_table` for what is known and when it is doubtful.
+One request is in flight at a time. Each answer carries the age of the source's last confirmation
+that a table was current; this process adds no more than the time since it sent the request. If the
+source does not answer, or its confirmation is too old, the follower switches to the next source.
+While a table's confirmation is too old, this process also reads the store itself.
 """
 
 import itertools
@@ -28,32 +27,34 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 ANSWER_LIMIT_SECONDS = 1.1
-"""A source holds a question for less; a silent one is given up after this."""
+"""Without an answer; longer than a source holds a request (HOLD_SECONDS of the publisher)."""
 ANSWER_GAP_SECONDS = 0.5
-"""Between two pieces of an answer that goes on coming."""
+"""Between two received pieces of one answer; a longer gap counts as no answer."""
 LONGEST_ANSWER_SECONDS = 4.0
-"""For an answer that goes on coming, without a gap: eight followers that lack a configuration of
-128 KB, packed, fill a link of 5 Mbit/s for 1.6 s, with other tables and traffic beside it for some
-times that. Asked elsewhere meanwhile, all sources would send it to all."""
+"""For an answer that is still being received. Large enough for a slow link that several followers
+share: asking another source during the transfer would send the same large change twice."""
 PAUSE_SECONDS = 0.3
-"""At most, before the next source is asked; drawn anew each time."""
+"""Maximum pause before the next source is asked; randomised."""
 WITHHELD_SPREAD_SECONDS = 0.2
-"""Over which followers spread their reads of a large change."""
+"""Maximum random delay before a large change is read from the store, to spread the reads."""
 WITHHELD_PAUSE_SECONDS = 0.5
-"""Before the source is asked again after a large change."""
+"""Before the source is asked again after it withheld a large change."""
 TAKE_LARGE_SECONDS = 1.5
-"""A large change that the store does not give within this is taken from the source."""
+"""After this, a large change that could not be read from the store is requested from the source."""
 DOUBT_TICK_SECONDS = 0.2
-"""Between two looks at how old the confirmations are."""
+"""Between two checks of the age of the confirmations."""
 OWN_READ_SECONDS = 0.5
-"""Between two own reads of the store, where no source has a young confirmation. Many processes read
-less often each:"""
+"""Minimum mean interval between two reads of the store by this process while a table's confirmation
+is too old."""
 OWN_READS_PER_SECOND = 100.0
-"""All together no more than this for a table."""
+"""Upper bound on reads of one table by all processes together."""
 
 
 class TableFollower:
-    """All methods belong to the loop's thread."""
+    """Keeps the process's tables current by following one of several sources.
+
+    All methods run on the loop's thread.
+    """
 
     def __init__(
         self,
@@ -64,9 +65,12 @@
         changed: Callable[[], None],
         count_members: Callable[[], int],
     ) -> None:
-        """`read_store`: has a table read from the store once.
+        """Registers with `links` for messages of the sources.
 
-        changed: called after news, and after a younger confirmation of how new a table is."""
+        read_store: schedules one read of a table from the store. changed: called after an answer
+        that changed rows or brought a more recent confirmation. count_members: returns the number
+        of processes, which limits the rate of reads from the store.
+        """
         self._loop = loop
         self._links = links
         self._tables = tables
@@ -78,7 +82,7 @@
         self._number = 0
         self._asked_at = 0.0
         self._sent_at = 0.0
-        """When the question was given to the link, be it open or dialled first."""
+        """When the request was handed to the link, which may first have to connect."""
         self._asked: OutgoingLink | None = None
         self._timer: Timer | None = None
         self._not_before = 0.0
@@ -88,13 +92,13 @@
 
     @property
     def source(self) -> str:
-        """The address of the process that is followed, empty for none."""
+        """The address of the process that is followed, empty if there is none."""
         return self._sources[0] if self._sources else ""
 
     def follow(self, sources: Sequence[str]) -> None:
-        """Follows the processes at these addresses, the first that has a young confirmation.
+        """Follows the processes at these addresses, one at a time, starting with the first.
 
-        None ends it.
+        An empty sequence stops following.
         """
         if set(sources) == set(self._sources):
             return
@@ -105,21 +109,21 @@
         self._watch_doubt()
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """Takes a message of a link."""
+        """Applies the answer to the request in flight; ignores all other messages."""
         if isinstance(message, TablesAnswered) and message.number == self._number:
             self._number = 0
             self._take(message)
 
     def link_lost(self, link: OutgoingLink) -> None:
-        """A link ended."""
+        """Switches to the next source if the request in flight was sent on `link`."""
         if self._number and link is self._asked:
             self._leave_source("link_lost")
 
     def link_retiring(self, link: OutgoingLink) -> None:
-        """Nothing new should begin on a link; the question there ends by its own time limit."""
+        """Does nothing: the request in flight ends with its answer or its timeout."""
 
     def _watch_doubt(self) -> None:
-        """Looks again and again: a source may hold a question while its confirmation grows old."""
+        """Checks confirmations periodically: they may expire while a source holds the request."""
         if self._doubt_timer is not None:
             self._doubt_timer.cancel()
             self._doubt_timer = None
@@ -139,7 +143,7 @@
         self._read_if_doubtful()
         link = self._links.to(self.source)
         if not link.is_usable:
-            # Where no statement goes there either, nothing else would find out that it is back.
+            # If no statement uses this link, nothing else detects that the peer is reachable again.
             link.probe()
             self._next_source("not_usable")
             return
@@ -166,7 +170,7 @@
 
     def _take(self, answer: TablesAnswered) -> None:
         before = self._newest_confirmations()
-        # The question came to the source after it was sent, and was held there for a known time.
+        # A lower bound: the source received the request after it was sent and held it this long.
         answered_at = self._asked_at + answer.held_seconds
         is_news = False
         withheld: list[str] = []
@@ -201,7 +205,7 @@
             return False
 
     def _read_withheld(self, tables: Sequence[str]) -> None:
-        """Reads large changes from the store; takes them from the source if that does not help."""
+        """Schedules reads of withheld tables from the store, and asks the source again later."""
         if self._withheld_since == math.inf:
             self._withheld_since = self._loop.now()
         for name in tables:
@@ -234,9 +238,9 @@
         self._read_if_doubtful()
 
     def _read_if_doubtful(self) -> None:
-        """Reads the store, so that a change is known in time though no source tells it.
+        """Schedules reads of the tables whose confirmation is too old, within the rate limit.
 
-        A table that is not known yet is being read by its watcher, which repeats what fails.
+        A table that was never read is left out: its watcher is reading it and retries failures.
         """
         now = self._loop.now()
         known = {name: table for name, table in self._tables.items() if table.is_known}
--- a/src/dewledge/shell/pooler/tables/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -1,7 +1,8 @@
 """Answers processes that follow the store's tables through this one.
 
-Owns the questions that have no answer yet, one of each follower's link, and what each was told
-last. Relies on `followed_table` for what a follower lacks.
+A follower's request is a long poll: it is answered at once if the follower lacks rows or a more
+recent confirmation, otherwise at the next change or confirmation, or after HOLD_SECONDS. Each link
+has at most one held request. `followed_table` computes the delta that a follower lacks.
 """
 
 import math
@@ -15,19 +16,19 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 HOLD_SECONDS = 0.9
-"""A question is answered after this at the latest, with nothing new; less than a follower waits for
-an answer (ANSWER_LIMIT_SECONDS, 1.1 s)."""
+"""Longest hold of a request before an answer without changes; must be below the time a follower
+waits for an answer (ANSWER_LIMIT_SECONDS in `table_follower`)."""
 
 
 class HeldQuestion(msgspec.Struct, frozen=True):
-    """A question that has no answer yet, and when it came (steady clock, seconds)."""
+    """A follower's request without an answer and when it arrived (monotonic clock, seconds)."""
 
     question: FollowTables
     came_at: float
 
 
 class TablePublisher:
-    """Holds questions until there is something to tell."""
+    """Holds followers' requests until a table changes or is confirmed, or the hold times out."""
 
     def __init__(self, loop: EventLoop, tables: Mapping[str, FollowedTable]) -> None:
         self._loop = loop
@@ -35,10 +36,10 @@
         self._waiting: dict[IncomingLink, HeldQuestion] = {}
         self._timers: dict[IncomingLink, Timer] = {}
         self._told: dict[IncomingLink, dict[str, float]] = {}
-        """How new each table was when a follower was last told of it (steady clock, seconds)."""
+        """When each table was confirmed, as of the last answer on a link (monotonic, seconds)."""
 
     def take_question(self, link: IncomingLink, question: FollowTables) -> None:
-        """Answers now if there is news or a younger confirmation of a table, else later."""
+        """Answers at once if a table changed or was confirmed since the last answer, else later."""
         held = HeldQuestion(question, self._loop.now())
         if self._has_news(question) or self._has_younger_confirmation(link, question):
             self._answer(link, held)
@@ -50,10 +51,10 @@
         self._timers[link] = self._loop.call_later(HOLD_SECONDS, lambda: self._time_out(link))
 
     def tell_followers(self) -> None:
-        """A table has changed, or was confirmed as the newest: all followers are told at once.
+        """Answers all held requests, after a change or a confirmation of a table.
 
-        A confirmation that waited here would be older at each step, and the last ones would doubt
-        the table.
+        A delay here would add to the age of the confirmation at each hop, until the last followers
+        consider it too old.
         """
         for link, held in list(self._waiting.items()):
             self._drop(link)
@@ -79,9 +80,10 @@
         return False
 
     def _has_younger_confirmation(self, link: IncomingLink, question: FollowTables) -> bool:
-        """Tells whether a table was confirmed while the follower's question was under way.
+        """Returns whether a table was confirmed after the last answer on this link.
 
-        Told only with the next confirmation, the follower would doubt the table by then.
+        If the follower had to wait for the next confirmation, the one it has would be too old by
+        then.
         """
         told = self._told.get(link)
         if told is None:
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -1,7 +1,8 @@
-"""How this process learns the store's tables: by reading, or by following a reader.
+"""Keeps this process's copies of the store's tables current.
 
-Owns the tables that are known here, a watcher of the store for each, the publisher that tells
-followers and the follower of others. `core/pooler/sharing/readers` decides which processes read.
+A process either reads the store itself (a reader) or follows a reader over a link;
+`core/pooler/sharing/readers` decides which. `TableReading` owns the cached tables, a store watcher
+for each, the publisher that answers followers, and the follower of other processes.
 """
 
 import math
@@ -26,28 +27,29 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 LONGEST_WAIT_SECONDS = 2.0
-"""For a reader's call that waits for a change."""
+"""Default for how long a reader's call to the store waits for a change."""
 WAIT_SHARE_OF_BOUND = 0.4
-"""Of the configuration's bound: a call that the store swallows is noticed a second later."""
+"""Ratio of a store call's wait to the configuration's propagation bound; the rest leaves time to
+detect a call that the store never answers."""
 URGENT_WAIT_SECONDS = 1.0
-"""A reader that others follow looks more often: what they know is older by their question."""
+"""For tables whose followers need a shorter wait: their data is older by one request."""
 START_SECONDS = 1.0
-"""Processes that start together register within this. Until then a process that knows few others
-reads on only for more members, and the other tables once: following is cheaper than reading beside
-others."""
+"""Processes that start together are expected to register within this. Until then a process in a
+small cluster watches only the members table and reads the other tables once, since it may turn out
+to be a follower."""
 LEASE_WAIT_SECONDS = 0.9
-"""For a change, where primary leases rest on how new the table surely is."""
+"""For a call that waits for a change of a table whose confirmations primary leases depend on."""
 
 
 class StoreCalls(msgspec.Struct, frozen=True):
-    """The store, whose calls block, and the threads that make them."""
+    """The store, whose calls block, and the executor that runs them."""
 
     store: CoordinationStore
     executor: Executor
 
 
 class TableReading:
-    """The tables of one process. All methods belong to the loop's thread."""
+    """Reads or follows the store's tables. All methods run on the loop's thread."""
 
     def __init__(
         self,
@@ -58,7 +60,7 @@
         members: MemberTable,
         members_table: str,
     ) -> None:
-        """`members_table`: the table with the rows of all processes."""
+        """Starts without tables; see `add`. members_table: the table with a row per process."""
         self._loop = loop
         self._members_table = members_table
         self._own_name = settings.name
@@ -88,7 +90,7 @@
         wait: float = LONGEST_WAIT_SECONDS,
         confirmed: Callable[[float], None] | None = None,
     ) -> None:
-        """Adds a table; `snapshot` gets it whole, `changed` later rows.
+        """Adds a table: `snapshot` receives the whole table, `changed` the rows of later changes.
 
         wait: seconds for which a reader's call waits for a change. confirmed: see FollowedTable.
         """
@@ -110,14 +112,14 @@
         )
 
     def start(self) -> None:
-        """Starts to read: a process that does not know the members yet cannot follow one."""
+        """Starts to read the store: until the members are known there is no source to follow."""
         self._starts_until = self._loop.now() + START_SECONDS
         self._loop.call_later(START_SECONDS, self._end_of_start)
         for watcher in self._watchers.values():
             self._calls.executor.submit(watcher.run)
 
     def stop(self) -> None:
-        """Ends reading and following."""
+        """Stops reading and following."""
         self._follower.follow(())
         for watcher in self._watchers.values():
             watcher.stop()
@@ -127,7 +129,7 @@
         self._publisher.take_question(link, question)
 
     def members_changed(self) -> None:
-        """Works out anew whether this process reads, and whom it follows."""
+        """Recomputes whether this process reads the store or which sources it follows."""
         members = self._members.members
         plan = reading_plan(self._own_name, members, self._region_of)
         if plan != self._plan:
@@ -157,7 +159,7 @@
             self.members_changed()
 
     def read_soon(self, table: str) -> None:
-        """Has a table read from the store at once: what others tell of it may come later."""
+        """Schedules an immediate read of a table, when its followed copy may lag behind."""
         self._read_store(table)
 
     def _region_of(self, zone: str) -> str:
@@ -168,6 +170,6 @@
 
 
 def _wait_where_all_read(settings: PoolerSettings) -> float:
-    """Returns for how many seconds a reader's call waits where each process reads all tables."""
+    """Returns the wait in seconds of a store call when every process reads all tables."""
     bound = settings.timings.configuration_bound
     return min(LONGEST_WAIT_SECONDS, bound * WAIT_SHARE_OF_BOUND)
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -1,8 +1,7 @@
-"""Reads one table of the store on a thread of its own, and hands what it finds to the loop.
+"""Reads one table of the store on a separate thread and posts the results to the event loop.
 
-A reader follows the table's changes without end; a process that follows others reads only when it
-is asked to, because none of those it follows knows surely how new the table is. Owns the version
-read last and the pauses after failures.
+In a reader process the watcher polls the table's change feed continuously. In a follower it reads
+only on request, for instance when no source has a recent confirmation of the table.
 """
 
 import random
@@ -21,31 +20,30 @@
 from dewledge.errors import StoreError
 
 FIRST_WAIT_SECONDS = 2.0
-"""For a change, until `set_wait` says otherwise: a store that swallows a call is noticed within
-this and a call's time limit."""
+"""Initial wait for a change, until `set_wait` is called. A call that the store never answers is
+detected within this plus the call's timeout."""
 RETRY_SECONDS = 0.4
-"""After a first failed call."""
+"""Maximum pause after the first failed call; grows linearly with further failures."""
 LONGEST_RETRY_SECONDS = 1.5
-"""After many failed calls."""
+"""Upper limit of the pause after failed calls."""
 STALE_PAUSE_SECONDS = 0.2
-"""After an answer from a copy that lags behind."""
+"""After a read that returned an older version than is already known."""
 FIRST_READ_LIMIT_SECONDS = 0.5
-"""For a read of the whole table by a process that knows nothing yet."""
+"""Timeout of a read of the whole table before any version of it is known."""
 FIRST_READ_PAUSE_SECONDS = 0.15
-"""After a first read that failed: a process that knows nothing cannot serve, so it asks again
-soon."""
+"""Maximum pause after a failed first read; short, as a process cannot serve without the table."""
 SPACING_SECONDS = 0.1
-"""Between two calls of a feed: many changes at once are taken together."""
+"""Between two calls of the change feed after one that returned rows, to batch changes."""
 
 TakenCallback = Callable[[TableDelta, float], None]
-"""Gets what was read, and a time at which it was surely the newest (steady clock)."""
+"""Receives a delta and a time at which it was known to be current (monotonic clock, seconds)."""
 
 
 class TableWatcher:
-    """Calls `taken` with a whole table, then with later rows.
+    """Calls `taken` on the loop with the whole table first, then with later changes.
 
-    A read that shows an older version than one seen before is read again: the store may answer
-    from a copy that lags behind.
+    A read of the whole table that returns an older version than one known is repeated, since the
+    store may answer from a stale replica.
     """
 
     def __init__(
@@ -57,9 +55,11 @@
         post: Callable[[Callable[[], None]], None],
         confirms_whole: bool = False,
     ) -> None:
-        """`known_version`: what the process knows already, be it through others; -1 for nothing.
+        """Requests a first read; `run` makes it.
 
-        confirms_whole: whether a table read as a whole is to be confirmed by the feed at once.
+        known_version: returns the cached version, read here or received from a source; -1 for
+        none. post: runs a callback on the loop's thread. confirms_whole: whether the change feed
+        is queried without a wait after a read of the whole table, to confirm it.
         """
         self._wait_seconds = FIRST_WAIT_SECONDS
         self._confirms_whole = confirms_whole
@@ -71,7 +71,7 @@
         self._stopped = threading.Event()
         self._wanted = threading.Event()
         self._is_asked = True
-        """Whether a read was asked for, and not only the feed; so is the first one."""
+        """Whether a single read was requested; set initially for the first read."""
         self._is_reader = False
         self._newest = -1
         self._has_read_whole = False
@@ -80,7 +80,7 @@
         self._wanted.set()
 
     def set_reader(self, is_reader: bool) -> None:
-        """Follows the table from now on, or reads only when asked to."""
+        """Switches between polling the change feed and reading only on request."""
         self._is_reader = is_reader
         if is_reader:
             self._wanted.set()
@@ -88,21 +88,21 @@
             self._wanted.clear()
 
     def set_wait(self, seconds: float) -> None:
-        """Sets for how long later calls wait for a change."""
+        """Sets how many seconds later calls wait for a change."""
         self._wait_seconds = seconds
 
     def read_once(self) -> None:
-        """Has the table's changes read once, soon."""
+        """Requests one read of the table's changes."""
         self._is_asked = True
         self._wanted.set()
 
     def stop(self) -> None:
-        """Ends the watch after the call at hand."""
+        """Ends `run` after the call in progress."""
         self._stopped.set()
         self._wanted.set()
 
     def run(self) -> None:
-        """Reads the table once, then as `set_reader` tells. Runs on a thread of an executor."""
+        """Reads the table once, then as set by `set_reader`, until `stop`. Blocks its thread."""
         while not self._stopped.is_set():
             self._wanted.wait()
             if self._stopped.is_set():
@@ -146,8 +146,8 @@
         self._hand_over(TableDelta(answer.rows, answer.version, True), sent_at)
 
     def _read_changes(self) -> None:
-        # After a call that brought rows the table is confirmed as of the start of that call, which
-        # may have waited: the next asks at once, or all followers would come to doubt the table.
+        # A call that returned rows confirms the table only as of its start, which may be long ago.
+        # The next call therefore does not wait; else the confirmation would get too old.
         is_quick = self._failures > 0 or not self._is_reader or self._has_brought_rows
         is_quick = is_quick or (self._confirms_whole and self._has_read_whole)
         self._has_read_whole = False
@@ -155,7 +155,7 @@
         sent_at = time.monotonic()
         answer = self._store.watch_table(self._table, self._newest, wait)
         self._newest = max(self._newest, answer.version)
-        # An answer without rows was given when the wait was over, so it holds for that time.
+        # An answer without rows is sent when the wait is over, so the table was current then.
         true_at = sent_at if answer.rows else sent_at + min(wait, time.monotonic() - sent_at)
         self._hand_over(TableDelta(answer.rows, self._newest, False), true_at)
         self._has_brought_rows = bool(answer.rows)
--- a/src/dewledge/shell/shared/__init__.py
+++ b/src/dewledge/shell/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What both daemons share: the event loop, the HTTP server, sockets, frames, log lines."""
+"""Modules used by both daemons: event loop, HTTP server, sockets, frames, logging."""
--- a/src/dewledge/shell/shared/event_loop.py
+++ b/src/dewledge/shell/shared/event_loop.py
@@ -1,8 +1,7 @@
-"""One thread that waits for sockets, timers and completions from other threads.
+"""A single-threaded event loop for sockets, timers and callbacks posted by other threads.
 
-Everything that touches the decision core runs on this thread, so the core needs no lock. Threads
-of executors hand their results over with `post`; a sleeping loop is woken once for any number of
-posts, a busy one not at all.
+All code that uses the decision core runs on the loop's thread, so the core needs no lock. Executor
+threads pass their results with `post`, which wakes the loop only while it waits for events.
 """
 
 import contextlib
@@ -19,14 +18,14 @@
 WRITABLE = selectors.EVENT_WRITE
 
 MAX_SLEEP_SECONDS = 3600.0
-"""Of one wait for events where no timer is due."""
+"""Longest single wait for events."""
 
 SocketCallback = Callable[[int], None]
 Callback = Callable[[], None]
 
 
 class Timer:
-    """A callback that is due at a time; `cancel` makes it do nothing."""
+    """A callback scheduled for a time of the loop's clock; it can be cancelled."""
 
     __slots__ = ("callback", "due")
 
@@ -43,7 +42,7 @@
 
 
 class EventLoop:
-    """A selector loop with timers. All methods but `post` and `stop` belong to its own thread."""
+    """A selector loop with timers. All methods but `post` and `stop` run on its thread."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.now = clock
@@ -60,7 +59,7 @@
         self._selector.register(self._wake_reader, READABLE, self._drain_wakes)
 
     def watch(self, sock: socket.socket, events: int, callback: SocketCallback) -> None:
-        """Calls `callback(ready events)` whenever `sock` is ready; replaces an earlier watch."""
+        """Calls `callback(ready events)` whenever `sock` is ready; replaces a previous watch."""
         try:
             self._selector.modify(sock, events, callback)
         except KeyError:
@@ -78,11 +77,11 @@
         return timer
 
     def call_before_sleep(self, callback: Callback) -> None:
-        """Calls `callback` once, when the work at hand is done: the place to flush buffers."""
+        """Calls `callback` once before the loop next waits, for instance to flush buffers."""
         self._before_sleep.append(callback)
 
     def post(self, callback: Callback) -> None:
-        """Calls `callback` on the loop's thread soon. May be called from any thread."""
+        """Schedules `callback` on the loop's thread. May be called from any thread."""
         self._posted.append(callback)
         if self._asleep:
             self._wake()
@@ -94,17 +93,17 @@
         self.close()
 
     def stop(self) -> None:
-        """Ends `run` after the work at hand. May be called from any thread."""
+        """Ends `run` after the current iteration. May be called from any thread."""
         self.post(self._mark_stopping)
 
     def close(self) -> None:
-        """Gives up the loop's own resources; `run` does so at its end."""
+        """Closes the selector and the wake-up sockets; `run` does so at its end."""
         self._selector.close()
         self._wake_reader.close()
         self._wake_writer.close()
 
     def run_once(self) -> None:
-        """Waits once for anything to do, and does it."""
+        """Waits for events once and runs all callbacks that are ready or due."""
         for key, events in self._wait():
             self._call(key.data, events)
         self._run_due_timers()
@@ -112,7 +111,7 @@
         self._run_before_sleep()
 
     def _wait(self) -> list[tuple[selectors.SelectorKey, int]]:
-        # Threads look at `_asleep` after appending, so the flag goes up before the last look.
+        # `post` appends before it checks `_asleep`, so the flag is set before the queue is checked.
         self._asleep = True
         timeout = 0.0 if self._posted or self._before_sleep else self._seconds_until_timer()
         ready = self._selector.select(timeout)
@@ -146,11 +145,11 @@
 
     @property
     def event_time(self) -> float:
-        """When the callback that runs now began; outside of callbacks the present time."""
+        """The start time of the running callback; outside of callbacks the current time."""
         return self.now() if self._event_time is None else self._event_time
 
     def _call(self, callback: Callable[..., None], *arguments: int) -> None:
-        # One connection's fault must not end the process that serves all the others.
+        # An exception in one connection's callback must not stop the process.
         self._event_time = self.now()
         try:
             callback(*arguments)
--- a/src/dewledge/shell/shared/frames.py
+++ b/src/dewledge/shell/shared/frames.py
@@ -1,7 +1,7 @@
 """Frames on a link between processes: a 4-byte big-endian length, then one encoded message.
 
-An empty frame is a heartbeat: the side that dialled sends one when an answer is overdue, the
-other side returns it.
+An empty frame is a heartbeat: the connecting side sends one when an answer is overdue, and the
+accepting side returns it.
 """
 
 import struct
@@ -11,7 +11,7 @@
 _LENGTH = struct.Struct(">I")
 HEARTBEAT_FRAME = _LENGTH.pack(0)
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Of one message; a full configuration takes 2.1 MB of memory at the target size."""
+"""Maximum size of one encoded message."""
 
 
 def frame_of(body: bytes) -> bytes:
@@ -20,7 +20,7 @@
 
 
 class FrameReader:
-    """Cuts a link's bytes into frames."""
+    """Splits the byte stream of a link into frames."""
 
     __slots__ = ("_buffer",)
 
@@ -28,9 +28,9 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Returns the bodies of the frames that are now whole; b"" for a heartbeat.
+        """Adds received bytes and returns the bodies of complete frames, b"" for a heartbeat.
 
-        Raises ProtocolError for a frame that is longer than any message may be.
+        Raises ProtocolError for a frame over MAX_FRAME_BYTES.
         """
         self._buffer += data
         frames = []
@@ -38,7 +38,9 @@
         while len(self._buffer) - position >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(self._buffer, position)
             if length > MAX_FRAME_BYTES:
-                raise ProtocolError(f"a frame of {length} bytes is over {MAX_FRAME_BYTES}")
+                raise ProtocolError(
+                    f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+                )
             end = position + _LENGTH.size + length
             if end > len(self._buffer):
                 break
--- a/src/dewledge/shell/shared/http_connection.py
+++ b/src/dewledge/shell/shared/http_connection.py
@@ -1,8 +1,8 @@
-"""One caller's HTTP/1.1 connection: persistent, pipelining-safe, answered in order.
+"""One caller's HTTP/1.1 connection, persistent and with pipelined requests answered in order.
 
-After a fault in the bytes the connection answers what came before, then the fault, and closes:
-first its writing half, then, when the caller has had time to read, wholly, so that no reset
-overtakes an answer.
+After a malformed or oversized request the connection answers the earlier requests, then refuses
+that one and closes. It shuts down its writing side first and closes the socket after a delay, so
+that a TCP reset does not destroy an answer that the caller has not read.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 from dewledge.shell.shared.http_parser import RequestParser
 
 RECEIVE_BYTES = 32 * 1024
-"""Taken in one turn of the loop."""
+"""Maximum size of one read from the socket."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 REQUEST_TIMEOUT = 408
 NO_REQUEST = HttpRequest(method="GET", path="", keep_alive=False)
@@ -33,7 +33,7 @@
 
 
 class ConnectionState(Enum):
-    """OPEN takes requests; CLOSING only answers; LINGERING waits for the caller to hang up."""
+    """OPEN accepts requests; CLOSING only sends answers; LINGERING waits for the peer to close."""
 
     OPEN = 1
     CLOSING = 2
@@ -42,7 +42,7 @@
 
 
 class HttpConnection:
-    """The state of one caller's socket; all methods belong to the loop's thread."""
+    """Reads requests from one caller's socket and writes the answers, on the loop's thread."""
 
     __slots__ = (
         "_close_wanted",
@@ -91,28 +91,31 @@
 
     @property
     def in_flight(self) -> int:
-        """The requests taken from this connection whose answers have not left."""
+        """The number of requests accepted whose answers are not yet in the output buffer."""
         return len(self._exchanges)
 
-    # Called by the server that owns the connection.
+    # Called by the server.
 
     def want_close(self) -> None:
-        """Makes the next last answer also end the connection; an idle one stays open for it."""
+        """Closes the connection with the next answer that no further request follows.
+
+        An idle connection stays open until then.
+        """
         self._close_wanted = True
 
     def close_idle(self) -> None:
-        """Ends the connection if it is between requests."""
+        """Closes the connection if it has no request and no answer in progress."""
         if self.state is ConnectionState.OPEN and self._is_idle():
             self.state = ConnectionState.CLOSING
             self._plan_flush()
 
     def refuse(self, response: HttpResponse) -> None:
-        """Takes no request from the connection: answers `response` and closes."""
+        """Accepts no further requests; sends `response` after earlier answers and closes."""
         self.state = ConnectionState.CLOSING
         self._append_exchange(NO_REQUEST).respond(response)
 
     def check_time(self, now: float) -> None:
-        """Ends the connection if the caller was too slow; called every second or so."""
+        """Enforces the timeouts of the connection; called periodically by the server."""
         limits = self._limits
         if self.state is ConnectionState.LINGERING:
             if now >= self._linger_until:
@@ -127,7 +130,7 @@
             self.close_idle()
 
     def close(self) -> None:
-        """Closes at once; requests not yet answered are reported as gone."""
+        """Closes at once and calls `on_gone` of each request without an answer."""
         if self.state is ConnectionState.CLOSED:
             return
         self.state = ConnectionState.CLOSED
@@ -173,7 +176,7 @@
             self._plan_flush()
 
     def _take_requests(self) -> None:
-        """Hands over the requests that have a place free, then the fault if there is one."""
+        """Passes requests to the handler up to the in-flight limit, then refuses a faulty one."""
         waiting = self._parser.requests
         while waiting and self._may_take():
             request = waiting.popleft()
@@ -226,7 +229,7 @@
         self._update_watch()
 
     def _render_ready(self) -> list[bytes]:
-        """Takes the answers that are next in order."""
+        """Removes and renders the finished answers at the head of the queue."""
         parts = []
         while self._exchanges and self._exchanges[0].response is not None:
             exchange = self._exchanges.popleft()
@@ -242,7 +245,7 @@
         return not (self._exchanges or parser.requests or parser.receiving or parser.fault)
 
     def _send(self) -> bool:
-        """Sends what it can; returns False if the connection broke."""
+        """Sends as much as the socket accepts; returns False if the connection failed."""
         try:
             sent = self._socket.send(self._out)
         except BlockingIOError:
--- a/src/dewledge/shell/shared/http_messages.py
+++ b/src/dewledge/shell/shared/http_messages.py
@@ -1,7 +1,4 @@
-"""One HTTP request and the exchange that answers it.
-
-Owns the forms of answers and refusals; relies on `http_connection` to send them.
-"""
+"""HTTP requests, responses and JSON refusals; `http_connection` receives and sends them."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -17,14 +14,16 @@
 
 
 class HttpLimits(msgspec.Struct, frozen=True):
-    """What one caller's connection may ask of the process. Sizes in bytes, times in seconds.
+    """Limits of the HTTP server and of each connection. Sizes in bytes, times in seconds.
 
-    max_in_flight: pipelined requests of one connection that are being answered at once; further
-        ones wait unread.
+    max_in_flight: pipelined requests of one connection that are handled at the same time;
+        reading pauses beyond that.
+    max_connections: open connections of the server; further ones are refused.
     receive_seconds: from the first byte of a request to its last.
-    idle_seconds: between requests.
-    write_stall_seconds: how long a caller may leave its answer unread.
-    linger_seconds: how long a closing connection is read on, so that no reset destroys the answer.
+    idle_seconds: how long a connection may stay open without a request.
+    write_stall_seconds: how long sending may make no progress because the caller does not read.
+    linger_seconds: how long a closing connection is still read, so that no TCP reset destroys the
+        answer.
     """
 
     max_header_bytes: int = 16 * 1024
@@ -38,7 +37,7 @@
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """A whole request. `path` is without the query, `authorization` the header or None."""
+    """A complete request. `path` excludes the query; `authorization` is the header's value."""
 
     method: str
     path: str
@@ -49,7 +48,7 @@
 
 
 class HttpResponse(msgspec.Struct, frozen=True):
-    """An answer; the connection adds the length and whether it closes."""
+    """A response; `render` adds the Content-Length and Connection headers."""
 
     status: int
     body: bytes
@@ -58,7 +57,7 @@
 
 
 class FindingBody(msgspec.Struct, frozen=True):
-    """One finding in a JSON answer."""
+    """One finding in a JSON response."""
 
     place: str
     code: ErrorCode
@@ -66,7 +65,7 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The JSON body of an answer that the core has not made."""
+    """The JSON body of an error response made by the HTTP layer instead of the core."""
 
     outcome: str
     code: ErrorCode
@@ -86,27 +85,27 @@
     findings: tuple[Finding, ...] = (),
     headers: Headers = (),
 ) -> HttpResponse:
-    """Returns the answer that a request was not run, with a code and the findings, if any."""
+    """Returns an error response with outcome `not_run`, a code and any findings."""
     body = RefusalBody("not_run", code, message, finding_bodies(findings))
     return HttpResponse(status, msgspec.json.encode(body), JSON_TYPE, headers)
 
 
 def internal_fault() -> HttpResponse:
-    """Returns the answer after a fault of the proxy, which may have come after the sending."""
+    """Returns the response to an internal error; the statement may or may not have run."""
     body = RefusalBody("unknown", ErrorCode.INTERNAL, "a fault of the proxy")
     return HttpResponse(INTERNAL_SERVER_ERROR, msgspec.json.encode(body))
 
 
 def json_response(status: int, body: msgspec.Struct, headers: Headers = ()) -> HttpResponse:
-    """Returns an answer with the JSON form of `body`."""
+    """Returns a response with `body` encoded as JSON."""
     return HttpResponse(status, msgspec.json.encode(body), JSON_TYPE, headers)
 
 
 class Exchange:
-    """One request and the place of its answer in the connection's order.
+    """One request and the slot of its response in the connection's order.
 
-    `respond` is called once, on the loop's thread, at once or later; further calls do nothing.
-    `on_gone` is called if the caller's connection closes first.
+    The handler calls `respond` on the loop's thread; calls after the first do nothing. `on_gone` is
+    called if the connection closes before that.
     """
 
     __slots__ = ("_on_response", "on_gone", "request", "response")
@@ -118,7 +117,7 @@
         self._on_response = on_response
 
     def respond(self, response: HttpResponse) -> None:
-        """Gives the answer; it leaves once those before it on the connection have left."""
+        """Sets the response, which is sent after those of earlier requests of the connection."""
         if self.response is not None:
             return
         self.response = response
@@ -132,7 +131,7 @@
 
 
 def render(response: HttpResponse, close: bool, without_body: bool) -> bytes:
-    """Returns the bytes of a response."""
+    """Returns the encoded response, without its body for HEAD requests."""
     head = (
         f"{_STATUS_LINES[response.status]}"
         f"Content-Type: {response.content_type}\r\n"
--- a/src/dewledge/shell/shared/http_parser.py
+++ b/src/dewledge/shell/shared/http_parser.py
@@ -1,8 +1,7 @@
-"""Turns the bytes of one caller's connection into requests, within stated sizes.
+"""Parses the byte stream of one connection into HTTP requests and enforces size limits.
 
-The parsing itself is httptools'. Whole requests gather in `requests`; the first thing that is
-malformed or too large becomes `fault`, after which nothing more is parsed, since the place of the
-next request is no longer known.
+Uses httptools. Complete requests are queued in `requests`. The first malformed or oversized request
+sets `fault` and stops parsing, since the start of the next request is unknown.
 """
 
 from collections import deque
@@ -21,16 +20,16 @@
 
 
 class _StopParsing(Exception):
-    """Raised in a callback to make httptools return at once."""
+    """Raised in a callback to abort the call of httptools."""
 
 
 class RequestParser:
-    """The parsing state of one connection.
+    """Parses the requests of one connection.
 
-    requests: whole requests not yet taken, oldest first.
-    fault: the refusal that ends the connection, once there is one.
-    receiving: whether a request has begun and not ended.
-    wants_continue: whether the request being received waits for "100 Continue".
+    requests: complete requests not yet removed by the connection, oldest first.
+    fault: the refusal to send before the connection closes, None without an error.
+    receiving: whether a request is partially received.
+    wants_continue: whether the caller waits for "100 Continue" before it sends the body.
     """
 
     __slots__ = (
@@ -58,7 +57,7 @@
         self.receiving = False
 
     def feed(self, data: bytes) -> None:
-        """Parses the next bytes from the connection."""
+        """Parses the next bytes of the connection; ignores them after a fault."""
         if self.fault is not None:
             return
         was_receiving = self.receiving
@@ -71,7 +70,7 @@
         self._bound_unfinished_header(len(data) if same_message else 0)
 
     def _bound_unfinished_header(self, size: int) -> None:
-        # httptools gathers a long header line where the callbacks below do not see it.
+        # httptools buffers an incomplete header line, so the callbacks do not count its bytes.
         if not self.receiving or self._headers_done:
             self._unfinished_bytes = 0
             return
@@ -80,7 +79,7 @@
             self._header_too_large()
 
     def continue_sent(self) -> None:
-        """The caller has been told to go on; it is not told again."""
+        """Records that "100 Continue" was sent, so that it is not sent again."""
         self.wants_continue = False
 
     def _start(self) -> None:
@@ -114,16 +113,16 @@
     # The callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Starts a request."""
         self._start()
 
     def on_url(self, data: bytes) -> None:
-        """A part of the request target."""
+        """Adds a part of the request target."""
         self._target += data
         self._count_header(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A whole header line, or a trailer after a chunked body."""
+        """Checks a complete header line, or a trailer line after a chunked body."""
         self._count_header(len(name) + len(value) + HEADER_LINE_OVERHEAD)
         lowered = name.lower()
         if lowered == b"authorization":
@@ -139,18 +138,18 @@
             self.wants_continue = value.lower() == b"100-continue"
 
     def on_headers_complete(self) -> None:
-        """The header is whole."""
+        """Marks the header section as complete."""
         self._headers_done = True
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Adds a part of the body."""
         self.wants_continue = False
         self._body.append(data)
         if sum(map(len, self._body)) > self._limits.max_body_bytes:
             self._refuse_body()
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """Queues the completed request."""
         if self._parser.should_upgrade():
             self._set_fault(BAD_REQUEST, ErrorCode.MALFORMED_REQUEST, "no upgrade is offered")
             raise _StopParsing
--- a/src/dewledge/shell/shared/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -1,6 +1,6 @@
-"""Listens for HTTP callers and keeps their connections within the stated bounds.
+"""Accepts HTTP connections on one address and enforces their number and timeouts.
 
-Owns one listening address and its connections; `http_connection` reads and answers on each.
+`http_connection` reads requests and sends answers on each connection.
 """
 
 import contextlib
@@ -15,19 +15,19 @@
 from dewledge.shell.shared.sockets import accept_waiting, listen_tcp
 
 SWEEP_SECONDS = 1.0
-"""Between two looks at connections that are too slow."""
+"""Between two checks of the timeouts of all connections."""
 ACCEPT_BATCH = 64
-"""Connections accepted in one turn of the loop."""
+"""Connections accepted at most per event of the listener."""
 ACCEPT_PAUSE_SECONDS = 0.1
-"""After an accept that failed, as where descriptors are used up."""
+"""After a failed accept, for instance when file descriptors are exhausted."""
 SERVICE_UNAVAILABLE = 503
 
 
 class HttpServer:
-    """One listening address. All methods belong to the loop's thread once it runs."""
+    """An HTTP server on one address. All methods run on the loop's thread once the loop runs."""
 
     def __init__(self, loop: EventLoop, address: str, limits: HttpLimits, handler: Handler) -> None:
-        """Binds `address` ("ip:port", port 0 for any). Raises OSError if it cannot."""
+        """Binds `address` ("ip:port", port 0 for any free port). Raises OSError on failure."""
         self._loop = loop
         self._limits = limits
         self._handler = handler
@@ -39,34 +39,34 @@
 
     @property
     def connection_count(self) -> int:
-        """The callers' connections that are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     @property
     def in_flight(self) -> int:
-        """The requests taken whose answers have not left."""
+        """The number of requests in flight on all connections."""
         return sum(connection.in_flight for connection in self._connections)
 
     def start(self) -> None:
-        """Starts to accept connections."""
+        """Starts accepting connections and checking timeouts."""
         self._loop.watch(self._listener, READABLE, self._accept)
         self._sweep_timer = self._loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def leave(self) -> None:
-        """Ends each connection with its next answer; new connections are still answered."""
+        """Closes each connection with its next answer; still accepts new connections."""
         self._leaving = True
         for connection in self._connections:
             connection.want_close()
 
     def close_idle(self) -> None:
-        """Accepts no more, and ends the connections that are between requests."""
+        """Stops listening and closes idle connections."""
         self._loop.unwatch(self._listener)
         self._listener.close()
         for connection in list(self._connections):
             connection.close_idle()
 
     def close(self) -> None:
-        """Closes everything at once."""
+        """Closes the listener and all connections at once."""
         self.close_idle()
         for connection in list(self._connections):
             connection.close()
@@ -110,7 +110,7 @@
 
     def _sweep(self) -> None:
         now = self._loop.now()
-        # After a freeze callers are not late: what they have sent just waits to be read.
+        # After a stall of the process, unread data may be waiting, so timeouts are not checked.
         was_held_up = now - self._last_sweep > 2 * SWEEP_SECONDS
         self._last_sweep = now
         if not was_held_up:
--- a/src/dewledge/shell/shared/log.py
+++ b/src/dewledge/shell/shared/log.py
@@ -1,4 +1,4 @@
-"""The log: one line of key=value pairs for each event, through loguru."""
+"""Logging through loguru, with one line of key=value pairs per event."""
 
 import json
 import sys
@@ -14,7 +14,7 @@
 
 
 def format_value(value: object) -> str:
-    """Returns a value as it stands after "=": quoted unless it is a plain word or number."""
+    """Returns the text of a value, as a JSON string unless it is a plain word or number."""
     text = "" if value is None else str(value)
     if text and _PLAIN.issuperset(text):
         return text
@@ -22,7 +22,7 @@
 
 
 def format_line(record: "Record") -> str:
-    """Returns the line of one event, without line end."""
+    """Returns the log line of one event without a newline."""
     fields: dict[str, object] = {
         "time": record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f%z"),
         "level": record["level"].name.lower(),
@@ -37,7 +37,7 @@
 
 
 def configure_log(level: str, stream: TextIO | None = None) -> None:
-    """Sends events of at least `level` to `stream` (standard error), one line each."""
+    """Writes events of at least `level` to `stream`, by default standard error."""
     target = stream or sys.stderr
 
     def write(message: "Message") -> None:
--- a/src/dewledge/shell/shared/sockets.py
+++ b/src/dewledge/shell/shared/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets by "ip:port" addresses: how they are opened, accepted and set to notice silence."""
+"""Opens, accepts and configures sockets; parses and formats "ip:port" addresses."""
 
 import contextlib
 import socket
@@ -7,14 +7,14 @@
 import msgspec
 
 LISTEN_BACKLOG = 1024
-"""Connections that wait to be accepted."""
+"""Connections that may wait to be accepted."""
 
 
 class KeepAlive(msgspec.Struct, frozen=True):
-    """When the system probes a connection on which nothing comes, and gives it up.
+    """TCP keep-alive parameters of a connection.
 
-    idle_seconds: without a byte until the first probe. interval_seconds: between two probes.
-    probes: so many without an answer end the connection.
+    idle_seconds: time without received data before the first probe. interval_seconds: between two
+    probes. probes: number of unanswered probes after which the connection is closed.
     """
 
     idle_seconds: int
@@ -23,38 +23,38 @@
 
 
 BETWEEN_PROXIES = KeepAlive(idle_seconds=5, interval_seconds=2, probes=3)
-"""A dead peer is noticed after 11 s at most."""
+"""Detects a dead peer after 11 s: idle time plus three probe intervals."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
     """Splits "ip:port", or "[ip6]:port".
 
-    Raises ValueError if it is not of that form.
+    Raises ValueError if the address does not have that form.
     """
     host, separator, port = address.rpartition(":")
     if not separator:
-        raise ValueError(f"{address!r} is not ip:port")
+        raise ValueError(f"address {address!r} does not have the form ip:port")
     return host.strip("[]"), int(port)
 
 
 def format_address(host: str, port: int) -> str:
-    """Returns "ip:port", the opposite of `parse_address`."""
+    """Returns "ip:port" or "[ip6]:port", the inverse of `parse_address`."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 def family_of(host: str) -> socket.AddressFamily:
-    """Returns the address family of an IP number."""
+    """Returns the address family of an IP address."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 def bound_address(sock: socket.socket) -> str:
-    """Returns the address a socket is bound to, with the real port."""
+    """Returns the address that a socket is bound to, with the actual port."""
     host, port = sock.getsockname()[:2]
     return format_address(host, port)
 
 
 def listen_tcp(address: str) -> tuple[socket.socket, str]:
-    """Returns a non-blocking listening socket and its address with the real port.
+    """Returns a non-blocking listening socket and its address with the actual port.
 
     Raises OSError if the address cannot be bound.
     """
@@ -72,7 +72,7 @@
 
 
 def bind_udp(address: str) -> tuple[socket.socket, str]:
-    """Returns a non-blocking datagram socket and its address with the real port.
+    """Returns a non-blocking UDP socket and its address with the actual port.
 
     Raises OSError if the address cannot be bound.
     """
@@ -90,9 +90,9 @@
 def accept_waiting(
     listener: socket.socket, most: int, taken: Callable[[socket.socket], None]
 ) -> OSError | None:
-    """Has `taken` called with each connection that waits, `most` at a time.
+    """Accepts up to `most` pending connections and calls `taken` with each.
 
-    Returns the error if accepting failed.
+    Returns the error of a failed accept, else None.
     """
     for _ in range(most):
         try:
@@ -106,7 +106,7 @@
 
 
 def tune_link(sock: socket.socket, keepalive: KeepAlive = BETWEEN_PROXIES) -> None:
-    """Sets a connection to send at once and to notice a dead peer."""
+    """Disables Nagle's algorithm and enables TCP keep-alive; ignores unsupported options."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/tests/shell/test_table_follower.py
+++ b/tests/shell/test_table_follower.py
@@ -1,4 +1,4 @@
-"""A process that follows tables comes back to a source that was gone, without any statement."""
+"""A table follower reconnects to a source that was unreachable, without any statement traffic."""
 
 import time
 import unittest
@@ -18,12 +18,12 @@
 from dewledge.shell.shared.sockets import bound_address, listen_tcp
 
 PATIENCE_SECONDS = 6.0
-"""The longest pause between two dials of one that is not there is 2.5 s."""
+"""Above the longest pause between connection attempts to an unreachable peer, 2.5 s."""
 HOLD_SECONDS = 0.2
 
 
 class Source:
-    """Answers questions for changes with young word after a while, as a publisher does."""
+    """Answers follow requests after a hold, with a recent confirmation, as a publisher does."""
 
     def __init__(self, loop: EventLoop, address: str) -> None:
         self.questions = 0
@@ -57,7 +57,7 @@
         return TablesAnswered(number, (news,), HOLD_SECONDS)
 
 
-class SourcesThatWereNotThereTest(unittest.TestCase):
+class UnreachableSourcesTest(unittest.TestCase):
     def setUp(self) -> None:
         self.loop = EventLoop()
         self.addCleanup(self.loop.close)
@@ -87,7 +87,7 @@
             self.loop.call_later(0.005, lambda: None)
             self.loop.run_once()
 
-    def test_it_follows_them_once_they_are_there_and_reads_the_store_no_more(self) -> None:
+    def test_follower_stops_reading_the_store_once_sources_are_reachable(self) -> None:
         self.follower.follow(self.addresses)
         self.run_for(2.5)
         self.assertGreater(self.reads, 0)
