--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -53,9 +53,9 @@
         self._lacks_removals = False
         """Whether cached rows were removed from the store and it is not known which."""
         self._packed: dict[str, StoreRow] = {}
-        self._confirmed = confirmed
-        self._snapshot = snapshot
-        self._changed = changed
+        self._on_confirmed = confirmed
+        self._on_snapshot = snapshot
+        self._on_changed = changed
 
     @property
     def version(self) -> int:
@@ -75,9 +75,9 @@
     @property
     def is_confirmed_by_feed(self) -> bool:
         """Whether only the change feed confirms the table, not a read of the whole table."""
-        return self._confirmed is not None
+        return self._on_confirmed is not None
 
-    def is_doubtful(self, now: float) -> bool:
+    def is_stale(self, now: float) -> bool:
         """Returns whether the last confirmation is too old: a change may have been missed."""
         return now > self.confirmed_at + self.wait_seconds + FOLLOWED_SLACK_SECONDS
 
@@ -86,7 +86,7 @@
         if delta.version < self._cache.version:
             return False
         is_news = bool(delta.rows) or not self._cache.is_known
-        if self._confirmed is None or not delta.is_whole:
+        if self._on_confirmed is None or not delta.is_whole:
             # Set before the callbacks run, as they may read the time of the last confirmation.
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
         if is_news:
@@ -96,13 +96,13 @@
         if delta.is_whole:
             self._lacks_removals = False
             self._cache.replace(delta.rows, delta.version)
-            self._snapshot(delta.rows, delta.version)
+            self._on_snapshot(delta.rows, delta.version)
         else:
             self._cache.update(delta.rows, delta.version)
             if delta.rows:
-                self._changed(delta.rows, delta.version)
-            if self._confirmed is not None:
-                self._confirmed(self.confirmed_at)
+                self._on_changed(delta.rows, delta.version)
+            if self._on_confirmed is not None:
+                self._on_confirmed(self.confirmed_at)
         return is_news
 
     def has_changed_after(self, version: int) -> bool:
@@ -142,12 +142,12 @@
 
     def _pack(self, row: StoreRow) -> StoreRow:
         """Returns a row as sent to followers; a large value is compressed once and cached."""
-        known = self._packed.get(row.key)
-        if known is None or known.version != row.version:
-            known = _with_value(row, pack_value(row.value))
+        cached = self._packed.get(row.key)
+        if cached is None or cached.version != row.version:
+            cached = _with_value(row, pack_value(row.value))
             if len(row.value) >= LEAST_COMPRESSED_BYTES:
-                self._packed[row.key] = known
-        return known
+                self._packed[row.key] = cached
+        return cached
 
 
 def _with_value(row: StoreRow, value: bytes) -> StoreRow:
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -29,7 +29,7 @@
 connections leaves enough for processes that started earlier."""
 
 
-class _Outcome(Enum):
+class _WriteOutcome(Enum):
     """Outcome of one attempt to write this process's row.
 
     REFUSED: the row was not written. IN_DOUBT: it may have been, so it must be read back.
@@ -44,13 +44,13 @@
     """The registered processes by name, always including this one."""
 
     def __init__(self, own_name: str, own: Member, store: CoordinationStore) -> None:
-        self._own_name = own_name
-        self._own = own
+        self._local_name = own_name
+        self._local_member = own
         self._store = store
         self.members: dict[str, Member] = {own_name: own}
         self._key = MEMBER_PREFIX + own_name
         self._value = encode_value(own)
-        self._own_row: StoreRow | None = None
+        self._local_row: StoreRow | None = None
         self._is_registering = False
         self.is_known = False
         """Whether the table was read; until then `count` is ASSUMED_MEMBERS."""
@@ -63,7 +63,7 @@
     @property
     def is_registered(self) -> bool:
         """Whether the table holds this process's row with its current value."""
-        return self._own_row is not None and self._own_row.value == self._value
+        return self._local_row is not None and self._local_row.value == self._value
 
     @property
     def count(self) -> int:
@@ -73,16 +73,16 @@
     def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
         """Applies the whole table, removing processes without a row. Returns as `take_rows`."""
         before = self._localities()
-        self.members = {self._own_name: self._own}
-        self._own_row = None
-        return self._take(rows, before)
+        self.members = {self._local_name: self._local_member}
+        self._local_row = None
+        return self._apply_rows(rows, before)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> bool:
         """Applies changed rows; returns whether an address or zone changed, or the first was read.
 
         A process that restarts with the same address and zone does not count as a change.
         """
-        return self._take(rows, self._localities())
+        return self._apply_rows(rows, self._localities())
 
     def _localities(self) -> Mapping[str, tuple[str, str]] | None:
         """Returns the address and zone of each process, None before the table is known."""
@@ -90,19 +90,21 @@
             return None
         return {name: (each.peer_address, each.zone) for name, each in self.members.items()}
 
-    def _take(self, rows: Sequence[StoreRow], before: Mapping[str, tuple[str, str]] | None) -> bool:
+    def _apply_rows(
+        self, rows: Sequence[StoreRow], before: Mapping[str, tuple[str, str]] | None
+    ) -> bool:
         self.is_known = True
         for row in rows:
             if not row.key.startswith(MEMBER_PREFIX):
                 continue
             if row.key == self._key:
-                self._own_row = None if row.gone else row
+                self._local_row = None if row.gone else row
                 self._is_registering = False
             name = row.key.removeprefix(MEMBER_PREFIX)
             member = None if row.gone else read_member(row)
             if member is not None:
                 self.members[name] = member
-            elif name != self._own_name:
+            elif name != self._local_name:
                 self.members.pop(name, None)
         return self._localities() != before
 
@@ -111,29 +113,29 @@
         if self._is_registering or self.is_registered:
             return
         self._is_registering = True
-        expected = 0 if self._own_row is None else self._own_row.version
+        expected = 0 if self._local_row is None else self._local_row.version
         executor.submit(self._register, expected, is_stopped)
 
     def _register(self, expected: int, is_stopped: Callable[[], bool]) -> None:
         """Writes this process's row, with retries. Runs on the executor."""
         while expected >= 0 and not is_stopped():
             outcome = self._try_to_register(expected)
-            if outcome is _Outcome.DONE:
+            if outcome is _WriteOutcome.DONE:
                 break
             time.sleep(RETRY_SECONDS * random.uniform(0.7, 1.3))
-            if outcome is _Outcome.IN_DOUBT:
+            if outcome is _WriteOutcome.IN_DOUBT:
                 expected = self._read_back(expected)
         # `take_rows` clears the flag of the write in progress once the row is seen.
 
-    def _try_to_register(self, expected: int) -> "_Outcome":
+    def _try_to_register(self, expected: int) -> "_WriteOutcome":
         try:
             self._store.write(StoreWrite(TABLE, self._key, self._value, expected))
         except (StoreConditionFailed, StoreOutcomeUnknown):
-            return _Outcome.IN_DOUBT
+            return _WriteOutcome.IN_DOUBT
         except StoreError:
-            return _Outcome.REFUSED
-        logger.bind(name=self._own_name).info("member_registered")
-        return _Outcome.DONE
+            return _WriteOutcome.REFUSED
+        logger.bind(name=self._local_name).info("member_registered")
+        return _WriteOutcome.DONE
 
     def _read_back(self, expected: int) -> int:
         """Returns the version to expect in the next write, -1 if the row is already correct."""
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -26,27 +26,27 @@
 from dewledge.shell.pooler.tables.followed_table import FollowedTable
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
-ANSWER_LIMIT_SECONDS = 1.1
+ANSWER_TIMEOUT_SECONDS = 1.1
 """Without an answer; longer than a source holds a request (HOLD_SECONDS of the publisher)."""
-ANSWER_GAP_SECONDS = 0.5
+MAX_ANSWER_GAP_SECONDS = 0.5
 """Between two received pieces of one answer; a longer gap counts as no answer."""
-LONGEST_ANSWER_SECONDS = 4.0
+MAX_ANSWER_SECONDS = 4.0
 """For an answer that is still being received. Large enough for a slow link that several followers
 share: asking another source during the transfer would send the same large change twice."""
-PAUSE_SECONDS = 0.3
+MAX_SWITCH_PAUSE_SECONDS = 0.3
 """Maximum pause before the next source is asked; randomised."""
-WITHHELD_SPREAD_SECONDS = 0.2
+MAX_WITHHELD_DELAY_SECONDS = 0.2
 """Maximum random delay before a large change is read from the store, to spread the reads."""
 WITHHELD_PAUSE_SECONDS = 0.5
 """Before the source is asked again after it withheld a large change."""
-TAKE_LARGE_SECONDS = 1.5
+LARGE_CHANGE_TIMEOUT_SECONDS = 1.5
 """After this, a large change that could not be read from the store is requested from the source."""
-DOUBT_TICK_SECONDS = 0.2
+CONFIRMATION_CHECK_INTERVAL_SECONDS = 0.2
 """Between two checks of the age of the confirmations."""
-OWN_READ_SECONDS = 0.5
+MIN_STORE_READ_INTERVAL_SECONDS = 0.5
 """Minimum mean interval between two reads of the store by this process while a table's confirmation
 is too old."""
-OWN_READS_PER_SECOND = 100.0
+MAX_STORE_READS_PER_SECOND = 100.0
 """Upper bound on reads of one table by all processes together."""
 
 
@@ -78,15 +78,15 @@
         self._changed = changed
         self._count_members = count_members
         self._sources: Sequence[str] = ()
-        self._numbers = itertools.count(1)
-        self._number = 0
-        self._asked_at = 0.0
+        self._request_numbers = itertools.count(1)
+        self._pending_number = 0
         self._sent_at = 0.0
+        self._requested_at = 0.0
         """When the request was handed to the link, which may first have to connect."""
-        self._asked: OutgoingLink | None = None
-        self._timer: Timer | None = None
-        self._not_before = 0.0
-        self._doubt_timer: Timer | None = None
+        self._pending_link: OutgoingLink | None = None
+        self._request_timer: Timer | None = None
+        self._next_store_read_at = 0.0
+        self._confirmation_timer: Timer | None = None
         self._withheld_since = math.inf
         links.add_user(self)
 
@@ -103,76 +103,78 @@
         if set(sources) == set(self._sources):
             return
         self._sources = tuple(sources)
-        self._number = 0
+        self._pending_number = 0
         logger.bind(source=self.source, sources=len(self._sources)).info("tables_followed")
-        self._schedule(0.0)
-        self._watch_doubt()
+        self._schedule_request(0.0)
+        self._watch_confirmations()
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
         """Applies the answer to the request in flight; ignores all other messages."""
-        if isinstance(message, TablesAnswered) and message.number == self._number:
-            self._number = 0
-            self._take(message)
+        if isinstance(message, TablesAnswered) and message.number == self._pending_number:
+            self._pending_number = 0
+            self._apply_answer(message)
 
     def link_lost(self, link: OutgoingLink) -> None:
         """Switches to the next source if the request in flight was sent on `link`."""
-        if self._number and link is self._asked:
-            self._leave_source("link_lost")
+        if self._pending_number and link is self._pending_link:
+            self._abandon_request("link_lost")
 
     def link_retiring(self, link: OutgoingLink) -> None:
         """Does nothing: the request in flight ends with its answer or its timeout."""
 
-    def _watch_doubt(self) -> None:
+    def _watch_confirmations(self) -> None:
         """Checks confirmations periodically: they may expire while a source holds the request."""
-        if self._doubt_timer is not None:
-            self._doubt_timer.cancel()
-            self._doubt_timer = None
+        if self._confirmation_timer is not None:
+            self._confirmation_timer.cancel()
+            self._confirmation_timer = None
         if self._sources:
-            self._read_if_doubtful()
-            self._doubt_timer = self._loop.call_later(DOUBT_TICK_SECONDS, self._watch_doubt)
+            self._read_stale_tables()
+            self._confirmation_timer = self._loop.call_later(
+                CONFIRMATION_CHECK_INTERVAL_SECONDS, self._watch_confirmations
+            )
 
-    def _schedule(self, delay: float) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+    def _schedule_request(self, delay: float) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
         if self._sources:
-            self._timer = self._loop.call_later(delay, self._ask)
+            self._request_timer = self._loop.call_later(delay, self._send_request)
 
-    def _ask(self) -> None:
-        self._timer = None
-        self._read_if_doubtful()
+    def _send_request(self) -> None:
+        self._request_timer = None
+        self._read_stale_tables()
         link = self._links.to(self.source)
         if not link.is_usable:
             # If no statement uses this link, nothing else detects that the peer is reachable again.
             link.probe()
-            self._next_source("not_usable")
+            self._switch_source("not_usable")
             return
-        number = next(self._numbers)
-        self._number = number
-        self._asked = link
-        self._sent_at = self._loop.now()
-        self._timer = self._loop.call_later(ANSWER_LIMIT_SECONDS, self._unanswered)
+        number = next(self._request_numbers)
+        self._pending_number = number
+        self._pending_link = link
+        self._requested_at = self._loop.now()
+        self._request_timer = self._loop.call_later(ANSWER_TIMEOUT_SECONDS, self._on_answer_timeout)
 
         def send() -> None:
-            if self._number == number:
-                self._asked_at = self._loop.now()
-                takes_large = self._loop.now() > self._withheld_since + TAKE_LARGE_SECONDS
+            if self._pending_number == number:
+                self._sent_at = self._loop.now()
+                takes_large = self._loop.now() > self._withheld_since + LARGE_CHANGE_TIMEOUT_SECONDS
                 link.send(FollowTables(number, self._positions(), takes_large, True))
 
         def fail() -> None:
-            if self._number == number:
-                self._leave_source("unreachable")
+            if self._pending_number == number:
+                self._abandon_request("unreachable")
 
         link.when_open(send, fail)
 
     def _positions(self) -> tuple[TablePosition, ...]:
         return tuple(TablePosition(name, table.asked_after) for name, table in self._tables.items())
 
-    def _take(self, answer: TablesAnswered) -> None:
-        before = self._newest_confirmations()
+    def _apply_answer(self, answer: TablesAnswered) -> None:
+        before = self._confirmation_times()
         # A lower bound: the source received the request after it was sent and held it this long.
-        answered_at = self._asked_at + answer.held_seconds
-        is_news = False
+        answered_at = self._sent_at + answer.held_seconds
+        has_changed = False
         withheld: list[str] = []
         for news in answer.news:
             table = self._tables.get(news.table)
@@ -181,21 +183,21 @@
             if news.is_withheld:
                 withheld.append(news.table)
             else:
-                is_news |= self._take_table(table, news, answered_at)
-        if is_news or self._newest_confirmations() != before:
+                has_changed |= self._apply_news(table, news, answered_at)
+        if has_changed or self._confirmation_times() != before:
             self._changed()
         if withheld:
             self._read_withheld(withheld)
-        elif self._is_doubtful():
-            self._next_source("word_too_old")
+        elif self._has_stale_table():
+            self._switch_source("word_too_old")
         else:
             self._withheld_since = math.inf
-            self._schedule(0.0)
+            self._schedule_request(0.0)
 
-    def _newest_confirmations(self) -> tuple[float, ...]:
+    def _confirmation_times(self) -> tuple[float, ...]:
         return tuple(table.confirmed_at for table in self._tables.values())
 
-    def _take_table(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
+    def _apply_news(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
         try:
             return table.take_news(news, answered_at)
         except ProtocolError as error:
@@ -209,45 +211,49 @@
         if self._withheld_since == math.inf:
             self._withheld_since = self._loop.now()
         for name in tables:
-            delay = random.uniform(0.0, WITHHELD_SPREAD_SECONDS)
+            delay = random.uniform(0.0, MAX_WITHHELD_DELAY_SECONDS)
             self._loop.call_later(delay, lambda name=name: self._read_store(name))  # type: ignore[misc]
-        self._schedule(WITHHELD_PAUSE_SECONDS)
+        self._schedule_request(WITHHELD_PAUSE_SECONDS)
 
-    def _is_doubtful(self) -> bool:
+    def _has_stale_table(self) -> bool:
         now = self._loop.now()
-        return any(table.is_doubtful(now) for table in self._tables.values())
+        return any(table.is_stale(now) for table in self._tables.values())
 
-    def _unanswered(self) -> None:
+    def _on_answer_timeout(self) -> None:
         now = self._loop.now()
-        link = self._asked
-        is_coming = link is not None and now < link.heard_at + ANSWER_GAP_SECONDS
-        if is_coming and now < self._sent_at + LONGEST_ANSWER_SECONDS:
-            self._timer = self._loop.call_later(ANSWER_GAP_SECONDS / 2, self._unanswered)
+        link = self._pending_link
+        is_receiving = link is not None and now < link.heard_at + MAX_ANSWER_GAP_SECONDS
+        if is_receiving and now < self._requested_at + MAX_ANSWER_SECONDS:
+            self._request_timer = self._loop.call_later(
+                MAX_ANSWER_GAP_SECONDS / 2, self._on_answer_timeout
+            )
             return
-        self._leave_source("silent")
+        self._abandon_request("silent")
 
-    def _leave_source(self, reason: str) -> None:
-        self._number = 0
-        self._next_source(reason)
+    def _abandon_request(self, reason: str) -> None:
+        self._pending_number = 0
+        self._switch_source(reason)
 
-    def _next_source(self, reason: str) -> None:
+    def _switch_source(self, reason: str) -> None:
         before = self.source
         self._sources = (*self._sources[1:], *self._sources[:1])
         logger.bind(source=before, next=self.source, reason=reason).info("source_left")
-        self._schedule(PAUSE_SECONDS * random.uniform(0.5, 1.0))
-        self._read_if_doubtful()
+        self._schedule_request(MAX_SWITCH_PAUSE_SECONDS * random.uniform(0.5, 1.0))
+        self._read_stale_tables()
 
-    def _read_if_doubtful(self) -> None:
+    def _read_stale_tables(self) -> None:
         """Schedules reads of the tables whose confirmation is too old, within the rate limit.
 
         A table that was never read is left out: its watcher is reading it and retries failures.
         """
         now = self._loop.now()
         known = {name: table for name, table in self._tables.items() if table.is_known}
-        doubtful = [name for name, table in known.items() if table.is_doubtful(now)]
-        if not doubtful or now < self._not_before:
+        stale = [name for name, table in known.items() if table.is_stale(now)]
+        if not stale or now < self._next_store_read_at:
             return
-        wait = max(OWN_READ_SECONDS, self._count_members() / OWN_READS_PER_SECOND)
-        self._not_before = now + wait * random.uniform(0.7, 1.3)
-        for name in doubtful:
+        wait = max(
+            MIN_STORE_READ_INTERVAL_SECONDS, self._count_members() / MAX_STORE_READS_PER_SECOND
+        )
+        self._next_store_read_at = now + wait * random.uniform(0.7, 1.3)
+        for name in stale:
             self._read_store(name)
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -26,9 +26,9 @@
 from dewledge.shell.pooler.tables.table_watcher import TableWatcher
 from dewledge.shell.shared.event_loop import EventLoop
 
-LONGEST_WAIT_SECONDS = 2.0
+MAX_WAIT_SECONDS = 2.0
 """Default for how long a reader's call to the store waits for a change."""
-WAIT_SHARE_OF_BOUND = 0.4
+WAIT_TO_BOUND_RATIO = 0.4
 """Ratio of a store call's wait to the configuration's propagation bound; the rest leaves time to
 detect a call that the store never answers."""
 URGENT_WAIT_SECONDS = 1.0
@@ -63,9 +63,9 @@
         """Starts without tables; see `add`. members_table: the table with a row per process."""
         self._loop = loop
         self._members_table = members_table
-        self._own_name = settings.name
+        self._local_name = settings.name
         self._regions = settings.zones
-        self._read_by_all_wait = _wait_where_all_read(settings)
+        self._wait_when_all_read = _compute_wait_when_all_read(settings)
         self._calls = calls
         self._members = members
         self._tables: dict[str, FollowedTable] = {}
@@ -76,18 +76,18 @@
             links,
             self._tables,
             self._read_store,
-            self._publisher.tell_followers,
+            self._publisher.answer_held_requests,
             lambda: members.count,
         )
         self._plan = ReadingPlan(True)
-        self._starts_until = math.inf
+        self._startup_ends_at = math.inf
 
     def add(
         self,
         name: str,
         snapshot: RowsCallback,
         changed: RowsCallback,
-        wait: float = LONGEST_WAIT_SECONDS,
+        wait: float = MAX_WAIT_SECONDS,
         confirmed: Callable[[float], None] | None = None,
     ) -> None:
         """Adds a table: `snapshot` receives the whole table, `changed` the rows of later changes.
@@ -96,25 +96,25 @@
         """
         table = FollowedTable(name, wait, snapshot, changed, confirmed)
 
-        def taken(delta: TableDelta, true_at: float) -> None:
+        def on_delta(delta: TableDelta, confirmed_at: float) -> None:
             before = table.confirmed_at
-            if table.take(delta, true_at) or table.confirmed_at > before:
-                self._publisher.tell_followers()
+            if table.take(delta, confirmed_at) or table.confirmed_at > before:
+                self._publisher.answer_held_requests()
 
         self._tables[name] = table
         self._watchers[name] = TableWatcher(
             self._calls.store,
             name,
             lambda: table.version,
-            taken,
+            on_delta,
             self._loop.post,
             confirms_whole=confirmed is not None,
         )
 
     def start(self) -> None:
         """Starts to read the store: until the members are known there is no source to follow."""
-        self._starts_until = self._loop.now() + START_SECONDS
-        self._loop.call_later(START_SECONDS, self._end_of_start)
+        self._startup_ends_at = self._loop.now() + START_SECONDS
+        self._loop.call_later(START_SECONDS, self._on_startup_ended)
         for watcher in self._watchers.values():
             self._calls.executor.submit(watcher.run)
 
@@ -126,12 +126,12 @@
 
     def take_question(self, link: IncomingLink, question: FollowTables) -> None:
         """Answers a process that follows this one."""
-        self._publisher.take_question(link, question)
+        self._publisher.handle_request(link, question)
 
     def members_changed(self) -> None:
         """Recomputes whether this process reads the store or which sources it follows."""
         members = self._members.members
-        plan = reading_plan(self._own_name, members, self._region_of)
+        plan = reading_plan(self._local_name, members, self._region_of)
         if plan != self._plan:
             self._plan = plan
             logger.bind(reads=plan.is_reader, sources=",".join(plan.sources)).info(
@@ -139,22 +139,22 @@
             )
         addresses = [members[name].peer_address for name in plan.sources if name in members]
         is_read_by_all = len(members) <= MOST_READING_ALL
-        is_alone = plan.is_reader or not addresses
+        reads_store = plan.is_reader or not addresses
         for name, watcher in self._watchers.items():
             shared_wait = self._tables[name].wait_seconds
-            longest = self._read_by_all_wait if is_read_by_all else shared_wait
+            wait_seconds = self._wait_when_all_read if is_read_by_all else shared_wait
             is_confirmed = self._tables[name].is_confirmed_by_feed
-            watcher.set_wait(min(longest, shared_wait) if is_confirmed else longest)
-            waits = is_read_by_all and name != self._members_table and self._is_starting
-            watcher.set_reader(is_alone and not waits)
-        self._follower.follow([] if is_alone else addresses)
+            watcher.set_wait(min(wait_seconds, shared_wait) if is_confirmed else wait_seconds)
+            is_deferred = is_read_by_all and name != self._members_table and self._is_starting_up
+            watcher.set_reader(reads_store and not is_deferred)
+        self._follower.follow([] if reads_store else addresses)
 
     @property
-    def _is_starting(self) -> bool:
-        return self._loop.now() < self._starts_until
+    def _is_starting_up(self) -> bool:
+        return self._loop.now() < self._startup_ends_at
 
-    def _end_of_start(self) -> None:
-        self._starts_until = self._loop.now()
+    def _on_startup_ended(self) -> None:
+        self._startup_ends_at = self._loop.now()
         if self._members.is_known:
             self.members_changed()
 
@@ -169,7 +169,7 @@
         self._watchers[table].read_once()
 
 
-def _wait_where_all_read(settings: PoolerSettings) -> float:
+def _compute_wait_when_all_read(settings: PoolerSettings) -> float:
     """Returns the wait in seconds of a store call when every process reads all tables."""
     bound = settings.timings.configuration_bound
-    return min(LONGEST_WAIT_SECONDS, bound * WAIT_SHARE_OF_BOUND)
+    return min(MAX_WAIT_SECONDS, bound * WAIT_TO_BOUND_RATIO)
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -19,23 +19,23 @@
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.errors import StoreError
 
-FIRST_WAIT_SECONDS = 2.0
+DEFAULT_WAIT_SECONDS = 2.0
 """Initial wait for a change, until `set_wait` is called. A call that the store never answers is
 detected within this plus the call's timeout."""
-RETRY_SECONDS = 0.4
+RETRY_PAUSE_SECONDS = 0.4
 """Maximum pause after the first failed call; grows linearly with further failures."""
-LONGEST_RETRY_SECONDS = 1.5
+MAX_RETRY_PAUSE_SECONDS = 1.5
 """Upper limit of the pause after failed calls."""
-STALE_PAUSE_SECONDS = 0.2
+STALE_READ_PAUSE_SECONDS = 0.2
 """After a read that returned an older version than is already known."""
-FIRST_READ_LIMIT_SECONDS = 0.5
+FIRST_READ_TIMEOUT_SECONDS = 0.5
 """Timeout of a read of the whole table before any version of it is known."""
 FIRST_READ_PAUSE_SECONDS = 0.15
 """Maximum pause after a failed first read; short, as a process cannot serve without the table."""
-SPACING_SECONDS = 0.1
+FEED_PAUSE_SECONDS = 0.1
 """Between two calls of the change feed after one that returned rows, to batch changes."""
 
-TakenCallback = Callable[[TableDelta, float], None]
+DeltaCallback = Callable[[TableDelta, float], None]
 """Receives a delta and a time at which it was known to be current (monotonic clock, seconds)."""
 
 
@@ -51,7 +51,7 @@
         store: CoordinationStore,
         table: str,
         known_version: Callable[[], int],
-        taken: TakenCallback,
+        taken: DeltaCallback,
         post: Callable[[Callable[[], None]], None],
         confirms_whole: bool = False,
     ) -> None:
@@ -61,31 +61,31 @@
         none. post: runs a callback on the loop's thread. confirms_whole: whether the change feed
         is queried without a wait after a read of the whole table, to confirm it.
         """
-        self._wait_seconds = FIRST_WAIT_SECONDS
+        self._wait_seconds = DEFAULT_WAIT_SECONDS
         self._confirms_whole = confirms_whole
         self._store = store
         self._table = table
         self._known_version = known_version
-        self._taken = taken
+        self._on_delta = taken
         self._post = post
         self._stopped = threading.Event()
-        self._wanted = threading.Event()
-        self._is_asked = True
+        self._wake_up = threading.Event()
+        self._is_read_requested = True
         """Whether a single read was requested; set initially for the first read."""
         self._is_reader = False
-        self._newest = -1
+        self._newest_version = -1
         self._has_read_whole = False
-        self._has_brought_rows = False
+        self._last_call_had_rows = False
         self._failures = 0
-        self._wanted.set()
+        self._wake_up.set()
 
     def set_reader(self, is_reader: bool) -> None:
         """Switches between polling the change feed and reading only on request."""
         self._is_reader = is_reader
         if is_reader:
-            self._wanted.set()
-        elif not self._is_asked and not self._stopped.is_set():
-            self._wanted.clear()
+            self._wake_up.set()
+        elif not self._is_read_requested and not self._stopped.is_set():
+            self._wake_up.clear()
 
     def set_wait(self, seconds: float) -> None:
         """Sets how many seconds later calls wait for a change."""
@@ -93,35 +93,35 @@
 
     def read_once(self) -> None:
         """Requests one read of the table's changes."""
-        self._is_asked = True
-        self._wanted.set()
+        self._is_read_requested = True
+        self._wake_up.set()
 
     def stop(self) -> None:
         """Ends `run` after the call in progress."""
         self._stopped.set()
-        self._wanted.set()
+        self._wake_up.set()
 
     def run(self) -> None:
         """Reads the table once, then as set by `set_reader`, until `stop`. Blocks its thread."""
         while not self._stopped.is_set():
-            self._wanted.wait()
+            self._wake_up.wait()
             if self._stopped.is_set():
                 return
-            self._is_asked = False
+            self._is_read_requested = False
             if not self._is_reader:
-                self._wanted.clear()
+                self._wake_up.clear()
             self._read()
 
     def _read(self) -> None:
-        self._newest = max(self._newest, self._known_version())
+        self._newest_version = max(self._newest_version, self._known_version())
         try:
-            if self._newest < 0:
+            if self._newest_version < 0:
                 self._read_whole()
             else:
                 self._read_changes()
-            self._regained()
+            self._record_success()
         except HistoryLost:
-            logger.bind(table=self._table, after=self._newest).info("store_history_lost")
+            logger.bind(table=self._table, after=self._newest_version).info("store_history_lost")
             self._read_whole_after_loss()
         except StoreError as error:
             self._pause_after(error)
@@ -129,55 +129,55 @@
     def _read_whole_after_loss(self) -> None:
         try:
             self._read_whole()
-            self._regained()
+            self._record_success()
         except StoreError as error:
             self._pause_after(error)
 
     def _read_whole(self) -> None:
-        limit = FIRST_READ_LIMIT_SECONDS if self._newest < 0 else CALL_LIMIT_SECONDS
+        limit = FIRST_READ_TIMEOUT_SECONDS if self._newest_version < 0 else CALL_LIMIT_SECONDS
         sent_at = time.monotonic()
         answer = self._store.read_table(self._table, limit)
-        while answer.version < self._newest and not self._stopped.is_set():
-            time.sleep(STALE_PAUSE_SECONDS)
+        while answer.version < self._newest_version and not self._stopped.is_set():
+            time.sleep(STALE_READ_PAUSE_SECONDS)
             sent_at = time.monotonic()
             answer = self._store.read_table(self._table)
-        self._newest = answer.version
+        self._newest_version = answer.version
         self._has_read_whole = True
-        self._hand_over(TableDelta(answer.rows, answer.version, True), sent_at)
+        self._post_delta(TableDelta(answer.rows, answer.version, True), sent_at)
 
     def _read_changes(self) -> None:
         # A call that returned rows confirms the table only as of its start, which may be long ago.
         # The next call therefore does not wait; else the confirmation would get too old.
-        is_quick = self._failures > 0 or not self._is_reader or self._has_brought_rows
-        is_quick = is_quick or (self._confirms_whole and self._has_read_whole)
+        skips_wait = self._failures > 0 or not self._is_reader or self._last_call_had_rows
+        skips_wait = skips_wait or (self._confirms_whole and self._has_read_whole)
         self._has_read_whole = False
-        wait = 0.0 if is_quick else self._wait_seconds
+        wait = 0.0 if skips_wait else self._wait_seconds
         sent_at = time.monotonic()
-        answer = self._store.watch_table(self._table, self._newest, wait)
-        self._newest = max(self._newest, answer.version)
+        answer = self._store.watch_table(self._table, self._newest_version, wait)
+        self._newest_version = max(self._newest_version, answer.version)
         # An answer without rows is sent when the wait is over, so the table was current then.
-        true_at = sent_at if answer.rows else sent_at + min(wait, time.monotonic() - sent_at)
-        self._hand_over(TableDelta(answer.rows, self._newest, False), true_at)
-        self._has_brought_rows = bool(answer.rows)
+        confirmed_at = sent_at if answer.rows else sent_at + min(wait, time.monotonic() - sent_at)
+        self._post_delta(TableDelta(answer.rows, self._newest_version, False), confirmed_at)
+        self._last_call_had_rows = bool(answer.rows)
         if answer.rows:
-            self._stopped.wait(SPACING_SECONDS)
+            self._stopped.wait(FEED_PAUSE_SECONDS)
 
-    def _hand_over(self, delta: TableDelta, true_at: float) -> None:
-        self._post(lambda: self._taken(delta, true_at))
+    def _post_delta(self, delta: TableDelta, confirmed_at: float) -> None:
+        self._post(lambda: self._on_delta(delta, confirmed_at))
 
     def _pause_after(self, error: StoreError) -> None:
         self._failures += 1
         if self._failures == 1:
             logger.bind(table=self._table, error=error.message).warning("store_lost")
-        if not self._is_reader and self._newest >= 0:
+        if not self._is_reader and self._newest_version >= 0:
             return
         self.read_once()
-        longest = min(RETRY_SECONDS * self._failures, LONGEST_RETRY_SECONDS)
-        if self._newest < 0:
-            longest = FIRST_READ_PAUSE_SECONDS
-        self._stopped.wait(longest * random.uniform(0.5, 1.0))
+        max_pause = min(RETRY_PAUSE_SECONDS * self._failures, MAX_RETRY_PAUSE_SECONDS)
+        if self._newest_version < 0:
+            max_pause = FIRST_READ_PAUSE_SECONDS
+        self._stopped.wait(max_pause * random.uniform(0.5, 1.0))
 
-    def _regained(self) -> None:
+    def _record_success(self) -> None:
         if self._failures:
             logger.bind(table=self._table, failures=self._failures).info("store_regained")
         self._failures = 0
--- a/src/dewledge/shell/shared/http_connection.py
+++ b/src/dewledge/shell/shared/http_connection.py
@@ -45,7 +45,7 @@
     """Reads requests from one caller's socket and writes the answers, on the loop's thread."""
 
     __slots__ = (
-        "_close_wanted",
+        "_closes_after_next_answer",
         "_exchanges",
         "_flush_planned",
         "_handler",
@@ -80,7 +80,7 @@
         self._exchanges: deque[Exchange] = deque()
         self._out = b""
         self._flush_planned = False
-        self._close_wanted = False
+        self._closes_after_next_answer = False
         self._idle_since = loop.now()
         self._receiving_since: float | None = None
         self._stalled_since: float | None = None
@@ -96,12 +96,12 @@
 
     # Called by the server.
 
-    def want_close(self) -> None:
+    def close_after_next_answer(self) -> None:
         """Closes the connection with the next answer that no further request follows.
 
         An idle connection stays open until then.
         """
-        self._close_wanted = True
+        self._closes_after_next_answer = True
 
     def close_idle(self) -> None:
         """Closes the connection if it has no request and no answer in progress."""
@@ -162,10 +162,10 @@
             self.close()
         elif self.state is ConnectionState.OPEN:
             self._parser.feed(data)
-            self._note_receiving()
-            self._take_requests()
+            self._update_receiving()
+            self._dispatch_requests()
 
-    def _note_receiving(self) -> None:
+    def _update_receiving(self) -> None:
         if not self._parser.receiving:
             self._receiving_since = None
         elif self._receiving_since is None or self._parser.requests:
@@ -175,10 +175,10 @@
             self._out = CONTINUE
             self._plan_flush()
 
-    def _take_requests(self) -> None:
+    def _dispatch_requests(self) -> None:
         """Passes requests to the handler up to the in-flight limit, then refuses a faulty one."""
         waiting = self._parser.requests
-        while waiting and self._may_take():
+        while waiting and self._can_accept_request():
             request = waiting.popleft()
             if not request.keep_alive:
                 self.state = ConnectionState.CLOSING
@@ -188,7 +188,7 @@
             self.refuse(fault)
         self._update_watch()
 
-    def _may_take(self) -> bool:
+    def _can_accept_request(self) -> bool:
         if self.state is not ConnectionState.OPEN or self._stalled_since is not None:
             return False
         return len(self._exchanges) < self._limits.max_in_flight
@@ -223,7 +223,7 @@
             self._start_lingering()
             return
         if self._parser.requests or self._parser.fault is not None:
-            self._take_requests()
+            self._dispatch_requests()
         if not self._exchanges:
             self._idle_since = self._loop.now()
         self._update_watch()
@@ -234,7 +234,7 @@
         while self._exchanges and self._exchanges[0].response is not None:
             exchange = self._exchanges.popleft()
             assert exchange.response is not None
-            if self._close_wanted and self._is_last():
+            if self._closes_after_next_answer and self._is_last():
                 self.state = ConnectionState.CLOSING
             close = self.state is ConnectionState.CLOSING and not self._exchanges
             parts.append(render(exchange.response, close, exchange.request.method == "HEAD"))
@@ -270,7 +270,7 @@
     def _update_watch(self) -> None:
         if self.state is ConnectionState.CLOSED:
             return
-        paused = self.state is ConnectionState.OPEN and not self._may_take()
+        paused = self.state is ConnectionState.OPEN and not self._can_accept_request()
         wanted = 0 if paused else READABLE
         if self._out:
             wanted |= WRITABLE
--- a/src/dewledge/shell/shared/http_parser.py
+++ b/src/dewledge/shell/shared/http_parser.py
@@ -61,15 +61,15 @@
         if self.fault is not None:
             return
         was_receiving = self.receiving
-        already_whole = len(self.requests)
+        completed_before = len(self.requests)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._set_fault(BAD_REQUEST, ErrorCode.MALFORMED_REQUEST, f"not HTTP/1.1: {error}")
-        same_message = was_receiving and len(self.requests) == already_whole
-        self._bound_unfinished_header(len(data) if same_message else 0)
+        same_message = was_receiving and len(self.requests) == completed_before
+        self._limit_unfinished_header(len(data) if same_message else 0)
 
-    def _bound_unfinished_header(self, size: int) -> None:
+    def _limit_unfinished_header(self, size: int) -> None:
         # httptools buffers an incomplete header line, so the callbacks do not count its bytes.
         if not self.receiving or self._headers_done:
             self._unfinished_bytes = 0
--- a/src/dewledge/shell/shared/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -56,7 +56,7 @@
         """Closes each connection with its next answer; still accepts new connections."""
         self._leaving = True
         for connection in self._connections:
-            connection.want_close()
+            connection.close_after_next_answer()
 
     def close_idle(self) -> None:
         """Stops listening and closes idle connections."""
@@ -106,14 +106,14 @@
                 )
             )
         elif self._leaving:
-            connection.want_close()
+            connection.close_after_next_answer()
 
     def _sweep(self) -> None:
         now = self._loop.now()
         # After a stall of the process, unread data may be waiting, so timeouts are not checked.
-        was_held_up = now - self._last_sweep > 2 * SWEEP_SECONDS
+        was_stalled = now - self._last_sweep > 2 * SWEEP_SECONDS
         self._last_sweep = now
-        if not was_held_up:
+        if not was_stalled:
             for connection in list(self._connections):
                 connection.check_time(now)
         self._sweep_timer = self._loop.call_later(SWEEP_SECONDS, self._sweep)
--- a/src/dewledge/shell/shared/log.py
+++ b/src/dewledge/shell/shared/log.py
@@ -27,12 +27,12 @@
         "time": record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f%z"),
         "level": record["level"].name.lower(),
         "event": record["message"],
-        **_public(record["extra"]),
+        **_without_none(record["extra"]),
     }
     exception = record["exception"]
     if exception is not None:
         fields["error"] = repr(exception.value)
-        fields["at"] = _place(exception.traceback)
+        fields["at"] = _error_location(exception.traceback)
     return " ".join(f"{name}={format_value(value)}" for name, value in fields.items())
 
 
@@ -48,16 +48,16 @@
     logger.add(write, level=level, format="{message}", catch=True)
 
 
-def _public(extra: Mapping[str, object]) -> dict[str, object]:
+def _without_none(extra: Mapping[str, object]) -> dict[str, object]:
     return {name: value for name, value in extra.items() if value is not None}
 
 
-def _place(traceback: object) -> str:
+def _error_location(traceback: object) -> str:
     """Returns "file:line" of the innermost frame."""
-    place = ""
+    location = ""
     while traceback is not None:
         frame = getattr(traceback, "tb_frame", None)
         if frame is not None:
-            place = f"{frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}"  # type: ignore[attr-defined]
+            location = f"{frame.f_code.co_filename.rpartition('/')[2]}:{traceback.tb_lineno}"  # type: ignore[attr-defined]
         traceback = getattr(traceback, "tb_next", None)
-    return place
+    return location
--- a/src/dewledge/shell/shared/sockets.py
+++ b/src/dewledge/shell/shared/sockets.py
@@ -88,20 +88,20 @@
 
 
 def accept_waiting(
-    listener: socket.socket, most: int, taken: Callable[[socket.socket], None]
+    listener: socket.socket, max_count: int, on_accepted: Callable[[socket.socket], None]
 ) -> OSError | None:
-    """Accepts up to `most` pending connections and calls `taken` with each.
+    """Accepts up to `max_count` pending connections and calls `on_accepted` with each.
 
     Returns the error of a failed accept, else None.
     """
-    for _ in range(most):
+    for _ in range(max_count):
         try:
             sock, _ = listener.accept()
         except BlockingIOError:
             return None
         except OSError as error:
             return error
-        taken(sock)
+        on_accepted(sock)
     return None
 
 
--- a/tests/platform/test_table_publisher.py
+++ b/tests/platform/test_table_publisher.py
@@ -8,9 +8,9 @@
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.shell.pooler.tables.followed_table import FollowedTable
 from dewledge.shell.pooler.tables.table_follower import (
-    ANSWER_GAP_SECONDS,
-    ANSWER_LIMIT_SECONDS,
-    LONGEST_ANSWER_SECONDS,
+    ANSWER_TIMEOUT_SECONDS,
+    MAX_ANSWER_GAP_SECONDS,
+    MAX_ANSWER_SECONDS,
     TableFollower,
 )
 from dewledge.shell.pooler.tables.table_publisher import HOLD_SECONDS, TablePublisher
@@ -111,21 +111,21 @@
             self.scheduler.advance(0.1)
 
     def test_a_source_whose_answer_goes_on_coming_is_not_asked_elsewhere(self) -> None:
-        self.wait(LONGEST_ANSWER_SECONDS - 0.5, hears=True)
+        self.wait(MAX_ANSWER_SECONDS - 0.5, hears=True)
         self.assertEqual(self.follower.source, "first")
         self.assertEqual(len(self.link.sent), 1)
 
     def test_one_that_never_comes_to_an_end_is_left(self) -> None:
-        self.wait(LONGEST_ANSWER_SECONDS + 0.5, hears=True)
+        self.wait(MAX_ANSWER_SECONDS + 0.5, hears=True)
         self.assertEqual(self.follower.source, "second")
 
     def test_one_of_which_nothing_more_comes_is_left_soon(self) -> None:
         self.wait(2.0, hears=True)
-        self.wait(ANSWER_GAP_SECONDS + 0.5, hears=False)
+        self.wait(MAX_ANSWER_GAP_SECONDS + 0.5, hears=False)
         self.assertEqual(self.follower.source, "second")
 
     def test_one_that_says_nothing_is_left_as_before(self) -> None:
-        self.wait(ANSWER_LIMIT_SECONDS + 0.1, hears=False)
+        self.wait(ANSWER_TIMEOUT_SECONDS + 0.1, hears=False)
         self.assertEqual(self.follower.source, "second")
 
 
@@ -137,11 +137,11 @@
         self.table.take(TableDelta((StoreRow("k", b"v", 5),), 5, True), self.scheduler.now())
         self.publisher = TablePublisher(loop, {"op": self.table})
         self.link: Any = Link()
-        self.publisher.take_question(self.link, FollowTables(1, (TablePosition("op", 5),)))
+        self.publisher.handle_request(self.link, FollowTables(1, (TablePosition("op", 5),)))
 
     def confirm(self) -> None:
         self.table.take(TableDelta((), 5, False), self.scheduler.now())
-        self.publisher.tell_followers()
+        self.publisher.answer_held_requests()
 
     def test_younger_word_is_told_at_once_with_the_time_that_the_question_stood(self) -> None:
         self.scheduler.advance(0.5)
@@ -157,9 +157,9 @@
         self.confirm()
         self.assertEqual(len(self.link.sent), 1)
         question = FollowTables(2, (TablePosition("op", 5),))
-        self.publisher.take_question(self.link, question)
+        self.publisher.handle_request(self.link, question)
         self.assertAlmostEqual(self.link.sent[-1].news[0].age_seconds, 0.0)
-        self.publisher.take_question(self.link, question)
+        self.publisher.handle_request(self.link, question)
         self.assertEqual(len(self.link.sent), 2, "the same word is not told again at once")
 
     def test_without_any_the_question_is_answered_in_the_end(self) -> None:
@@ -187,10 +187,12 @@
         asked_at = self.scheduler.now()
         question = link.sent[-1]
         publisher = TablePublisher(loop, {"op": self.table})
-        publisher.take_question(self.link, FollowTables(question.number, (TablePosition("op", 5),)))
+        publisher.handle_request(
+            self.link, FollowTables(question.number, (TablePosition("op", 5),))
+        )
         self.scheduler.advance(0.5)
         self.table.take(TableDelta((), 5, False), self.scheduler.now())
-        publisher.tell_followers()
+        publisher.answer_held_requests()
         answer = self.link.sent[-1]
         assert isinstance(answer, TablesAnswered)
         self.scheduler.advance(0.2)
