--- a/src/dewledge/shell/pooler/tables/coordination_rows.py
+++ b/src/dewledge/shell/pooler/tables/coordination_rows.py
@@ -1,4 +1,4 @@
-"""Rows that the proxies keep in the store: members, claims on groups, known claims.
+"""Rows that the proxies keep in the store: members, claims on groups, acknowledged claims.
 
 Values are CBOR. Processes of other releases read the same rows, so the table's name, the key
 prefixes and the fields of the values are a stored format.
@@ -33,7 +33,10 @@
 
 
 class KnownValue(msgspec.Struct, frozen=True):
-    """The newest claim known to a process, stored for processes that cannot reach it."""
+    """The stored value of a process's acknowledgement of a claim on a group.
+
+    token: the fencing token of the acknowledged claim.
+    """
 
     process: str
     group: str
@@ -67,7 +70,7 @@
 
 
 def read_known(row: StoreRow) -> KnownValue | None:
-    """Returns the known claim that a row describes, None if the value cannot be decoded."""
+    """Returns the acknowledgement that a row describes, None if it cannot be decoded."""
     return _decode(row, KnownValue)
 
 
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -43,13 +43,13 @@
 class MemberTable:
     """The registered processes by name, always including this one."""
 
-    def __init__(self, own_name: str, own: Member, store: CoordinationStore) -> None:
-        self._local_name = own_name
-        self._local_member = own
+    def __init__(self, local_name: str, local_member: Member, store: CoordinationStore) -> None:
+        self._local_name = local_name
+        self._local_member = local_member
         self._store = store
-        self.members: dict[str, Member] = {own_name: own}
-        self._key = MEMBER_PREFIX + own_name
-        self._value = encode_value(own)
+        self.members: dict[str, Member] = {local_name: local_member}
+        self._key = MEMBER_PREFIX + local_name
+        self._value = encode_value(local_member)
         self._local_row: StoreRow | None = None
         self._is_registering = False
         self.is_known = False
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -247,8 +247,8 @@
         A table that was never read is left out: its watcher is reading it and retries failures.
         """
         now = self._loop.now()
-        known = {name: table for name, table in self._tables.items() if table.is_known}
-        stale = [name for name, table in known.items() if table.is_stale(now)]
+        loaded = {name: table for name, table in self._tables.items() if table.is_known}
+        stale = [name for name, table in loaded.items() if table.is_stale(now)]
         if not stale or now < self._next_store_read_at:
             return
         wait = max(
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -40,7 +40,7 @@
 
 
 class TableWatcher:
-    """Calls `taken` on the loop with the whole table first, then with later changes.
+    """Calls `on_delta` on the loop with the whole table first, then with later changes.
 
     A read of the whole table that returns an older version than one known is repeated, since the
     store may answer from a stale replica.
@@ -51,7 +51,7 @@
         store: CoordinationStore,
         table: str,
         known_version: Callable[[], int],
-        taken: DeltaCallback,
+        on_delta: DeltaCallback,
         post: Callable[[Callable[[], None]], None],
         confirms_whole: bool = False,
     ) -> None:
@@ -66,7 +66,7 @@
         self._store = store
         self._table = table
         self._known_version = known_version
-        self._on_delta = taken
+        self._on_delta = on_delta
         self._post = post
         self._stopped = threading.Event()
         self._wake_up = threading.Event()
--- a/src/dewledge/shell/shared/http_parser.py
+++ b/src/dewledge/shell/shared/http_parser.py
@@ -15,7 +15,7 @@
 PAYLOAD_TOO_LARGE = 413
 HEADER_TOO_LARGE = 431
 
-HEADER_LINE_OVERHEAD = 4
+HEADER_LINE_OVERHEAD_BYTES = 4
 """Bytes of a header line besides name and value: colon, space, carriage return, line feed."""
 
 
@@ -123,7 +123,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Checks a complete header line, or a trailer line after a chunked body."""
-        self._count_header(len(name) + len(value) + HEADER_LINE_OVERHEAD)
+        self._count_header(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES)
         lowered = name.lower()
         if lowered == b"authorization":
             if self._authorization is not None:
