--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -98,7 +98,7 @@
     def follow(self, sources: Sequence[str]) -> None:
         """Follows the processes at these addresses, one at a time, starting with the first.
 
-        An empty sequence stops following.
+        The same addresses in another order change nothing. An empty sequence stops following.
         """
         if set(sources) == set(self._sources):
             return
