--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -82,7 +82,10 @@
         return now > self.confirmed_at + self.wait_seconds + FOLLOWED_SLACK_SECONDS
 
     def take(self, delta: TableDelta, confirmed_at: float) -> bool:
-        """Applies a delta from the store or a source; returns whether it changed the table."""
+        """Applies a delta from the store or a source.
+
+        Returns whether it had rows or was the first one; an older version than cached is ignored.
+        """
         if delta.version < self._cache.version:
             return False
         is_news = bool(delta.rows) or not self._cache.is_known
@@ -128,7 +131,7 @@
     def take_news(self, news: TableNews, answered_at: float) -> bool:
         """Applies a source's answer, sent at `answered_at` or later.
 
-        Returns whether it changed the table. Raises ProtocolError if a value cannot be unpacked.
+        Returns as `take`. Raises ProtocolError if a value cannot be unpacked.
         """
         rows = tuple(_with_value(row, unpack_value(row.value)) for row in news.delta.rows)
         delta = msgspec.structs.replace(news.delta, rows=rows)
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -1,7 +1,7 @@
 """The processes registered in the store, and the registration of this process.
 
-The write of this process's row is retried until the row is seen in the store's table. Rows must be
-applied in the order of their versions.
+A failed write of this process's row is retried; `register_if_missing` writes the row again if the
+store's table shows that it is missing or differs. Rows must be applied in the order of versions.
 """
 
 import random
@@ -125,7 +125,7 @@
             time.sleep(RETRY_SECONDS * random.uniform(0.7, 1.3))
             if outcome is _WriteOutcome.IN_DOUBT:
                 expected = self._read_back(expected)
-        # `take_rows` clears the flag of the write in progress once the row is seen.
+        # `_apply_rows` clears `_is_registering` once it sees the row.
 
     def _try_to_register(self, expected: int) -> "_WriteOutcome":
         try:
