--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -1,7 +1,7 @@
-"""The processes that registered themselves in the store, and the own registration.
+"""The processes registered in the store, and the registration of this process.
 
-Owns what is known of the members and the own row; the row is written again until the store's table
-shows it. Relies on the store's rows being taken here in their order.
+A failed write of this process's row is retried; `register_if_missing` writes the row again if the
+store's table shows that it is missing or differs. Rows must be applied in the order of versions.
 """
 
 import random
@@ -23,14 +23,17 @@
 )
 
 RETRY_SECONDS = 0.5
-"""Mean pause after a write that failed; drawn anew each time."""
+"""Mean pause after a failed write; randomised."""
 ASSUMED_MEMBERS = 12
-"""Processes, before the table is known: a share of a database's connections that leaves room for
-those that came earlier."""
+"""Processes assumed before the table is known, so that this process's part of a database's
+connections leaves enough for processes that started earlier."""
 
 
-class _Outcome(Enum):
-    """Of a try to write the own row. REFUSED: nothing was done, so there is nothing to be read."""
+class _WriteOutcome(Enum):
+    """Outcome of one attempt to write this process's row.
+
+    REFUSED: the row was not written. IN_DOUBT: it may have been, so it must be read back.
+    """
 
     DONE = auto()
     REFUSED = auto()
@@ -38,19 +41,19 @@
 
 
 class MemberTable:
-    """The processes by name, as the store's rows tell."""
+    """The registered processes by name, always including this one."""
 
-    def __init__(self, own_name: str, own: Member, store: CoordinationStore) -> None:
-        self._own_name = own_name
-        self._own = own
+    def __init__(self, local_name: str, local_member: Member, store: CoordinationStore) -> None:
+        self._local_name = local_name
+        self._local_member = local_member
         self._store = store
-        self.members: dict[str, Member] = {own_name: own}
-        self._key = MEMBER_PREFIX + own_name
-        self._value = encode_value(own)
-        self._own_row: StoreRow | None = None
+        self.members: dict[str, Member] = {local_name: local_member}
+        self._key = MEMBER_PREFIX + local_name
+        self._value = encode_value(local_member)
+        self._local_row: StoreRow | None = None
         self._is_registering = False
         self.is_known = False
-        """Whether the table was read; before, ASSUMED_MEMBERS share the databases."""
+        """Whether the table was read; until then `count` is ASSUMED_MEMBERS."""
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -59,27 +62,27 @@
 
     @property
     def is_registered(self) -> bool:
-        """Whether the table holds the own row of this start."""
-        return self._own_row is not None and self._own_row.value == self._value
+        """Whether the table holds this process's row with its current value."""
+        return self._local_row is not None and self._local_row.value == self._value
 
     @property
     def count(self) -> int:
-        """How many processes share the databases."""
+        """The number of processes that share the databases."""
         return len(self.members) if self.is_known else ASSUMED_MEMBERS
 
     def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes the whole table: a process without a row has gone. Returns as `take_rows`."""
+        """Applies the whole table, removing processes without a row. Returns as `take_rows`."""
         before = self._localities()
-        self.members = {self._own_name: self._own}
-        self._own_row = None
-        return self._take(rows, before)
+        self.members = {self._local_name: self._local_member}
+        self._local_row = None
+        return self._apply_rows(rows, before)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> bool:
-        """Takes rows of the store; returns whether any address or zone changed, or became known.
+        """Applies changed rows; returns whether an address or zone changed, or the first was read.
 
-        A process that starts again where it was changes nothing for the others.
+        A process that restarts with the same address and zone does not count as a change.
         """
-        return self._take(rows, self._localities())
+        return self._apply_rows(rows, self._localities())
 
     def _localities(self) -> Mapping[str, tuple[str, str]] | None:
         """Returns the address and zone of each process, None before the table is known."""
@@ -87,53 +90,55 @@
             return None
         return {name: (each.peer_address, each.zone) for name, each in self.members.items()}
 
-    def _take(self, rows: Sequence[StoreRow], before: Mapping[str, tuple[str, str]] | None) -> bool:
+    def _apply_rows(
+        self, rows: Sequence[StoreRow], before: Mapping[str, tuple[str, str]] | None
+    ) -> bool:
         self.is_known = True
         for row in rows:
             if not row.key.startswith(MEMBER_PREFIX):
                 continue
             if row.key == self._key:
-                self._own_row = None if row.gone else row
+                self._local_row = None if row.gone else row
                 self._is_registering = False
             name = row.key.removeprefix(MEMBER_PREFIX)
             member = None if row.gone else read_member(row)
             if member is not None:
                 self.members[name] = member
-            elif name != self._own_name:
+            elif name != self._local_name:
                 self.members.pop(name, None)
         return self._localities() != before
 
     def register_if_missing(self, executor: Executor, is_stopped: Callable[[], bool]) -> None:
-        """Has the own row written unless the table holds it, or it is being written."""
+        """Starts a write of this process's row unless it is stored or being written."""
         if self._is_registering or self.is_registered:
             return
         self._is_registering = True
-        expected = 0 if self._own_row is None else self._own_row.version
+        expected = 0 if self._local_row is None else self._local_row.version
         executor.submit(self._register, expected, is_stopped)
 
     def _register(self, expected: int, is_stopped: Callable[[], bool]) -> None:
-        """Writes the own row. Runs on the executor."""
+        """Writes this process's row, with retries. Runs on the executor."""
         while expected >= 0 and not is_stopped():
             outcome = self._try_to_register(expected)
-            if outcome is _Outcome.DONE:
+            if outcome is _WriteOutcome.DONE:
                 break
             time.sleep(RETRY_SECONDS * random.uniform(0.7, 1.3))
-            if outcome is _Outcome.IN_DOUBT:
+            if outcome is _WriteOutcome.IN_DOUBT:
                 expected = self._read_back(expected)
-        # The row itself, once it is seen, tells whether there is anything left to do.
+        # `_apply_rows` clears `_is_registering` once it sees the row.
 
-    def _try_to_register(self, expected: int) -> "_Outcome":
+    def _try_to_register(self, expected: int) -> "_WriteOutcome":
         try:
             self._store.write(StoreWrite(TABLE, self._key, self._value, expected))
         except (StoreConditionFailed, StoreOutcomeUnknown):
-            return _Outcome.IN_DOUBT
+            return _WriteOutcome.IN_DOUBT
         except StoreError:
-            return _Outcome.REFUSED
-        logger.bind(name=self._own_name).info("member_registered")
-        return _Outcome.DONE
+            return _WriteOutcome.REFUSED
+        logger.bind(name=self._local_name).info("member_registered")
+        return _WriteOutcome.DONE
 
     def _read_back(self, expected: int) -> int:
-        """Returns the version of the own row, -1 if it holds what it should."""
+        """Returns the version to expect in the next write, -1 if the row is already correct."""
         try:
             row = self._store.read_row(TABLE, self._key)
         except StoreError:
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -1,10 +1,9 @@
-"""Learns the store's tables from another process, and doubts it in time.
+"""Long-polls another process (the source) for changes of the store's tables.
 
-One question at a time goes to a source; its answer says how long ago the tables were surely the
-newest. What this process knows is at most as old as that, counted from the sending of its question.
-A source that is silent, or whose own confirmation is too old, is left for the next; when none has a
-young one, the store is read by this process itself. Owns the order of the sources and the question
-under way; relies on `followed_table` for what is known and when it is doubtful.
+One request is in flight at a time. Each answer carries the age of the source's last confirmation
+that a table was current; this process adds no more than the time since it sent the request. If the
+source does not answer, or its confirmation is too old, the follower switches to the next source.
+While a table's confirmation is too old, this process also reads the store itself.
 """
 
 import itertools
@@ -27,33 +26,35 @@
 from dewledge.shell.pooler.tables.followed_table import FollowedTable
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
-ANSWER_LIMIT_SECONDS = 1.1
-"""A source holds a question for less; a silent one is given up after this."""
-ANSWER_GAP_SECONDS = 0.5
-"""Between two pieces of an answer that goes on coming."""
-LONGEST_ANSWER_SECONDS = 4.0
-"""For an answer that goes on coming, without a gap: eight followers that lack a configuration of
-128 KB, packed, fill a link of 5 Mbit/s for 1.6 s, with other tables and traffic beside it for some
-times that. Asked elsewhere meanwhile, all sources would send it to all."""
-PAUSE_SECONDS = 0.3
-"""At most, before the next source is asked; drawn anew each time."""
-WITHHELD_SPREAD_SECONDS = 0.2
-"""Over which followers spread their reads of a large change."""
+ANSWER_TIMEOUT_SECONDS = 1.1
+"""Without an answer; longer than a source holds a request (HOLD_SECONDS of the publisher)."""
+MAX_ANSWER_GAP_SECONDS = 0.5
+"""Between two received pieces of one answer; a longer gap counts as no answer."""
+MAX_ANSWER_SECONDS = 4.0
+"""For an answer that is still being received. Large enough for a slow link that several followers
+share: asking another source during the transfer would send the same large change twice."""
+MAX_SWITCH_PAUSE_SECONDS = 0.3
+"""Maximum pause before the next source is asked; randomised."""
+MAX_WITHHELD_DELAY_SECONDS = 0.2
+"""Maximum random delay before a large change is read from the store, to spread the reads."""
 WITHHELD_PAUSE_SECONDS = 0.5
-"""Before the source is asked again after a large change."""
-TAKE_LARGE_SECONDS = 1.5
-"""A large change that the store does not give within this is taken from the source."""
-DOUBT_TICK_SECONDS = 0.2
-"""Between two looks at how old the confirmations are."""
-OWN_READ_SECONDS = 0.5
-"""Between two own reads of the store, where no source has a young confirmation. Many processes read
-less often each:"""
-OWN_READS_PER_SECOND = 100.0
-"""All together no more than this for a table."""
+"""Before the source is asked again after it withheld a large change."""
+LARGE_CHANGE_TIMEOUT_SECONDS = 1.5
+"""After this, a large change that could not be read from the store is requested from the source."""
+CONFIRMATION_CHECK_INTERVAL_SECONDS = 0.2
+"""Between two checks of the age of the confirmations."""
+MIN_STORE_READ_INTERVAL_SECONDS = 0.5
+"""Minimum mean interval between two reads of the store by this process while a table's confirmation
+is too old."""
+MAX_STORE_READS_PER_SECOND = 100.0
+"""Upper bound on reads of one table by all processes together."""
 
 
 class TableFollower:
-    """All methods belong to the loop's thread."""
+    """Keeps the process's tables current by following one of several sources.
+
+    All methods run on the loop's thread.
+    """
 
     def __init__(
         self,
@@ -64,9 +65,12 @@
         changed: Callable[[], None],
         count_members: Callable[[], int],
     ) -> None:
-        """`read_store`: has a table read from the store once.
+        """Registers with `links` for messages of the sources.
 
-        changed: called after news, and after a younger confirmation of how new a table is."""
+        read_store: schedules one read of a table from the store. changed: called after an answer
+        that changed rows or brought a more recent confirmation. count_members: returns the number
+        of processes, which limits the rate of reads from the store.
+        """
         self._loop = loop
         self._links = links
         self._tables = tables
@@ -74,101 +78,103 @@
         self._changed = changed
         self._count_members = count_members
         self._sources: Sequence[str] = ()
-        self._numbers = itertools.count(1)
-        self._number = 0
-        self._asked_at = 0.0
+        self._request_numbers = itertools.count(1)
+        self._pending_number = 0
         self._sent_at = 0.0
-        """When the question was given to the link, be it open or dialled first."""
-        self._asked: OutgoingLink | None = None
-        self._timer: Timer | None = None
-        self._not_before = 0.0
-        self._doubt_timer: Timer | None = None
+        self._requested_at = 0.0
+        """When the request was handed to the link, which may first have to connect."""
+        self._pending_link: OutgoingLink | None = None
+        self._request_timer: Timer | None = None
+        self._next_store_read_at = 0.0
+        self._confirmation_timer: Timer | None = None
         self._withheld_since = math.inf
         links.add_user(self)
 
     @property
     def source(self) -> str:
-        """The address of the process that is followed, empty for none."""
+        """The address of the process that is followed, empty if there is none."""
         return self._sources[0] if self._sources else ""
 
     def follow(self, sources: Sequence[str]) -> None:
-        """Follows the processes at these addresses, the first that has a young confirmation.
+        """Follows the processes at these addresses, one at a time, starting with the first.
 
-        None ends it.
+        The same addresses in another order change nothing. An empty sequence stops following.
         """
         if set(sources) == set(self._sources):
             return
         self._sources = tuple(sources)
-        self._number = 0
+        self._pending_number = 0
         logger.bind(source=self.source, sources=len(self._sources)).info("tables_followed")
-        self._schedule(0.0)
-        self._watch_doubt()
+        self._schedule_request(0.0)
+        self._watch_confirmations()
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """Takes a message of a link."""
-        if isinstance(message, TablesAnswered) and message.number == self._number:
-            self._number = 0
-            self._take(message)
+        """Applies the answer to the request in flight; ignores all other messages."""
+        if isinstance(message, TablesAnswered) and message.number == self._pending_number:
+            self._pending_number = 0
+            self._apply_answer(message)
 
     def link_lost(self, link: OutgoingLink) -> None:
-        """A link ended."""
-        if self._number and link is self._asked:
-            self._leave_source("link_lost")
+        """Switches to the next source if the request in flight was sent on `link`."""
+        if self._pending_number and link is self._pending_link:
+            self._abandon_request("link_lost")
 
     def link_retiring(self, link: OutgoingLink) -> None:
-        """Nothing new should begin on a link; the question there ends by its own time limit."""
+        """Does nothing: the request in flight ends with its answer or its timeout."""
 
-    def _watch_doubt(self) -> None:
-        """Looks again and again: a source may hold a question while its confirmation grows old."""
-        if self._doubt_timer is not None:
-            self._doubt_timer.cancel()
-            self._doubt_timer = None
+    def _watch_confirmations(self) -> None:
+        """Checks confirmations periodically: they may expire while a source holds the request."""
+        if self._confirmation_timer is not None:
+            self._confirmation_timer.cancel()
+            self._confirmation_timer = None
         if self._sources:
-            self._read_if_doubtful()
-            self._doubt_timer = self._loop.call_later(DOUBT_TICK_SECONDS, self._watch_doubt)
+            self._read_stale_tables()
+            self._confirmation_timer = self._loop.call_later(
+                CONFIRMATION_CHECK_INTERVAL_SECONDS, self._watch_confirmations
+            )
 
-    def _schedule(self, delay: float) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+    def _schedule_request(self, delay: float) -> None:
+        if self._request_timer is not None:
+            self._request_timer.cancel()
+            self._request_timer = None
         if self._sources:
-            self._timer = self._loop.call_later(delay, self._ask)
+            self._request_timer = self._loop.call_later(delay, self._send_request)
 
-    def _ask(self) -> None:
-        self._timer = None
-        self._read_if_doubtful()
+    def _send_request(self) -> None:
+        self._request_timer = None
+        self._read_stale_tables()
         link = self._links.to(self.source)
         if not link.is_usable:
-            # Where no statement goes there either, nothing else would find out that it is back.
+            # If no statement uses this link, nothing else detects that the peer is reachable again.
             link.probe()
-            self._next_source("not_usable")
+            self._switch_source("not_usable")
             return
-        number = next(self._numbers)
-        self._number = number
-        self._asked = link
-        self._sent_at = self._loop.now()
-        self._timer = self._loop.call_later(ANSWER_LIMIT_SECONDS, self._unanswered)
+        number = next(self._request_numbers)
+        self._pending_number = number
+        self._pending_link = link
+        self._requested_at = self._loop.now()
+        self._request_timer = self._loop.call_later(ANSWER_TIMEOUT_SECONDS, self._on_answer_timeout)
 
         def send() -> None:
-            if self._number == number:
-                self._asked_at = self._loop.now()
-                takes_large = self._loop.now() > self._withheld_since + TAKE_LARGE_SECONDS
+            if self._pending_number == number:
+                self._sent_at = self._loop.now()
+                takes_large = self._loop.now() > self._withheld_since + LARGE_CHANGE_TIMEOUT_SECONDS
                 link.send(FollowTables(number, self._positions(), takes_large, True))
 
         def fail() -> None:
-            if self._number == number:
-                self._leave_source("unreachable")
+            if self._pending_number == number:
+                self._abandon_request("unreachable")
 
         link.when_open(send, fail)
 
     def _positions(self) -> tuple[TablePosition, ...]:
         return tuple(TablePosition(name, table.asked_after) for name, table in self._tables.items())
 
-    def _take(self, answer: TablesAnswered) -> None:
-        before = self._newest_confirmations()
-        # The question came to the source after it was sent, and was held there for a known time.
-        answered_at = self._asked_at + answer.held_seconds
-        is_news = False
+    def _apply_answer(self, answer: TablesAnswered) -> None:
+        before = self._confirmation_times()
+        # A lower bound: the source received the request after it was sent and held it this long.
+        answered_at = self._sent_at + answer.held_seconds
+        has_changed = False
         withheld: list[str] = []
         for news in answer.news:
             table = self._tables.get(news.table)
@@ -177,21 +183,21 @@
             if news.is_withheld:
                 withheld.append(news.table)
             else:
-                is_news |= self._take_table(table, news, answered_at)
-        if is_news or self._newest_confirmations() != before:
+                has_changed |= self._apply_news(table, news, answered_at)
+        if has_changed or self._confirmation_times() != before:
             self._changed()
         if withheld:
             self._read_withheld(withheld)
-        elif self._is_doubtful():
-            self._next_source("word_too_old")
+        elif self._has_stale_table():
+            self._switch_source("word_too_old")
         else:
             self._withheld_since = math.inf
-            self._schedule(0.0)
+            self._schedule_request(0.0)
 
-    def _newest_confirmations(self) -> tuple[float, ...]:
+    def _confirmation_times(self) -> tuple[float, ...]:
         return tuple(table.confirmed_at for table in self._tables.values())
 
-    def _take_table(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
+    def _apply_news(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
         try:
             return table.take_news(news, answered_at)
         except ProtocolError as error:
@@ -201,49 +207,53 @@
             return False
 
     def _read_withheld(self, tables: Sequence[str]) -> None:
-        """Reads large changes from the store; takes them from the source if that does not help."""
+        """Schedules reads of withheld tables from the store, and asks the source again later."""
         if self._withheld_since == math.inf:
             self._withheld_since = self._loop.now()
         for name in tables:
-            delay = random.uniform(0.0, WITHHELD_SPREAD_SECONDS)
+            delay = random.uniform(0.0, MAX_WITHHELD_DELAY_SECONDS)
             self._loop.call_later(delay, lambda name=name: self._read_store(name))  # type: ignore[misc]
-        self._schedule(WITHHELD_PAUSE_SECONDS)
+        self._schedule_request(WITHHELD_PAUSE_SECONDS)
 
-    def _is_doubtful(self) -> bool:
+    def _has_stale_table(self) -> bool:
         now = self._loop.now()
-        return any(table.is_doubtful(now) for table in self._tables.values())
+        return any(table.is_stale(now) for table in self._tables.values())
 
-    def _unanswered(self) -> None:
+    def _on_answer_timeout(self) -> None:
         now = self._loop.now()
-        link = self._asked
-        is_coming = link is not None and now < link.heard_at + ANSWER_GAP_SECONDS
-        if is_coming and now < self._sent_at + LONGEST_ANSWER_SECONDS:
-            self._timer = self._loop.call_later(ANSWER_GAP_SECONDS / 2, self._unanswered)
+        link = self._pending_link
+        is_receiving = link is not None and now < link.heard_at + MAX_ANSWER_GAP_SECONDS
+        if is_receiving and now < self._requested_at + MAX_ANSWER_SECONDS:
+            self._request_timer = self._loop.call_later(
+                MAX_ANSWER_GAP_SECONDS / 2, self._on_answer_timeout
+            )
             return
-        self._leave_source("silent")
+        self._abandon_request("silent")
 
-    def _leave_source(self, reason: str) -> None:
-        self._number = 0
-        self._next_source(reason)
+    def _abandon_request(self, reason: str) -> None:
+        self._pending_number = 0
+        self._switch_source(reason)
 
-    def _next_source(self, reason: str) -> None:
+    def _switch_source(self, reason: str) -> None:
         before = self.source
         self._sources = (*self._sources[1:], *self._sources[:1])
         logger.bind(source=before, next=self.source, reason=reason).info("source_left")
-        self._schedule(PAUSE_SECONDS * random.uniform(0.5, 1.0))
-        self._read_if_doubtful()
+        self._schedule_request(MAX_SWITCH_PAUSE_SECONDS * random.uniform(0.5, 1.0))
+        self._read_stale_tables()
 
-    def _read_if_doubtful(self) -> None:
-        """Reads the store, so that a change is known in time though no source tells it.
+    def _read_stale_tables(self) -> None:
+        """Schedules reads of the tables whose confirmation is too old, within the rate limit.
 
-        A table that is not known yet is being read by its watcher, which repeats what fails.
+        A table that was never read is left out: its watcher is reading it and retries failures.
         """
         now = self._loop.now()
-        known = {name: table for name, table in self._tables.items() if table.is_known}
-        doubtful = [name for name, table in known.items() if table.is_doubtful(now)]
-        if not doubtful or now < self._not_before:
+        loaded = {name: table for name, table in self._tables.items() if table.is_known}
+        stale = [name for name, table in loaded.items() if table.is_stale(now)]
+        if not stale or now < self._next_store_read_at:
             return
-        wait = max(OWN_READ_SECONDS, self._count_members() / OWN_READS_PER_SECOND)
-        self._not_before = now + wait * random.uniform(0.7, 1.3)
-        for name in doubtful:
+        wait = max(
+            MIN_STORE_READ_INTERVAL_SECONDS, self._count_members() / MAX_STORE_READS_PER_SECOND
+        )
+        self._next_store_read_at = now + wait * random.uniform(0.7, 1.3)
+        for name in stale:
             self._read_store(name)
