--- a/src/dewledge/bench/plot.py
+++ b/src/dewledge/bench/plot.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from dewledge.bench.figures import BenchReport
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 
 PERCENT = 100
@@ -54,8 +54,10 @@
 
 def _draw_gaps(axes: Any, report: BenchReport) -> None:
     names = [variant.variant.value for variant in report.variants]
-    elections = [MILLISECONDS * (item.election_median or 0.0) for item in report.variants]
-    excesses = [MILLISECONDS * (item.excess_median or 0.0) for item in report.variants]
+    elections = [
+        MILLISECONDS_PER_SECOND * (item.election_median or 0.0) for item in report.variants
+    ]
+    excesses = [MILLISECONDS_PER_SECOND * (item.excess_median or 0.0) for item in report.variants]
     axes.barh(names, elections, BAR_HEIGHT, color=ELECTION_COLOUR, label="the group's election")
     axes.barh(names, excesses, BAR_HEIGHT, elections, color=EXCESS_COLOUR, label="gap less it")
     for row, variant in enumerate(report.variants):
--- a/src/dewledge/bench/report.py
+++ b/src/dewledge/bench/report.py
@@ -4,7 +4,7 @@
 from rich.table import Table
 
 from dewledge.bench.figures import BenchReport, RunFigures, VariantFigures
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 PERCENT = 100
 NOTHING = "-"
@@ -124,4 +124,4 @@
 
 
 def _milliseconds(value: float | None) -> str:
-    return NOTHING if value is None else f"{MILLISECONDS * value:.0f}"
+    return NOTHING if value is None else f"{MILLISECONDS_PER_SECOND * value:.0f}"
--- a/src/dewledge/cli/query.py
+++ b/src/dewledge/cli/query.py
@@ -18,7 +18,7 @@
     print_table,
 )
 from dewledge.core.proxy.calls import Access, Outcome
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode, InvalidInput
 
 ANSWER_GRACE = 2.0
@@ -62,7 +62,7 @@
         "sql": sql,
         "parameters": [_parameter(text) for text in parameter or []],
         "access": str(Access.WRITE if write else Access.READ),
-        "deadline_ms": max(1, round(deadline * MILLISECONDS)),
+        "deadline_ms": max(1, round(deadline * MILLISECONDS_PER_SECOND)),
     }
     session = _read_session(session_file)
     if session:
--- a/src/dewledge/core/pooler/coordination_store.py
+++ b/src/dewledge/core/pooler/coordination_store.py
@@ -6,7 +6,7 @@
 
 from dewledge.errors import ErrorCode, StoreError
 
-CALL_LIMIT_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 """Timeout of a call to the store, excluding the time that a feed is asked to wait."""
 
 
@@ -55,7 +55,7 @@
     def change_address(self, address: str) -> None:
         """Sends subsequent calls to another address ("ip:port")."""
 
-    def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
+    def read_table(self, table: str, limit: float = CALL_TIMEOUT_SECONDS) -> TableRows:
         """Returns all rows of a table. limit: timeout in seconds of each call to the store."""
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -14,7 +14,7 @@
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.scheduling import Scheduler
-from dewledge.core.pooler.statements.held_connection import HeldConnection
+from dewledge.core.pooler.statements.held_connection import BorrowedConnection
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.errors import ErrorCode
 
@@ -32,7 +32,9 @@
 class AnswerWatch:
     """Watches for the answer to one statement. `begin` restarts the watch at each send."""
 
-    def __init__(self, scheduler: Scheduler, group: Group, held_connection: HeldConnection) -> None:
+    def __init__(
+        self, scheduler: Scheduler, group: Group, held_connection: BorrowedConnection
+    ) -> None:
         self._scheduler = scheduler
         self._group = group
         self._held_connection = held_connection
@@ -42,7 +44,7 @@
         """Restarts the watch: a request is sent to the database now."""
         self.sent_at = self._scheduler.now()
 
-    def take(self, reply: Reply | None, statement: Statement | None) -> None:
+    def record_reply(self, reply: Reply | None, statement: Statement | None) -> None:
         """Records an answer: success or failure, the database's log position, the time it took.
 
         reply: None if the connection ended without an answer. statement: the statement that was
@@ -59,9 +61,11 @@
         if statement is not None:
             held_seconds = self._scheduler.now() - self.sent_at
             pool = self._group.pool(database_id)
-            pool.note_answer(statement.kind, reply, held_seconds, self._held_connection.connection)
+            pool.record_answer(
+                statement.kind, reply, held_seconds, self._held_connection.connection
+            )
 
-    def look(self, reschedule: Callable[[float], None]) -> None:
+    def check(self, reschedule: Callable[[float], None]) -> None:
         """Reports the database as suspect if its answer is overdue, else reschedules the check.
 
         reschedule: schedules the next check after a delay in seconds.
@@ -77,7 +81,7 @@
         else:
             self._held_connection.suspect()
 
-    def limit_passed(self) -> None:
+    def on_timeout(self) -> None:
         """Records that the statement timed out, which counts as a failure.
 
         Reports the database as suspect if it has answered nothing since the statement was sent.
--- a/src/dewledge/core/pooler/databases/database_silence.py
+++ b/src/dewledge/core/pooler/databases/database_silence.py
@@ -56,7 +56,7 @@
         self._opening_starts: list[float] = []
         """Start times of the openings in progress."""
 
-    def note_sign(self) -> None:
+    def record_answer(self) -> None:
         """Records an answer of any kind from the database, which ends its silence."""
         now = self._clock()
         self._answered_at = now
@@ -64,15 +64,15 @@
             self._on_change(False, now - self._silent_since)
             self._silent_since = None
 
-    def opening_begins(self, at: float) -> None:
+    def record_opening_started(self, at: float) -> None:
         """Records that an opening of a connection started."""
         self._opening_starts.append(at)
 
-    def opening_ends(self, began_at: float) -> None:
+    def record_opening_ended(self, began_at: float) -> None:
         """Records that an opening ended, successfully or not."""
         self._opening_starts.remove(began_at)
 
-    def begins_at(
+    def silent_at(
         self, connections_in_use: Iterable[DatabaseConnection], usual_seconds: float
     ) -> float:
         """Returns when the database becomes silent unless it answers.
@@ -84,26 +84,28 @@
         if not self._is_judged:
             return math.inf
         awaited = [
-            each.lent_at for each in connections_in_use if each.is_single and each.unanswered
+            each.loan_began_at
+            for each in connections_in_use
+            if each.is_single and each.unanswered_count
         ]
         since = min([*awaited, *self._opening_starts], default=math.inf)
         usual = max(usual_seconds * USUAL_TIME_FACTOR, MIN_SILENCE_SECONDS)
         return max(since, self._answered_at) + min(usual, MAX_SILENCE_SECONDS)
 
-    def turns_away(self, begins_at: float) -> bool:
+    def detect_silence(self, silent_at: float) -> bool:
         """Tells whether the database is silent now and statements must not queue for it.
 
         begins_at: the current result of `begins_at`.
         """
         now = self._clock()
-        if now < begins_at:
+        if now < silent_at:
             return False
         if self._silent_since is None:
             self._silent_since = now
             self._on_change(True, 0.0)
         return True
 
-    def may_probe(self) -> bool:
+    def try_probe(self) -> bool:
         """Tells whether a statement may probe the silent database now, and records the probe."""
         now = self._clock()
         if now < self._probed_at + PROBE_INTERVAL_SECONDS:
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -27,9 +27,9 @@
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sharing.holders import Holding
-from dewledge.core.pooler.statements.read_choice import ReadChoice, report_of
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator, load_report_of
 from dewledge.core.pooler.statements.rollback import roll_back_then_release
-from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target, read_floor
+from dewledge.core.pooler.statements.targets import Proof, ReadRequirements, Target, read_floor
 from dewledge.core.shared.positions import LogPosition
 
 
@@ -44,8 +44,8 @@
         clock: Callable[[], float],
         drain_bound: float,
         direct_opener: Opener | None = None,
-        right: PrimaryLease | None = None,
-        choice: ReadChoice | None = None,
+        primary_lease: PrimaryLease | None = None,
+        read_choice: CompletionEstimator | None = None,
         judges_silence: bool = True,
         is_fair: bool = True,
     ) -> None:
@@ -60,11 +60,11 @@
         shares of slots and connections.
         """
         self.view = GroupView(name)
-        self.right = right or PrimaryLease(Fencing.PLATFORM)
+        self.primary_lease = primary_lease or PrimaryLease(Fencing.PLATFORM)
         self.history = FreshnessHistory()
-        self.choice = choice
+        self.read_choice = read_choice
         """Orders databases for reads by load reports; None if these are disabled."""
-        self.record: Callable[[PoolingEvent], None] = lambda event: None
+        self.on_event: Callable[[PoolingEvent], None] = lambda event: None
         """Logs events of the group's databases."""
         self.relay: str | None = None
         """The address of a process that can reach the suspected database, None for none."""
@@ -136,14 +136,14 @@
 
         Must be checked before a statement is sent and again when its answer arrives.
         """
-        return self.right.allows(database_id, self._clock())
+        return self.primary_lease.allows(database_id, self._clock())
 
-    def right_confirmed(self) -> None:
+    def on_lease_renewed(self) -> None:
         """Wakes statements that wait for a primary; called when its lease was confirmed."""
         if self._primary_waiters and self.usable_primary is not None:
             self._wake_waiters()
 
-    def set_doubt(self, database_id: str | None, relay: str | None) -> None:
+    def set_suspected(self, database_id: str | None, relay: str | None) -> None:
         """Sets the database suspected to be unreachable, and a relay process that can reach it.
 
         Without a relay that database is not among the targets of statements. None means no
@@ -155,7 +155,7 @@
         self.relay = relay
         if database_id is not None:
             self.pool(database_id).close_idle()
-            self.pool(database_id).forget_failure()
+            self.pool(database_id).clear_failure()
         if self.usable_primary is not None:
             self._wake_waiters()
 
@@ -167,19 +167,19 @@
         """Records that `position` covers every commit acknowledged before `sent_at`."""
         self._proof_request.record(sent_at, position)
 
-    def may_seek_proof(self) -> bool:
+    def may_request_proof(self) -> bool:
         """Tells whether a read without a floor should go to the primary to obtain one.
 
         False while another read is doing so, because its answer serves both.
         """
         return self._proof_request.may_begin()
 
-    def begin_seeking(self) -> None:
+    def begin_proof_request(self) -> None:
         """Records that a read was sent to the primary to obtain a floor."""
         self._proof_request.begin()
 
-    def end_seeking(self) -> None:
-        """Records that the read recorded by `begin_seeking` ended, answered or not."""
+    def end_proof_request(self) -> None:
+        """Records that the read recorded by `begin_proof_request` ended, answered or not."""
         self._proof_request.end()
 
     def wait_for_proof(self, callback: Callable[[], None]) -> None:
@@ -194,21 +194,21 @@
         """Records that a database refused a statement because it is not the primary."""
         self.change_view(self.view.with_refuted(database_id))
 
-    def targets(self, route: Route, writes: bool, need: ReadNeed) -> Sequence[Target]:
+    def targets(self, route: Route, writes: bool, need: ReadRequirements) -> Sequence[Target]:
         """Returns the databases that may serve a statement, best first."""
         primary = self.usable_primary
         if writes:
             return [] if primary is None else [Target(primary, Proof.NONE)]
-        is_proven = primary is not None and self.right.is_proven(primary.id)
+        is_proven = primary is not None and self.primary_lease.is_leadership_proven(primary.id)
         options = ReadOptions(
             self.view,
             read_floor(route, self.history, need),
             primary,
-            Proof.RIGHT if is_proven else Proof.LEAD,
+            Proof.LEASE if is_proven else Proof.PRIMARY_TRANSACTION,
             self._suspected if self.relay is None else None,
             need.caller,
         )
-        return self._reads.targets(options, self.choice)
+        return self._reads.targets(options, self.read_choice)
 
     def observe_position(self, database_id: str, position: LogPosition) -> None:
         """Records the log position in a database's answer, and the time of the answer."""
@@ -220,25 +220,25 @@
         """Returns when a database last sent this process an answer with a log position."""
         return self._answered_at.get(database_id, LONG_AGO)
 
-    def note_tried(self, database_id: str) -> None:
+    def record_sent(self, database_id: str) -> None:
         """Records that a statement is sent to a database, for its lag estimate and its load."""
         self._lags.record_sent(database_id, self._clock())
-        if self.choice is not None:
-            self.choice.book.note_sent(database_id)
+        if self.read_choice is not None:
+            self.read_choice.load_table.record_sent(database_id)
 
     def record_outcome(self, database_id: str, has_failed: bool, seconds: float) -> None:
         """Records whether a request to a database failed, and how many seconds it took."""
-        if self.choice is not None:
-            self.choice.failures.note(database_id, has_failed, self._clock(), seconds)
+        if self.read_choice is not None:
+            self.read_choice.failures.record(database_id, has_failed, self._clock(), seconds)
 
-    def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
+    def record_load_report(self, database_id: str, holder: str, report: LoadReport) -> None:
         """Records a load report for a database from a process that holds connections to it."""
-        if self.choice is not None:
-            self.choice.book.take(database_id, holder, report, self._clock())
+        if self.read_choice is not None:
+            self.read_choice.load_table.update(database_id, holder, report, self._clock())
 
     def load_report(self, database_id: str) -> LoadReport | None:
         """Returns this process's load report for a database; None if reports are disabled."""
-        return None if self.choice is None else report_of(self.peer_pool(database_id))
+        return None if self.read_choice is None else load_report_of(self.peer_pool(database_id))
 
     def roll_back(self, connection: DatabaseConnection, scheduler: Scheduler) -> None:
         """Rolls back a transaction on a client's connection, then releases it to its pool."""
@@ -272,4 +272,4 @@
         return self.view.databases.get(database_id)
 
     def _record_event(self, event: PoolingEvent) -> None:
-        self.record(event)
+        self.on_event(event)
--- a/src/dewledge/core/pooler/databases/group_pools.py
+++ b/src/dewledge/core/pooler/databases/group_pools.py
@@ -54,7 +54,7 @@
             previous_holding = previous.get(database_id)
             pool.change_limit(pool_limit(holding))
             if previous_holding is not None and previous_holding.is_direct != holding.is_direct:
-                pool.renew(self._make_pool.window(database_id, holding))
+                pool.switch_route(self._make_pool.create_window(database_id, holding))
 
     def holding(self, database_id: str) -> Holding:
         """Returns how this process reaches a database."""
--- a/src/dewledge/core/pooler/databases/proof_seeking.py
+++ b/src/dewledge/core/pooler/databases/proof_seeking.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.databases.group_view import LONG_AGO
 from dewledge.core.shared.positions import LogPosition
 
-SEEK_AGAIN_SECONDS = 0.1
+PROOF_REQUEST_TIMEOUT_SECONDS = 0.1
 """Seconds for which other reads wait for a read that was sent to the primary to obtain a floor;
 afterwards another read may be sent. Longer than a round trip between regions."""
 
@@ -35,7 +35,7 @@
 
         False while another read is doing so, because its answer serves both.
         """
-        return self._clock() >= self._requested_at + SEEK_AGAIN_SECONDS
+        return self._clock() >= self._requested_at + PROOF_REQUEST_TIMEOUT_SECONDS
 
     def begin(self) -> None:
         """Records that a read was sent to the primary to obtain a floor."""
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -14,12 +14,12 @@
 from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
 from dewledge.core.pooler.load.choice import Completion
-from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator
 from dewledge.core.pooler.statements.targets import (
     Proof,
     Target,
-    expected_targets,
-    read_targets,
+    targets_by_completion,
+    targets_by_local_load,
 )
 from dewledge.core.shared.positions import LogPosition
 
@@ -56,14 +56,14 @@
         self._lags = lags
         self._pools = pools
 
-    def targets(self, options: ReadOptions, choice: ReadChoice | None) -> Sequence[Target]:
+    def targets(self, options: ReadOptions, choice: CompletionEstimator | None) -> Sequence[Target]:
         """Returns the databases that may serve a read, best first.
 
         choice: orders by expected completion; None to order by distance and this process's own
         statements at each database.
         """
         if choice is None:
-            return read_targets(
+            return targets_by_local_load(
                 options.view,
                 options.floor,
                 options.primary,
@@ -77,7 +77,7 @@
         def cost(record: DatabaseRecord, position: LogPosition) -> Completion:
             return self._completion(choice, record, position, options)
 
-        return expected_targets(
+        return targets_by_completion(
             options.view,
             options.floor,
             options.primary,
@@ -95,7 +95,7 @@
 
     def _completion(
         self,
-        choice: ReadChoice,
+        choice: CompletionEstimator,
         record: DatabaseRecord,
         floor: LogPosition,
         options: ReadOptions,
--- a/src/dewledge/core/pooler/failover/candidates.py
+++ b/src/dewledge/core/pooler/failover/candidates.py
@@ -15,7 +15,7 @@
 """Processes: bounds the indirect probes of a check in deployments of hundreds of processes."""
 
 
-def panel(group: str, processes: Iterable[str]) -> Sequence[str]:
+def rank_judges(group: str, processes: Iterable[str]) -> Sequence[str]:
     """Returns the judges of a group in order of rank.
 
     Judges decide whether the group's primary is lost, and may replace it.
--- a/src/dewledge/core/pooler/failover/claim_acknowledgements.py
+++ b/src/dewledge/core/pooler/failover/claim_acknowledgements.py
@@ -29,7 +29,7 @@
         """Returns those of `processes` that have not acknowledged the claim."""
         return sorted(name for name in processes if name not in self._acknowledged_at)
 
-    def is_over(self, registered: RegisteredProcesses, now: float) -> bool:
+    def is_effective(self, registered: RegisteredProcesses, now: float) -> bool:
         """Returns whether no process can hold a lease without knowing the claim.
 
         From then on, no process uses a primary that the claim forbids. The list of registered
--- a/src/dewledge/core/pooler/failover/claim_maintenance.py
+++ b/src/dewledge/core/pooler/failover/claim_maintenance.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooler.failover.claim_writing import maintenance_claim
 from dewledge.core.pooler.failover.messages import (
     Claim,
-    ClaimKnown,
+    ClaimAcknowledged,
     FailoverEffect,
     SendClaim,
 )
@@ -40,7 +40,7 @@
         self._acknowledgements: ClaimAcknowledgements | None = None
         self._sent_at = LONG_AGO
 
-    def on_acknowledgement(self, event: ClaimKnown, now: float) -> None:
+    def on_acknowledgement(self, event: ClaimAcknowledged, now: float) -> None:
         """Records that a process acknowledged a claim."""
         current = self._acknowledgements
         if current is not None and event.fencing_token >= current.claim.fencing_token:
@@ -83,7 +83,7 @@
             current = ClaimAcknowledgements(claim, now)
             current.add(self._local_name, now)
             self._acknowledgements = current
-        if current.is_over(registered, now):
+        if current.is_effective(registered, now):
             return self._write(situation, True)
         if now < self._sent_at + CLAIM_SEND_INTERVAL_SECONDS:
             return []
--- a/src/dewledge/core/pooler/failover/claim_turn.py
+++ b/src/dewledge/core/pooler/failover/claim_turn.py
@@ -15,7 +15,7 @@
 """Seconds before a claim that the store refused is written again."""
 CLAIM_WRITE_TIMEOUT_SECONDS = 1.5
 """Seconds before a claim whose write got no answer is written again: longer than the timeout of a
-call to the store (CALL_LIMIT_SECONDS, 1 s)."""
+call to the store (CALL_TIMEOUT_SECONDS, 1 s)."""
 CLAIM_HOLDER_TIMEOUT_SECONDS = 3.0
 """Seconds that a claim holder has before another process acts: the delay that a killed or frozen
 holder adds to a failover (docs/design/primary-lease.md, the cases)."""
--- a/src/dewledge/core/pooler/failover/group_failover.py
+++ b/src/dewledge/core/pooler/failover/group_failover.py
@@ -16,16 +16,16 @@
 from dewledge.core.pooler.failover.loss_watch import Loss, LossWatch
 from dewledge.core.pooler.failover.messages import (
     Claim,
-    ClaimKnown,
+    ClaimAcknowledged,
+    ClaimReceived,
     ClaimRefused,
-    ClaimSeen,
     FailoverEffect,
     FailoverEvent,
     IndirectProbeReported,
     LossCause,
     Phase,
     PhaseChanged,
-    PrimaryDoubted,
+    PrimarySuspected,
     PromotionAnswered,
     ReachTested,
     RegisteredProcesses,
@@ -78,7 +78,7 @@
         self._phase_started_at = 0.0
 
     @property
-    def doubted(self) -> str | None:
+    def suspected(self) -> str | None:
         """Primary that this process cannot reach, None for none."""
         return self._reach_check.suspected
 
@@ -105,7 +105,7 @@
         effects: list[FailoverEffect] = []
         if isinstance(event, StatusRead) and self.phase is Phase.PROMOTING:
             effects += self._replacement.announce_if_leading(event)
-        if isinstance(event, PrimaryDoubted):
+        if isinstance(event, PrimarySuspected):
             effects += self._on_suspicion(event.database, view, now)
         effects += self._advance(situation)
         return effects
@@ -117,18 +117,18 @@
             self._reach_check.add_evidence(event)
         elif isinstance(event, StatusRead | SteppedDown):
             self._replacement.on_answer(event, now)
-        elif isinstance(event, ClaimSeen):
+        elif isinstance(event, ClaimReceived):
             self._on_claim(event.claim, now)
         elif isinstance(event, ClaimRefused) and self.phase is Phase.CLAIMING:
             self._claim_turn.record_refusal(now)
         elif isinstance(event, PromotionAnswered) and self.phase is Phase.PROMOTING:
             self._on_promotion_answer(event, now)
-        elif isinstance(event, ClaimKnown):
+        elif isinstance(event, ClaimAcknowledged):
             self._replacement.on_answer(event, now)
             self._claim_maintenance.on_acknowledgement(event, now)
 
     def _on_claim(self, claim: Claim, now: float) -> None:
-        if not self._lease.take_claim(claim):
+        if not self._lease.apply_claim(claim):
             return
         self._claim_turn.on_newer_claim(now)
         if claim.holder == self._local_name:
@@ -191,7 +191,7 @@
             return [TryLeader(claimed)]
         if primary is None or primary.draining or self._lease.is_banned(primary.id):
             return []
-        if self.doubted == primary.id and self._reach_check.may_start(now):
+        if self.suspected == primary.id and self._reach_check.may_start(now):
             return self._start_check(primary.id, now)
         return self._claim_maintenance.maintain(situation)
 
--- a/src/dewledge/core/pooler/failover/lease_release.py
+++ b/src/dewledge/core/pooler/failover/lease_release.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooler.failover.claim_acknowledgements import ClaimAcknowledgements
 from dewledge.core.pooler.failover.messages import (
     Claim,
-    ClaimKnown,
+    ClaimAcknowledged,
     DatabaseStatus,
     RegisteredProcesses,
     SendClaim,
@@ -67,7 +67,7 @@
         acknowledgements.add(self._local_name, now)
         return acknowledgements
 
-    def on_answer(self, event: ClaimKnown | SteppedDown, now: float) -> None:
+    def on_answer(self, event: ClaimAcknowledged | SteppedDown, now: float) -> None:
         """Applies an acknowledgement, or the old primary's answer to a step-down request."""
         if isinstance(event, SteppedDown):
             is_down = event.status is not None and not event.status.is_primary
@@ -97,7 +97,7 @@
         """
         if not self._may_step_down or self.final_status is not None:
             return []
-        if self._claim_acknowledgements is None or not self._claim_acknowledgements.is_over(
+        if self._claim_acknowledgements is None or not self._claim_acknowledgements.is_effective(
             registered, now
         ):
             return []
@@ -117,4 +117,4 @@
             return True
         if self._may_step_down or self._ban_acknowledgements is None:
             return False
-        return self._ban_acknowledgements.is_over(registered, now)
+        return self._ban_acknowledgements.is_effective(registered, now)
--- a/src/dewledge/core/pooler/failover/messages.py
+++ b/src/dewledge/core/pooler/failover/messages.py
@@ -53,7 +53,7 @@
     version: int = 0
 
 
-class PrimaryDoubted(msgspec.Struct, frozen=True):
+class PrimarySuspected(msgspec.Struct, frozen=True):
     """A statement to the primary got no answer, or no connection to it could be opened."""
 
     database: str
@@ -74,7 +74,7 @@
     reachable: bool
 
 
-class ClaimSeen(msgspec.Struct, frozen=True):
+class ClaimReceived(msgspec.Struct, frozen=True):
     """A claim was read from the store or received from another process."""
 
     claim: Claim
@@ -98,7 +98,7 @@
     status: DatabaseStatus | None
 
 
-class ClaimKnown(msgspec.Struct, frozen=True):
+class ClaimAcknowledged(msgspec.Struct, frozen=True):
     """A process acknowledged a claim: it uses only databases that the claim allows as primary."""
 
     process: str
@@ -121,14 +121,14 @@
 
 
 FailoverEvent = (
-    PrimaryDoubted
+    PrimarySuspected
     | ReachTested
     | IndirectProbeReported
-    | ClaimSeen
+    | ClaimReceived
     | ClaimRefused
     | StatusRead
     | SteppedDown
-    | ClaimKnown
+    | ClaimAcknowledged
     | PromotionAnswered
     | Ticked
 )
--- a/src/dewledge/core/pooler/failover/primary_lease.py
+++ b/src/dewledge/core/pooler/failover/primary_lease.py
@@ -50,7 +50,7 @@
         """Fencing token of the newest known claim, 0 without a claim."""
         return 0 if self.claim is None else self.claim.fencing_token
 
-    def take_claim(self, claim: Claim) -> bool:
+    def apply_claim(self, claim: Claim) -> bool:
         """Replaces the known claim if `claim` is newer; returns whether it is."""
         if claim.fencing_token <= self.fencing_token:
             return False
@@ -75,11 +75,11 @@
             return False
         return not claim.allows(database_id)
 
-    def prove(self, database_id: str, fencing_token: int) -> None:
+    def record_leadership_proof(self, database_id: str, fencing_token: int) -> None:
         """Records that a database proved it leads, in answer to a statement sent under a claim."""
         self._proven_leader = (database_id, fencing_token)
 
-    def is_proven(self, database_id: str) -> bool:
+    def is_leadership_proven(self, database_id: str) -> bool:
         """Returns whether a read may rely on an earlier proof that the database leads.
 
         The proof holds while this process has the lease, since no other database is promoted
--- a/src/dewledge/core/pooler/failover/quorum_confirmation.py
+++ b/src/dewledge/core/pooler/failover/quorum_confirmation.py
@@ -56,7 +56,7 @@
         self._tokens: dict[str, int] = {}
         self._agreed: dict[str, set[str]] = {}
 
-    def ask(self, leases: Mapping[str, PrimaryLease], now: float) -> VoterPoll | None:
+    def next_poll(self, leases: Mapping[str, PrimaryLease], now: float) -> VoterPoll | None:
         """Returns the next question to voters, None if no lease needs one now."""
         if now < self._asked_at + QUESTION_INTERVAL_SECONDS:
             return None
@@ -86,7 +86,7 @@
         question = ConfirmationQuestion(self._local_name, self._number, self._tokens)
         return VoterPoll(question, tuple(sorted(voters - {self._local_name})))
 
-    def answer(
+    def answer_question(
         self,
         question: ConfirmationQuestion,
         leases: Mapping[str, PrimaryLease],
@@ -98,7 +98,9 @@
         tokens = {name: leases[name].fencing_token for name in question.tokens if name in leases}
         return ConfirmationAnswer(self._local_name, question.number, tokens)
 
-    def take(self, answer: ConfirmationAnswer, leases: Mapping[str, PrimaryLease]) -> Sequence[str]:
+    def on_answer(
+        self, answer: ConfirmationAnswer, leases: Mapping[str, PrimaryLease]
+    ) -> Sequence[str]:
         """Applies an answer; returns the groups whose leases it renews."""
         if answer.number != self._number:
             return []
--- a/src/dewledge/core/pooler/failover/reach_limit.py
+++ b/src/dewledge/core/pooler/failover/reach_limit.py
@@ -18,14 +18,14 @@
 """Ratio: weight of a new observation in the mean deviation, beta of RFC 6298."""
 
 
-class ReachLimit:
+class ConnectTimeout:
     """Connection timeout of this process, the same for all databases."""
 
     def __init__(self) -> None:
         self._mean: float | None = None
         self._deviation = 0.0
 
-    def observe(self, seconds: float) -> None:
+    def record_connect_time(self, seconds: float) -> None:
         """Records that a connection was accepted after `seconds`."""
         if self._mean is None:
             self._mean, self._deviation = seconds, seconds / 2
--- a/src/dewledge/core/pooler/failover/replacement.py
+++ b/src/dewledge/core/pooler/failover/replacement.py
@@ -20,7 +20,7 @@
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     Claim,
-    ClaimKnown,
+    ClaimAcknowledged,
     FailoverEffect,
     LossCause,
     Phase,
@@ -96,7 +96,7 @@
         self._next_order_write_at = now
         self._release.on_claim_stored(claim, now)
 
-    def on_answer(self, event: StatusRead | ClaimKnown | SteppedDown, now: float) -> None:
+    def on_answer(self, event: StatusRead | ClaimAcknowledged | SteppedDown, now: float) -> None:
         """Applies the answer of a database or the acknowledgement of a process."""
         if isinstance(event, StatusRead):
             self._survey.add(event)
--- a/src/dewledge/core/pooler/load/choice.py
+++ b/src/dewledge/core/pooler/load/choice.py
@@ -72,7 +72,9 @@
     completion: Completion
 
 
-def order(candidates: Sequence[Candidate], draw: Callable[[], float]) -> Sequence[Candidate]:
+def order_candidates(
+    candidates: Sequence[Candidate], draw: Callable[[], float]
+) -> Sequence[Candidate]:
     """Returns all candidates, the one to try first at the head and the others by completion.
 
     Args:
--- a/src/dewledge/core/pooler/load/failed_login_throttle.py
+++ b/src/dewledge/core/pooler/load/failed_login_throttle.py
@@ -9,7 +9,7 @@
 
 ANSWERS_PER_SECOND = 20.0
 """Refusals per second that are answered immediately, and the size of the bucket."""
-PAUSE_SECONDS = 1.0
+ANSWER_DELAY_SECONDS = 1.0
 """Delay of an answer. Shorter than the two seconds that clients allow for opening a session."""
 MAX_DELAYED_REFUSALS = 200
 """Connections that may wait for a delayed answer; few of the thousands that a process can have
@@ -22,10 +22,10 @@
     def __init__(self) -> None:
         self._available_answers = ANSWERS_PER_SECOND
         self._refilled_at = 0.0
-        self.held = 0
+        self.delayed_refusals = 0
         """The refusals whose answer is being delayed."""
 
-    def pause(self, now: float) -> float | None:
+    def answer_delay(self, now: float) -> float | None:
         """Returns the delay before the answer in seconds, None to close without an answer.
 
         A delayed refusal takes a place that the caller must release once it is answered.
@@ -36,12 +36,12 @@
         if self._available_answers >= 1.0:
             self._available_answers -= 1.0
             return 0.0
-        if self.held >= MAX_DELAYED_REFUSALS:
+        if self.delayed_refusals >= MAX_DELAYED_REFUSALS:
             return None
-        self.held += 1
-        return PAUSE_SECONDS
+        self.delayed_refusals += 1
+        return ANSWER_DELAY_SECONDS
 
-    def told(self) -> None:
+    def on_delay_ended(self) -> None:
         """Releases the place of a delayed refusal that was answered or whose client
         disconnected."""
-        self.held -= 1
+        self.delayed_refusals -= 1
--- a/src/dewledge/core/pooler/load/flow_queue.py
+++ b/src/dewledge/core/pooler/load/flow_queue.py
@@ -96,7 +96,7 @@
         if len(self.flows) == 1:
             yield from next(iter(self.flows.values())).waiters
             return
-        tag_of = self.shares.tag
+        tag_of = self.shares.start_tag
         heads = [(tag_of(name), flow.ranks[0], 0, name) for name, flow in self.flows.items()]
         heapq.heapify(heads)
         while heads:
@@ -116,15 +116,17 @@
         if self.size == (0 if waiter_flow is None else len(waiter_flow.waiters)):
             return position
         cost = self._cost()
-        behind = position * self.shares.step(name, cost) if waiter_flow is not None else 0.0
-        key = (self.shares.tag(name) + behind, rank)
+        behind = (
+            position * self.shares.tag_increment(name, cost) if waiter_flow is not None else 0.0
+        )
+        key = (self.shares.start_tag(name) + behind, rank)
         ahead = position
         for other, flow in self.flows.items():
             if other != name:
-                tag, step = self.shares.tag(other), self.shares.step(other, cost)
+                tag, step = self.shares.start_tag(other), self.shares.tag_increment(other, cost)
                 ahead += flow.count_ahead_of(key, tag, step)
         return ahead
 
     def _key(self, name: str, position: int) -> FlowKey:
-        step = self.shares.step(name, self._cost())
-        return (self.shares.tag(name) + position * step, self.flows[name].ranks[position])
+        step = self.shares.tag_increment(name, self._cost())
+        return (self.shares.start_tag(name) + position * step, self.flows[name].ranks[position])
--- a/src/dewledge/core/pooler/load/holder_health.py
+++ b/src/dewledge/core/pooler/load/holder_health.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from dewledge.core.shared.service_rate import UsualTime
+from dewledge.core.shared.service_rate import TypicalMaxTime
 
 MIN_LONG_STALL_SECONDS = 0.4
 """If a check is late by more than this, this process was stalled, and the measurement of silence
@@ -84,13 +84,13 @@
 
     Attributes:
         USABLE: New statements may be sent.
-        DOUBTED: A ping or dial has been unanswered for longer than its timeout.
+        SUSPECTED: A ping or dial has been unanswered for longer than its timeout.
         SILENT: It has been unanswered for `HolderRules.silent_timeouts` timeouts, or the link is
             lost.
     """
 
     USABLE = "usable"
-    DOUBTED = "doubted"
+    SUSPECTED = "doubted"
     SILENT = "silent"
 
 
@@ -117,11 +117,11 @@
         processes."""
         self._rules = rules
         self._jitter = jitter
-        self._round_trip = UsualTime(ROUND_TRIP_SMOOTHING_RATIO)
+        self._round_trip = TypicalMaxTime(ROUND_TRIP_SMOOTHING_RATIO)
         self.state = HolderState.USABLE
         self.state_since = 0.0
         """When the current state began."""
-        self.due = 0
+        self.outstanding_replies = 0
         """The number of replies that are outstanding."""
         self._outstanding_since = 0.0
         self._last_received_at = -math.inf
@@ -132,7 +132,7 @@
         self._next_dial_at = -math.inf
 
     @property
-    def heard_at(self) -> float:
+    def last_received_at(self) -> float:
         """When the last sign of life was received."""
         return self._last_received_at
 
@@ -150,13 +150,13 @@
             return rules.longest_timeout
         return min(max(rules.round_trips * usual, rules.least_timeout), rules.longest_timeout)
 
-    def silence(self, now: float) -> float:
+    def silence_seconds(self, now: float) -> float:
         """Returns for how many seconds a reply has been awaited without any sign of life; 0 if none
         is awaited."""
         if not self._awaits_reply:
             return 0.0
         probe_sent = math.inf if self._probe_sent_at is None else self._probe_sent_at
-        outstanding = self._outstanding_since if self.due else math.inf
+        outstanding = self._outstanding_since if self.outstanding_replies else math.inf
         return max(now - max(self._last_received_at, min(probe_sent, outstanding)), 0.0)
 
     def is_usable(self, now: float) -> bool:
@@ -170,7 +170,7 @@
         is_silent = self.state is not HolderState.USABLE
         return self._rules.is_probed and is_silent and now >= self._next_dial_at
 
-    def dialled(self, now: float) -> float | None:
+    def on_dial(self, now: float) -> float | None:
         """Records that a dial began.
 
         Returns the delay until the first check, None if the rules do not use probes.
@@ -180,24 +180,24 @@
         self._probe_sent_at = now
         return self._schedule_check(now, self.probe_timeout)
 
-    def opened(self, now: float) -> None:
+    def on_opened(self, now: float) -> None:
         """Records that the link was opened, which is a sign of life."""
         if self._probe_sent_at is not None:
-            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+            self._round_trip.record(max(now - self._probe_sent_at, 0.0))
         self._probe_sent_at = None
         self._next_check_at = None
-        self.due = 0
+        self.outstanding_replies = 0
         self._failures = 0
         self._next_dial_at = -math.inf
-        self.heard(now)
+        self.on_received(now)
 
-    def ended(self, now: float, is_dial: bool) -> None:
+    def on_ended(self, now: float, is_dial: bool) -> None:
         """Records that the link was lost or a dial failed.
 
         With probes, a lost link may be dialled again at once, and a failed dial is repeated after a
         pause. Without probes, the holder is dialled again after a pause in both cases.
         """
-        self.due = 0
+        self.outstanding_replies = 0
         self._probe_sent_at = None
         self._next_check_at = None
         if is_dial or not self._rules.is_probed:
@@ -205,31 +205,31 @@
             self._failures += 1
         self._set_state(HolderState.SILENT if self._rules.is_probed else HolderState.USABLE, now)
 
-    def sent(self, now: float) -> float | None:
+    def on_sent(self, now: float) -> float | None:
         """Records a request; returns the delay until the first check, None if one is scheduled."""
-        if self.due == 0:
+        if self.outstanding_replies == 0:
             self._outstanding_since = now
-        self.due += 1
+        self.outstanding_replies += 1
         if self._next_check_at is not None:
             return None
         return self._schedule_check(now, self._rules.ping_after)
 
-    def answered(self, count: int = 1) -> None:
+    def on_replies(self, count: int = 1) -> None:
         """Records replies that arrived or are no longer awaited."""
-        self.due = max(self.due - count, 0)
+        self.outstanding_replies = max(self.outstanding_replies - count, 0)
 
-    def heard(self, now: float) -> None:
+    def on_received(self, now: float) -> None:
         """Records that bytes arrived."""
         self._last_received_at = now
         self._set_state(HolderState.USABLE, now)
 
-    def ponged(self, now: float) -> None:
+    def on_pong(self, now: float) -> None:
         """Records the answer to a ping."""
         if self._probe_sent_at is not None:
-            self._round_trip.note(max(now - self._probe_sent_at, 0.0))
+            self._round_trip.record(max(now - self._probe_sent_at, 0.0))
             self._probe_sent_at = None
 
-    def look(self, now: float) -> CheckResult:
+    def check(self, now: float) -> CheckResult:
         """Updates the state and returns what to do next."""
         delay = 0.0 if self._next_check_at is None else now - self._next_check_at
         self._next_check_at = None
@@ -238,7 +238,7 @@
         if delay > MAX_CHECK_DELAY_SECONDS:
             self._discount_stall(now, delay)
             return CheckResult(again=self._schedule_check(now, RECHECK_DELAY_SECONDS))
-        silence = self.silence(now)
+        silence = self.silence_seconds(now)
         if silence >= LOST_AFTER_SECONDS:
             return CheckResult(is_lost=True)
         if self._probe_sent_at is None:
@@ -259,16 +259,16 @@
         until_silent = self.probe_timeout * self._rules.silent_timeouts - waited
         if until_silent <= 0:
             self._set_state(HolderState.SILENT, now)
-            return LOST_AFTER_SECONDS - self.silence(now)
+            return LOST_AFTER_SECONDS - self.silence_seconds(now)
         if until_suspected <= 0:
             if self.state is HolderState.USABLE:
-                self._set_state(HolderState.DOUBTED, now)
+                self._set_state(HolderState.SUSPECTED, now)
             return until_silent
         return until_suspected
 
     @property
     def _awaits_reply(self) -> bool:
-        return self.due > 0 or self._probe_sent_at is not None
+        return self.outstanding_replies > 0 or self._probe_sent_at is not None
 
     def _schedule_check(self, now: float, seconds: float) -> float:
         delay = max(seconds, MIN_CHECK_INTERVAL_SECONDS)
--- a/src/dewledge/core/pooler/load/load_reporter.py
+++ b/src/dewledge/core/pooler/load/load_reporter.py
@@ -27,7 +27,7 @@
         self._last_report: LoadReport | None = None
         self._last_report_at = 0.0
 
-    def due_report(self, report: LoadReport, now: float) -> LoadReport | None:
+    def report_to_send(self, report: LoadReport, now: float) -> LoadReport | None:
         """Returns the report to attach to a reply at `now` (steady clock, seconds), None if none is
         due."""
         last_report = self._last_report
@@ -38,7 +38,7 @@
         return report
 
 
-def bounded_report(
+def clamped_report(
     waiting: int,
     urgent_waiting: int,
     running: int,
--- a/src/dewledge/core/pooler/load/load_table.py
+++ b/src/dewledge/core/pooler/load/load_table.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.load.wait_estimate import ExpectedWait
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 REPORT_HALF_LIFE_SECONDS = 0.5
 """Half-life of a reported queue length. Statements typically wait up to 0.25 s, so that a reported
@@ -32,7 +32,7 @@
 """Connections, as the mean over the holders; below it most holders can open no connection."""
 
 
-class KnownLoad(msgspec.Struct, frozen=True):
+class LoadEstimate(msgspec.Struct, frozen=True):
     """The estimated load of a database.
 
     Attributes:
@@ -112,7 +112,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def take(self, database_id: str, holder: str, report: LoadReport, now: float) -> None:
+    def update(self, database_id: str, holder: str, report: LoadReport, now: float) -> None:
         """Stores a report of `holder` that arrived at `now`."""
         self._usual_service_seconds = None
         entry = self._entries.pop(database_id, None) or _DatabaseEntry()
@@ -122,7 +122,7 @@
         self._entries[database_id] = entry
         entry.update(holder, _ReceivedReport(report, now))
 
-    def note_sent(self, database_id: str) -> None:
+    def record_sent(self, database_id: str) -> None:
         """Counts a statement sent by this process that no report includes yet."""
         entry = self._entries.get(database_id)
         if entry is not None:
@@ -133,7 +133,7 @@
         entry = self._entries.get(database_id)
         return 0 if entry is None else entry.sent_since
 
-    def known(self, database_id: str, now: float) -> KnownLoad | None:
+    def estimate(self, database_id: str, now: float) -> LoadEstimate | None:
         """Returns the estimated load of a database, None without a report.
 
         If several holders have reported, their reports are weighted by age.
@@ -150,18 +150,19 @@
             waiting += weight * received.report.waiting
             running += weight * received.report.running
             window += weight * received.report.window
-            service += weight * received.report.service_ms / MILLISECONDS
+            service += weight * received.report.service_ms / MILLISECONDS_PER_SECOND
         service_weight = _decay(age, SERVICE_HALF_LIFE_SECONDS)
-        return KnownLoad(
+        return LoadEstimate(
             waiting / total,
             running / total,
             window / total,
-            service_weight * service / total + (1.0 - service_weight) * self.usual_service(),
+            service_weight * service / total
+            + (1.0 - service_weight) * self.usual_service_seconds(),
             _decay(age, REPORT_HALF_LIFE_SECONDS),
             age,
         )
 
-    def usual_service(self) -> float:
+    def usual_service_seconds(self) -> float:
         """Returns the median of the reported service times, in seconds."""
         if self._usual_service_seconds is None:
             reported = [
@@ -170,7 +171,7 @@
                 for received in entry.reports.values()
             ]
             self._usual_service_seconds = (
-                median(reported) / MILLISECONDS if reported else DEFAULT_SERVICE_SECONDS
+                median(reported) / MILLISECONDS_PER_SECOND if reported else DEFAULT_SERVICE_SECONDS
             )
         return self._usual_service_seconds
 
--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/return_moments.py
@@ -24,13 +24,13 @@
 """Earliest retry time if the state of the queue is unknown."""
 
 
-class ReturnMoments:
+class RetrySchedule:
     """The retry times of a queue; no time is reserved twice while later ones are available."""
 
     def __init__(self) -> None:
         self._last_reserved_at = -math.inf
 
-    def promise(self, now: float, drained_in: float | None, spacing: float = 0.0) -> float:
+    def reserve(self, now: float, drained_in: float | None, spacing: float = 0.0) -> float:
         """Reserves the next free retry time and returns it in seconds from now.
 
         Args:
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/shown_failures.py
@@ -38,7 +38,7 @@
         return float(self.share * 0.5 ** (max(now - self.noted_at, 0.0) / HALF_LIFE_SECONDS))
 
 
-class ShownFailures:
+class RecentFailures:
     """Recent failures of the databases of a group, bounded in size."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def note(self, database_id: str, has_failed: bool, now: float, seconds: float = 0.0) -> None:
+    def record(self, database_id: str, has_failed: bool, now: float, seconds: float = 0.0) -> None:
         """Records an outcome at `now` (steady clock, seconds), `seconds` after the statement was
         sent."""
         failures = self._records.get(database_id)
@@ -63,7 +63,7 @@
         if has_failed:
             failures.lost_seconds += FAILURE_SMOOTHING_RATIO * (seconds - failures.lost_seconds)
 
-    def detour(self, database_id: str, now: float) -> float:
+    def expected_cost(self, database_id: str, now: float) -> float:
         """Returns the expected cost of failures at a database, in seconds for each statement."""
         failures = self._records.get(database_id)
         if failures is None:
--- a/src/dewledge/core/pooler/load/ticket.py
+++ b/src/dewledge/core/pooler/load/ticket.py
@@ -27,7 +27,7 @@
     priority: int
 
 
-def arrival_of(ticket: Ticket | None, priority: int, now: float) -> float:
+def effective_arrival(ticket: Ticket | None, priority: int, now: float) -> float:
     """Returns the arrival time of an operation: that of its ticket if it applies, otherwise now."""
     if ticket is None or ticket.priority != priority:
         return now
--- a/src/dewledge/core/pooler/load/wait_deadlines.py
+++ b/src/dewledge/core/pooler/load/wait_deadlines.py
@@ -20,7 +20,7 @@
 late statements."""
 MIN_CHECK_INTERVAL_SECONDS = 0.02
 """Minimum interval between two checks of a waiting statement."""
-EXHAUSTED_SECONDS = 0.4
+EXHAUSTED_AFTER_SECONDS = 0.4
 """A statement stops trying a database after this time, if the queue for the database still refuses
 it, or if the database has executed no statement of this process in this time. The rest of the
 statement's timeout, which is 0.8 s or more, is left for another database."""
--- a/src/dewledge/core/pooler/load/wait_queue.py
+++ b/src/dewledge/core/pooler/load/wait_queue.py
@@ -134,7 +134,7 @@
         """Corrects a charge by the actual cost, unless its level is empty."""
         level = self._levels.get(charge.level)
         if level is not None:
-            level.shares.settle(charge.flow, actual_cost - charge.cost)
+            level.shares.adjust_cost(charge.flow, actual_cost - charge.cost)
 
     def count_ahead(self, waiter: Waiter) -> int | None:
         """Returns the number of waiters before a waiter, None if it is not in the queue."""
@@ -171,7 +171,7 @@
         if level is None:
             return None
         now = level.shares.virtual_time
-        behind = (name for name in level.flows if level.shares.tag(name) > now)
+        behind = (name for name in level.flows if level.shares.start_tag(name) > now)
         flows = [level.flows[name] for name in behind if name != charge.flow]
         if not flows:
             return None
--- a/src/dewledge/core/pooler/load/wait_summaries.py
+++ b/src/dewledge/core/pooler/load/wait_summaries.py
@@ -10,7 +10,7 @@
 
 from dewledge.core.pooler.load.wait_counts import WaitCounts
 
-SUMMARY_SECONDS = 5.0
+SUMMARY_INTERVAL_SECONDS = 5.0
 """Interval between two summaries of a database, as often as metrics are usually collected."""
 
 
--- a/src/dewledge/core/pooler/pool/caller_openings.py
+++ b/src/dewledge/core/pooler/pool/caller_openings.py
@@ -109,7 +109,7 @@
     """
     servable: list[str] = []
     for waiter in waiters:
-        if waiter.demand is not Demand.OWN:
+        if waiter.demand is not Demand.INTERNAL:
             if free_slots < 1:
                 break
             free_slots -= 1
--- a/src/dewledge/core/pooler/pool/connection_dispatch.py
+++ b/src/dewledge/core/pooler/pool/connection_dispatch.py
@@ -76,4 +76,4 @@
         charge = self._waits.charge_served(waiter)
         is_single = waiter.demand is Demand.SINGLE
         connection.begin_loan(charge, self._clock(), is_single, waiter.priority)
-        waiter.given(connection)
+        waiter.on_assigned(connection)
--- a/src/dewledge/core/pooler/pool/connection_openings.py
+++ b/src/dewledge/core/pooler/pool/connection_openings.py
@@ -23,7 +23,7 @@
 """Time after a failed opening in which no other connection is opened."""
 LIMIT_BACKOFF_SECONDS = 0.3
 """Time without openings after the database refused one because of its connection limit."""
-MOST_OPENED_AHEAD = 2
+MAX_OPENED_AHEAD = 2
 """Connections; while this many are being opened, none is opened for a caller that was skipped in
 the queue (`CallerOpenings.open_ahead`). Each opening takes database capacity from statements."""
 
@@ -77,7 +77,7 @@
     def may_open_ahead(self, caller: str) -> bool:
         """Tells whether to open a connection for a caller that was skipped in the queue because it
         has none."""
-        is_free = self.total < MOST_OPENED_AHEAD and not self.by_caller[caller]
+        is_free = self.total < MAX_OPENED_AHEAD and not self.by_caller[caller]
         return is_free and not self.is_unreachable
 
     def clear_failure(self) -> None:
@@ -93,18 +93,18 @@
         self.by_caller[caller] += 1
         generation = self.generation
         began_at = self._clock()
-        self._silence.opening_begins(began_at)
+        self._silence.record_opening_started(began_at)
 
         def opened(connection: DatabaseConnection) -> None:
             connection.assign(caller, generation)
             self.by_caller[caller] -= 1
-            self._silence.opening_ends(began_at)
-            self._silence.note_sign()
+            self._silence.record_opening_ended(began_at)
+            self._silence.record_answer()
             self._outcomes.opened(connection, self._clock() - began_at)
 
         def failed(code: ErrorCode) -> None:
             self.by_caller[caller] -= 1
-            self._silence.opening_ends(began_at)
+            self._silence.record_opening_ended(began_at)
             is_limit = code is ErrorCode.CONNECTION_LIMIT
             backoff = LIMIT_BACKOFF_SECONDS if is_limit else OPEN_BACKOFF_SECONDS
             self._next_attempt_at = self._clock() + backoff
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -22,7 +22,7 @@
 from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
 from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_to_share import HeldToShare
+from dewledge.core.pooler.pool.held_to_share import OverFairShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.core.pooler.pool.pool_connections import PoolConnections
@@ -30,7 +30,7 @@
 from dewledge.core.pooler.pool.pool_waits import PoolWaits
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
-from dewledge.core.pooler.statements.statements import TAKES_SLOT, Reply, StatementKind
+from dewledge.core.pooler.statements.statements import SLOT_STATEMENTS, Reply, StatementKind
 from dewledge.core.shared.service_rate import ServiceRate
 from dewledge.errors import ErrorCode
 
@@ -76,7 +76,7 @@
         """
         self.database_id = database_id
         self.is_retired = False
-        self.served_at = -float("inf")
+        self.last_served_at = -float("inf")
         """When the database last executed a statement of this process."""
         self.slot_use = SlotUse()
         """Slot time by caller."""
@@ -178,7 +178,7 @@
         if self.is_retired:
             waiter.deny(Denial.CLOSED)
             return
-        if self._rejects_waiting(waiter) and not self._silence.may_probe():
+        if self._rejects_waiting(waiter) and not self._silence.try_probe():
             waiter.deny(Denial.UNREACHABLE)
             return
         self._waits.arrive(waiter)
@@ -190,7 +190,7 @@
         if isinstance(self._waits.add(waiter), WaitUntil):
             self._dispatch.serve_waiters()
 
-    def judge(self, waiter: Waiter) -> Verdict:
+    def recheck(self, waiter: Waiter) -> Verdict:
         """Refuses a waiting statement that can't be served in time, or returns when to check
         again."""
         if self._rejects_waiting(waiter):
@@ -202,16 +202,16 @@
             return WaitUntil(min(verdict.at, self._silent_from()))
         return verdict
 
-    def promise_return(self) -> float:
+    def reserve_retry_time(self) -> float:
         """Reserves a retry time for a statement that gave up here, in seconds from now."""
         return self._waits.reserve_retry_time(None)
 
-    def on_held_to_share(self, callback: Callable[[HeldToShare], None]) -> None:
+    def on_over_fair_share(self, callback: Callable[[OverFairShare], None]) -> None:
         """Sets the callback for callers over their fair share, which is called at most once a
         second."""
         self._waits.on_over_fair_share(callback)
 
-    def note_answer(
+    def record_answer(
         self,
         kind: StatementKind,
         reply: Reply,
@@ -230,10 +230,10 @@
                 refused.
             connection: The connection of this pool that the statement used.
         """
-        self._silence.note_sign()
-        is_served = kind in TAKES_SLOT and reply.failure is None
+        self._silence.record_answer()
+        is_served = kind in SLOT_STATEMENTS and reply.failure is None
         if is_served:
-            self.served_at = self._clock()
+            self.last_served_at = self._clock()
             if held_seconds is not None:
                 self._waits.rates.record_slot_time(held_seconds, self._clock())
                 self._settle(connection, held_seconds)
@@ -248,7 +248,7 @@
     def release(self, connection: DatabaseConnection) -> None:
         """Returns a connection to the pool; it is closed if its state is unknown."""
         self._connections.mark_returned(connection)
-        self._waits.rates.record_loan_time(self._clock() - connection.lent_at)
+        self._waits.rates.record_loan_time(self._clock() - connection.loan_began_at)
         connection.end_loan()
         has_capacity = not self.is_retired and self._connections.is_below_limit
         if has_capacity and self._connections.is_reusable(connection):
@@ -261,7 +261,7 @@
         """Closes connections that have been idle for too long, the longest idle first."""
         self._connections.idle.trim()
 
-    def renew(self, window: SlotWindow | None = None) -> None:
+    def switch_route(self, window: SlotWindow | None = None) -> None:
         """Switches to another route to the database: connections of the old route are closed."""
         self._openings.begin_generation()
         self._slots.replace_window(window)
@@ -274,7 +274,7 @@
         self._connections.idle.close_all()
         self._waits.deny_all(Denial.CLOSED)
 
-    def forget_failure(self) -> None:
+    def clear_failure(self) -> None:
         """Allows openings again at once after a failed one; for a changed route to the database."""
         self._openings.clear_failure()
 
@@ -290,13 +290,15 @@
         """
         if not self._slots.is_bounded:
             return float("inf")
-        return self._silence.begins_at(
+        return self._silence.silent_at(
             self._connections.in_use_connections, self._waits.rates.slot_seconds
         )
 
     def _rejects_waiting(self, waiter: Waiter) -> bool:
         """Tells whether a statement may not wait because the database is silent."""
-        return waiter.demand is not Demand.OWN and self._silence.turns_away(self._silent_from())
+        return waiter.demand is not Demand.INTERNAL and self._silence.detect_silence(
+            self._silent_from()
+        )
 
     def _settle(self, connection: DatabaseConnection | None, held_seconds: float) -> None:
         """Charges the caller of a statement for its actual slot time."""
--- a/src/dewledge/core/pooler/pool/database_connection.py
+++ b/src/dewledge/core/pooler/pool/database_connection.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.load.wait_queue import Charge
 from dewledge.core.pooler.statements.statements import (
-    OWN_STATEMENT_ID,
+    PROXY_STATEMENT_ID,
     Reply,
     Statement,
     StatementKind,
@@ -22,7 +22,7 @@
 """Called with the reply, or with None if the connection ended without one."""
 
 
-def ignore_holder(_state: HolderState) -> None:
+def ignore_holder_state(_state: HolderState) -> None:
     """Ignores a change of the holder's state; the default of `DatabaseConnection.holder_judged`."""
 
 
@@ -60,7 +60,7 @@
         """Latest start of the current statement that meets the latency target."""
         self.arrived = math.inf
         """When the operation of the current statement was first attempted; infinite if unknown."""
-        self.lent_at = 0.0
+        self.loan_began_at = 0.0
         """When the connection was assigned to its current statement."""
         self.charge: Charge | None = None
         """What the caller was charged for the current statement."""
@@ -69,13 +69,13 @@
         self.is_retiring = False
         """Whether the connection is not assigned again for now, because its link will close or the
         process at the other end of the link does not reply."""
-        self.holder_judged: Callable[[HolderState], None] = ignore_holder
+        self.on_holder_state: Callable[[HolderState], None] = ignore_holder_state
         """Called when the state of the process that holds the connection changes."""
         self._transport = transport
         self._callbacks: deque[ReplyCallback] = deque()
 
     @property
-    def unanswered(self) -> int:
+    def unanswered_count(self) -> int:
         """The number of statements sent whose replies are outstanding."""
         return len(self._callbacks)
 
@@ -88,7 +88,7 @@
     def begin_loan(self, charge: Charge, at: float, is_single: bool, priority: int) -> None:
         """Records that a statement uses the connection from `at` on (steady clock, seconds)."""
         self.charge = charge
-        self.lent_at = at
+        self.loan_began_at = at
         self.is_single = is_single
         self.priority = priority
 
@@ -111,11 +111,11 @@
         self._callbacks.append(callback)
         self._transport.send(statement, floor)
 
-    def send_own(
+    def send_internal(
         self, kind: StatementKind, callback: ReplyCallback, name: str = "", argument: str = ""
     ) -> None:
         """Sends an internal statement of the proxy."""
-        self.send(Statement(OWN_STATEMENT_ID, kind, name=name, argument=argument), callback)
+        self.send(Statement(PROXY_STATEMENT_ID, kind, name=name, argument=argument), callback)
 
     def on_reply(self, reply: Reply) -> None:
         """Passes a reply to the callback of the oldest unanswered statement."""
--- a/src/dewledge/core/pooler/pool/held_to_share.py
+++ b/src/dewledge/core/pooler/pool/held_to_share.py
@@ -14,7 +14,7 @@
 """Minimum interval between two reports, which limits a busy pool to one log line a second."""
 
 
-class HeldToShare(msgspec.Struct, frozen=True):
+class OverFairShare(msgspec.Struct, frozen=True):
     """A statement was served before earlier ones of a caller over its fair share.
 
     Attributes:
@@ -35,10 +35,10 @@
 
     def __init__(self, queue: WaitQueue[Waiter]) -> None:
         self._queue = queue
-        self._callback: Callable[[HeldToShare], None] = lambda report: None
+        self._callback: Callable[[OverFairShare], None] = lambda report: None
         self._reported_at = -math.inf
 
-    def on_over_share(self, callback: Callable[[HeldToShare], None]) -> None:
+    def on_over_share(self, callback: Callable[[OverFairShare], None]) -> None:
         """Sets the callback for reports, which is called at most once a second."""
         self._callback = callback
 
@@ -54,4 +54,4 @@
             return
         self._reported_at = now
         waited = now - first.deadlines.came
-        self._callback(HeldToShare(first.caller, waiting, waited, served.caller))
+        self._callback(OverFairShare(first.caller, waiting, waited, served.caller))
--- a/src/dewledge/core/pooler/pool/pool_connections.py
+++ b/src/dewledge/core/pooler/pool/pool_connections.py
@@ -40,7 +40,7 @@
     def running(self) -> int:
         """The number of single statements with a connection, and of transactions with an unanswered
         statement."""
-        return sum(each.is_single or each.unanswered > 0 for each in self.in_use_connections)
+        return sum(each.is_single or each.unanswered_count > 0 for each in self.in_use_connections)
 
     @property
     def is_below_limit(self) -> bool:
@@ -69,7 +69,7 @@
 
     def is_reusable(self, connection: DatabaseConnection) -> bool:
         """Tells whether a released connection has a known state and uses the current route."""
-        if connection.closed or connection.unanswered or connection.is_retiring:
+        if connection.closed or connection.unanswered_count or connection.is_retiring:
             return False
         return connection.generation == self.openings.generation
 
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -15,11 +15,11 @@
     PoolingEvent,
 )
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
-from dewledge.core.pooler.pool.held_to_share import HeldToShare
+from dewledge.core.pooler.pool.held_to_share import OverFairShare
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.sharing.holders import Holding
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 CHANNELS_PER_DATABASE = 64
 """Statements that a process may send through the holders of a database concurrently; the holders
@@ -47,14 +47,14 @@
         self, database_id: str, limit: int, opener: Opener, holding: Holding
     ) -> ConnectionPool:
         """Returns a pool of up to `limit` connections."""
-        window = self.window(database_id, holding)
+        window = self.create_window(database_id, holding)
         silence = self._create_silence(database_id)
         rules = PoolRules(silence, self._is_fair)
         pool = ConnectionPool(database_id, limit, opener, self._clock, window, rules)
-        pool.on_held_to_share(lambda report: self._log_over_fair_share(database_id, report))
+        pool.on_over_fair_share(lambda report: self._log_over_fair_share(database_id, report))
         return pool
 
-    def window(self, database_id: str, holding: Holding) -> SlotWindow | None:
+    def create_window(self, database_id: str, holding: Holding) -> SlotWindow | None:
         """Returns the limit of concurrent statements; None if connection holders apply their
         own."""
         if not holding.is_direct:
@@ -70,13 +70,13 @@
 
     def _create_silence(self, database_id: str) -> DatabaseSilence:
         def changed(is_silent: bool, seconds: float) -> None:
-            lasted_ms = int(seconds * MILLISECONDS)
+            lasted_ms = int(seconds * MILLISECONDS_PER_SECOND)
             self._record(DatabaseSilenceJudged(self._group, database_id, is_silent, lasted_ms))
 
         return DatabaseSilence(self._clock, self._judges_silence, changed)
 
-    def _log_over_fair_share(self, database_id: str, report: HeldToShare) -> None:
-        waited_ms = int(report.waited_seconds * MILLISECONDS)
+    def _log_over_fair_share(self, database_id: str, report: OverFairShare) -> None:
+        waited_ms = int(report.waited_seconds * MILLISECONDS_PER_SECOND)
         self._record(
             CallerHeldToShare(
                 self._group, database_id, report.caller, report.waiting, waited_ms, report.served
--- a/src/dewledge/core/pooler/pool/pool_slots.py
+++ b/src/dewledge/core/pooler/pool/pool_slots.py
@@ -44,7 +44,7 @@
 
     def may_run(self, waiter: Waiter) -> bool:
         """Tells whether a statement may be sent to the database now; an internal one always may."""
-        if self._window is None or waiter.demand is Demand.OWN:
+        if self._window is None or waiter.demand is Demand.INTERNAL:
             return True
         return self._window.allows(self._connections.running)
 
@@ -63,7 +63,7 @@
     def record_served(self) -> None:
         """Records that the database executed a statement."""
         if self._window is not None:
-            self._window.note_served(self._connections.limit)
+            self._window.record_served(self._connections.limit)
 
     def record_refused(self, now: float) -> None:
         """Records that the database refused a statement because its slots are in use."""
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -7,13 +7,13 @@
 
 from collections.abc import Callable
 
-from dewledge.core.pooler.load.return_moments import ReturnMoments
+from dewledge.core.pooler.load.return_moments import RetrySchedule
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitRecord
 from dewledge.core.pooler.load.wait_deadlines import QueuePriority, may_wait, next_check_at
 from dewledge.core.pooler.load.wait_estimate import Capacity, ExpectedWait, SlotRates, WaitEstimate
 from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, single_flow
-from dewledge.core.pooler.pool.held_to_share import FairShareWatch, HeldToShare
+from dewledge.core.pooler.pool.held_to_share import FairShareWatch, OverFairShare
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
 MIN_COST_SECONDS = 0.001
@@ -41,7 +41,7 @@
         """
         self._clock = clock
         self._capacity = capacity
-        self._retry_schedule = ReturnMoments()
+        self._retry_schedule = RetrySchedule()
         self._estimate = WaitEstimate(capacity)
         self._flow_of = caller_of if is_fair else single_flow
         self.queue: WaitQueue[Waiter] = WaitQueue(self._flow_of, self._usual_cost)
@@ -53,7 +53,7 @@
         """The usual times of statements, loans and openings."""
         return self._estimate.rates
 
-    def on_over_fair_share(self, callback: Callable[[HeldToShare], None]) -> None:
+    def on_over_fair_share(self, callback: Callable[[OverFairShare], None]) -> None:
         """Sets the callback for callers over their fair share, which is called at most once a
         second."""
         self._fair_share_watch.on_over_share(callback)
@@ -90,7 +90,7 @@
         """
         drained_in = None if expected is None else expected.seconds
         spacing = self.rates.service_interval(self._capacity().places)
-        return self._retry_schedule.promise(self._clock(), drained_in, spacing)
+        return self._retry_schedule.reserve(self._clock(), drained_in, spacing)
 
     def charge_served(self, waiter: Waiter) -> Charge:
         """Records that a statement gets a connection, and returns what its caller is charged.
@@ -136,7 +136,7 @@
         self.queue.remove(waiter)
         self.record.record_refused(waiter.deadlines.latest_start)
         refusal = Refuse(RefusalCause.NO_ROOM_IN_TIME, self.reserve_retry_time(expected))
-        waiter.deny(Denial.NO_ROOM, refusal, expected)
+        waiter.deny(Denial.NO_SLOT, refusal, expected)
         return refusal
 
     def _usual_cost(self) -> float:
@@ -148,7 +148,7 @@
         A late statement is skipped until it is in order of arrival again, and waits from there.
         """
         ahead = self.queue.count_ahead(waiter)
-        if ahead is None or waiter.demand is Demand.OWN:
+        if ahead is None or waiter.demand is Demand.INTERNAL:
             return None
         now = self._clock()
         expected = self._estimate.expected_wait(ahead, now)
--- a/src/dewledge/core/pooler/pool/slot_window.py
+++ b/src/dewledge/core/pooler/pool/slot_window.py
@@ -19,7 +19,7 @@
 CUT_RATIO = 0.75
 """Part of the size that remains after a refusal. More than the half of TCP, since a refused
 statement costs a few milliseconds and an unused slot a whole statement."""
-CUT_SPACING_SECONDS = 0.05
+MIN_CUT_INTERVAL_SECONDS = 0.05
 """Minimum interval between two cuts: refusals within it have the same cause."""
 MIN_SIZE = 1.0
 """Statements that are always allowed: at least one must be sent to find out whether a slot is
@@ -67,7 +67,7 @@
         """Returns how many more statements may be sent beside `running` ones."""
         return max(int(self._size) - running, 0)
 
-    def note_served(self, max_size: int) -> None:
+    def record_served(self, max_size: int) -> None:
         """Records an executed statement; `max_size` is the current maximum size."""
         self._max_size = max_size
         self._size = min(self._size + GROWTH_PER_STATEMENT / self._size, float(max(max_size, 1)))
@@ -77,7 +77,7 @@
 
     def record_refused(self, now: float) -> None:
         """Records a statement that the database refused because its slots are in use."""
-        if now >= self._cut_at + CUT_SPACING_SECONDS:
+        if now >= self._cut_at + MIN_CUT_INTERVAL_SECONDS:
             self._cut_at = now
             self._size = max(self._size * CUT_RATIO, MIN_SIZE)
         if not self.is_full and now >= self._reported_at + MIN_REPORT_INTERVAL_SECONDS:
--- a/src/dewledge/core/pooler/pool/wait_event.py
+++ b/src/dewledge/core/pooler/pool/wait_event.py
@@ -3,7 +3,7 @@
 from dewledge.core.pooler.events import WaitRefused
 from dewledge.core.pooler.load.verdict import RefusalCause
 from dewledge.core.pooler.pool.waiter import Waiter
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 
 def wait_refused(
@@ -17,8 +17,10 @@
         database=database,
         statement=statement,
         cause=RefusalCause.NO_ROOM_IN_TIME if refusal is None else refusal.cause,
-        expected_ms=-1 if wait is None else int(wait.seconds * MILLISECONDS),
-        age_ms=0 if wait is None else int(wait.age_seconds * MILLISECONDS),
-        left_ms=int(remaining * MILLISECONDS),
-        come_back_ms=0 if refusal is None else int(refusal.come_back_seconds * MILLISECONDS),
+        expected_ms=-1 if wait is None else int(wait.seconds * MILLISECONDS_PER_SECOND),
+        age_ms=0 if wait is None else int(wait.age_seconds * MILLISECONDS_PER_SECOND),
+        left_ms=int(remaining * MILLISECONDS_PER_SECOND),
+        come_back_ms=0
+        if refusal is None
+        else int(refusal.come_back_seconds * MILLISECONDS_PER_SECOND),
     )
--- a/src/dewledge/core/pooler/pool/waiter.py
+++ b/src/dewledge/core/pooler/pool/waiter.py
@@ -30,12 +30,12 @@
     Attributes:
         UNREACHABLE: No connection could be opened, or the database has stopped answering.
         CLOSED: The pool is retired.
-        NO_ROOM: No slot is expected to be free before the deadline of the statement.
+        NO_SLOT: No slot is expected to be free before the deadline of the statement.
     """
 
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
-    NO_ROOM = "no_room"
+    NO_SLOT = "no_room"
 
 
 class Demand(IntEnum):
@@ -49,7 +49,7 @@
             not all can be.
     """
 
-    OWN = 0
+    INTERNAL = 0
     SINGLE = 1
     TRANSACTION = 2
 
@@ -67,7 +67,7 @@
         "demand",
         "on_denied",
         "expected",
-        "given",
+        "on_assigned",
         "priority",
         "queued_rank",
         "refusal",
@@ -79,7 +79,7 @@
         priority: int,
         given: Callable[[DatabaseConnection], None],
         denied: Callable[[Denial], None],
-        demand: Demand = Demand.OWN,
+        demand: Demand = Demand.INTERNAL,
         caller: str = NO_CALLER,
         deadlines: WaitDeadlines | None = None,
     ) -> None:
@@ -96,7 +96,7 @@
         self.caller = caller
         self.priority = priority
         self.demand = demand
-        self.given = given
+        self.on_assigned = given
         self.on_denied = denied
         self.queued_rank: Rank | None = None
         """Rank of the statement while it is in a queue; set by the queue."""
--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 
 
-class Wish(msgspec.Struct, frozen=True):
+class AdmissionRequest(msgspec.Struct, frozen=True):
     """A request to admit an operation of `caller`.
 
     statement_timeout: seconds, for waiting and serving together. kept: the token reserved by an
@@ -43,11 +43,11 @@
     kept: KeptToken | None = None
 
 
-Decided = Callable[[Refusal | None], None]
+OnDecided = Callable[[Refusal | None], None]
 """Called with None once the operation may begin, or with the refusal."""
 
 
-class Application:
+class PendingAdmission:
     """An operation that waits to be admitted. Times are in seconds of the steady clock."""
 
     __slots__ = (
@@ -62,10 +62,12 @@
         "urgency",
     )
 
-    def __init__(self, wish: Wish, now: float, number: int, on_decided: Decided) -> None:
+    def __init__(
+        self, request: AdmissionRequest, now: float, number: int, on_decided: OnDecided
+    ) -> None:
         """`number`: of the operation in its key at the grantor; 0: no token is reserved for it."""
-        self.caller = wish.caller
-        self.urgency = wish.urgency
+        self.caller = request.caller
+        self.urgency = request.urgency
         self.number = number
         self.max_wait = 0.0
         """Seconds for which the operation can be held and still meet its latency target."""
@@ -95,7 +97,7 @@
         """Ends the wait: the token should be available now."""
         self.is_held = False
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """Cancels the request, because the client has disconnected; the callback is not called."""
         self.is_over = True
 
@@ -109,21 +111,21 @@
 class Admission(Protocol):
     """Decides whether operations may begin."""
 
-    def apply(self, wish: Wish, decided: Decided) -> Application:
+    def submit(self, request: AdmissionRequest, on_decided: OnDecided) -> PendingAdmission:
         """Requests admission; calls `decided` once, possibly before returning."""
 
-    def note_served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         """Records the time from an operation's admission to its first answer."""
 
 
-class AdmitsAll:
+class AdmitAll:
     """Admits every operation; used where no caller has a limit."""
 
-    def apply(self, wish: Wish, decided: Decided) -> Application:
+    def submit(self, request: AdmissionRequest, on_decided: OnDecided) -> PendingAdmission:
         """Admits the operation at once."""
-        application = Application(wish, 0.0, 0, decided)
+        application = PendingAdmission(request, 0.0, 0, on_decided)
         application.decide(None)
         return application
 
-    def note_served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         """Ignores the time, because no operation waits here."""
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -15,7 +15,12 @@
 from collections.abc import Collection, Mapping
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
+from dewledge.core.pooler.rate_limits.admission import (
+    AdmissionRequest,
+    OnDecided,
+    PendingAdmission,
+    Refusal,
+)
 from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.rate_limits.limits import TOKEN_LIFETIME_SECONDS, QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowances import LocalAllowances
@@ -23,7 +28,7 @@
 from dewledge.core.pooler.rate_limits.questions import Questions, SendQuestion
 from dewledge.core.pooler.rate_limits.retry_times import DEFAULT_RETRY_MS
 from dewledge.core.pooler.rate_limits.slot_voters import (
-    SEARCH_SPACING_SECONDS,
+    SEARCH_INTERVAL_SECONDS,
     VOTE_INTERVAL_SECONDS,
     SlotVoters,
 )
@@ -33,7 +38,7 @@
     hold_or_refuse,
 )
 from dewledge.core.pooler.scheduling import Scheduler
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 QUESTION_RETRY_SECONDS = 0.09
 """Seconds after which an unanswered question is asked again: two round trips between regions."""
@@ -92,22 +97,22 @@
         """Returns the process that grants a caller's tokens to this one, or "" if none is known."""
         return self._voters.grantor_of(caller)
 
-    def apply(self, wish: Wish, decided: Decided) -> Application:
+    def submit(self, request: AdmissionRequest, on_decided: OnDecided) -> PendingAdmission:
         """Requests admission of an operation; see `Admission`."""
         now = self._scheduler.now()
-        pending = Application(wish, now, self._number_of(wish), decided)
-        if wish.caller not in self._limits:
+        pending = PendingAdmission(request, now, self._number_of(request), on_decided)
+        if request.caller not in self._limits:
             pending.decide(None)
             return pending
         pending.set_hold_limits(
-            now + self._hold_seconds(wish),
-            self._hold_times.max_wait_seconds(wish.target_latency, wish.statement_timeout),
+            now + self._hold_seconds(request),
+            self._hold_times.max_wait_seconds(request.target_latency, request.statement_timeout),
         )
         self._set_answer_deadline(pending)
         self._ask(pending)
         return pending
 
-    def note_served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         """Records the time from an operation's token to its first answer."""
         self._hold_times.record_served(seconds)
 
@@ -118,9 +123,9 @@
         now = self._scheduler.now()
         has_all_grantors = self._voters.tick(now)
         self._questions.forget_unanswered(now)
-        return VOTE_INTERVAL_SECONDS if has_all_grantors else SEARCH_SPACING_SECONDS
+        return VOTE_INTERVAL_SECONDS if has_all_grantors else SEARCH_INTERVAL_SECONDS
 
-    def take_answer(self, answer: QuotaAnswer) -> None:
+    def handle_answer(self, answer: QuotaAnswer) -> None:
         """Handles a grantor's answer: applies its grants to the operations that asked."""
         asked = self._questions.match_answer(answer)
         if asked is None:
@@ -133,18 +138,18 @@
         for pending in asked.applications:
             self._apply_grant(pending, grants.get(pending.caller), asked.sent_at)
 
-    def _hold_seconds(self, wish: Wish) -> float:
-        if not wish.keeps:
+    def _hold_seconds(self, request: AdmissionRequest) -> float:
+        if not request.keeps:
             return FIXED_HOLD_SECONDS
-        return self._hold_times.hold_seconds(wish.statement_timeout)
+        return self._hold_times.hold_seconds(request.statement_timeout)
 
-    def _number_of(self, wish: Wish) -> int:
+    def _number_of(self, request: AdmissionRequest) -> int:
         """Returns the operation's number: that of its reservation, or a new one."""
-        if not wish.keeps:
+        if not request.keeps:
             return 0
-        return next(self._numbers) if wish.kept is None else wish.kept.number
+        return next(self._numbers) if request.kept is None else request.kept.number
 
-    def _set_answer_deadline(self, pending: Application) -> None:
+    def _set_answer_deadline(self, pending: PendingAdmission) -> None:
         """Allows time for an answer, and for finding another grantor if this one is lost."""
         now = self._scheduler.now()
         voter = self._voters.voter(self._voters.slot_of(pending.caller))
@@ -154,7 +159,7 @@
             max(now + ANSWER_TIMEOUT_SECONDS, takeover_deadline, search_deadline)
         )
 
-    def _ask(self, pending: Application) -> None:
+    def _ask(self, pending: PendingAdmission) -> None:
         """Asks the grantor, waits for one if none is known, or decides locally at the deadline."""
         if pending.is_over or pending.is_held:
             return
@@ -175,24 +180,27 @@
 
         self._scheduler.call_later(wait, unanswered)
 
-    def _apply_grant(self, pending: Application, grant: TokenGrant | None, sent_at: float) -> None:
+    def _apply_grant(
+        self, pending: PendingAdmission, grant: TokenGrant | None, sent_at: float
+    ) -> None:
         if grant is None:
             self._ask(pending)
         elif grant.count == 0:
             self._hold_or_refuse(pending, grant)
         elif (
-            self._scheduler.now() <= sent_at + TOKEN_LIFETIME_SECONDS - grant.age_ms / MILLISECONDS
+            self._scheduler.now()
+            <= sent_at + TOKEN_LIFETIME_SECONDS - grant.age_ms / MILLISECONDS_PER_SECOND
         ):
             pending.decide(None)
         else:
             self._ask(pending)
 
-    def _hold_or_refuse(self, pending: Application, grant: TokenGrant) -> None:
+    def _hold_or_refuse(self, pending: PendingAdmission, grant: TokenGrant) -> None:
         """Holds the operation if it can still be served after its token, otherwise refuses it."""
         if pending.is_held or pending.is_over:
             return
         now = self._scheduler.now()
-        token_delay = grant.come_back_ms / MILLISECONDS
+        token_delay = grant.come_back_ms / MILLISECONDS_PER_SECOND
         verdict = hold_or_refuse(now, pending.hold_until, token_delay, grant.refuses)
         if isinstance(verdict, WaitUntil):
             pending.hold()
@@ -200,13 +208,13 @@
         elif isinstance(verdict, Refuse):
             pending.decide(_refusal(pending, verdict, grant.is_kept, now))
 
-    def _redeem(self, pending: Application) -> None:
+    def _redeem(self, pending: PendingAdmission) -> None:
         """Asks the grantor again, now that the operation's token should be available."""
         pending.end_hold()
         self._set_answer_deadline(pending)
         self._ask(pending)
 
-    def _wait_for_grantor(self, pending: Application) -> None:
+    def _wait_for_grantor(self, pending: PendingAdmission) -> None:
         """Admits the operation by the local allowance, or checks for a grantor again later."""
         if self._admit_locally(pending.caller):
             pending.decide(None)
@@ -216,7 +224,7 @@
         wait = min(pending.answer_deadline - now, GRANTOR_RECHECK_SECONDS)
         self._scheduler.call_later(wait, lambda: self._ask(pending))
 
-    def _decide_locally(self, pending: Application) -> None:
+    def _decide_locally(self, pending: PendingAdmission) -> None:
         """Admits the operation by the local allowance, or refuses it, without a grantor."""
         if self._admit_locally(pending.caller):
             pending.decide(None)
@@ -228,10 +236,10 @@
         return self._allowances.admit(caller, self._scheduler.now(), voter.vote_valid_until)
 
 
-def _refusal(pending: Application, verdict: Refuse, is_reserved: bool, now: float) -> Refusal:
+def _refusal(pending: PendingAdmission, verdict: Refuse, is_reserved: bool, now: float) -> Refusal:
     reservation = None
     if is_reserved:
         retry_at = now + verdict.come_back_seconds
         reservation = KeptToken(pending.caller, pending.number, retry_at)
-    retry_after_ms = math.ceil(verdict.come_back_seconds * MILLISECONDS)
+    retry_after_ms = math.ceil(verdict.come_back_seconds * MILLISECONDS_PER_SECOND)
     return Refusal(retry_after_ms, verdict.cause, reservation)
--- a/src/dewledge/core/pooler/rate_limits/grantor.py
+++ b/src/dewledge/core/pooler/rate_limits/grantor.py
@@ -23,7 +23,7 @@
 from dewledge.core.pooler.rate_limits.slot_grants import SlotGrants
 from dewledge.core.pooler.rate_limits.slots import Slot, update_voters, voters_of
 from dewledge.core.pooler.rate_limits.vote_fraction import VoteFraction
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 
 class GrantorChanged(msgspec.Struct, frozen=True):
@@ -89,7 +89,7 @@
             state.vote_fraction.restart_filling()
             state.grants.drop_unlimited(limits)
 
-    def take_question(self, question: QuotaQuestion, now: float) -> QuotaAnswer:
+    def answer_question(self, question: QuotaQuestion, now: float) -> QuotaAnswer:
         """Counts the question's vote, grants tokens, and returns the answer."""
         slot = question.slot
         state = self._slots.get(slot)
@@ -130,5 +130,5 @@
         limit = self._limits.get(want.caller)
         if limit is None:
             # The asker has another configuration; the limit may be new.
-            return TokenGrant(want.caller, 0, int(VOTE_LIFETIME_SECONDS * MILLISECONDS))
+            return TokenGrant(want.caller, 0, int(VOTE_LIFETIME_SECONDS * MILLISECONDS_PER_SECOND))
         return state.grants.grant(asker, want, limit, now)
--- a/src/dewledge/core/pooler/rate_limits/kept_tokens.py
+++ b/src/dewledge/core/pooler/rate_limits/kept_tokens.py
@@ -26,7 +26,7 @@
     return_at: float
 
 
-class KeptTokens:
+class TokenReservations:
     """A session's reservations.
 
     A retry does not say which refused operation it repeats. Each new operation therefore uses the
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._reservations: deque[KeptToken] = deque(maxlen=MAX_RESERVATIONS)
 
-    def keep(self, reservation: KeptToken) -> None:
+    def add(self, reservation: KeptToken) -> None:
         """Adds a reservation; drops the oldest if there are too many."""
         self._reservations.append(reservation)
 
--- a/src/dewledge/core/pooler/rate_limits/questions.py
+++ b/src/dewledge/core/pooler/rate_limits/questions.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.rate_limits.admission import Application
+from dewledge.core.pooler.rate_limits.admission import PendingAdmission
 from dewledge.core.pooler.rate_limits.messages import (
     MAX_WAIT_MS,
     QuotaAnswer,
@@ -20,7 +20,7 @@
 from dewledge.core.pooler.rate_limits.slots import Slot
 from dewledge.core.pooler.rate_limits.voter import Voter
 from dewledge.core.pooler.scheduling import Scheduler
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 QUESTION_RETENTION_SECONDS = 1.0
 """Seconds after which a question without an answer is forgotten. Longer than any operation waits
@@ -39,7 +39,7 @@
 
     slot: Slot
     sent_at: float
-    applications: tuple[Application, ...] = ()
+    applications: tuple[PendingAdmission, ...] = ()
     withdraws: bool = False
 
 
@@ -53,7 +53,7 @@
         self._numbers = itertools.count(1)
         self._pending: dict[int, PendingQuestion] = {}
 
-    def ask(self, slot: Slot, voter: Voter, pending: tuple[Application, ...] = ()) -> int:
+    def ask(self, slot: Slot, voter: Voter, pending: tuple[PendingAdmission, ...] = ()) -> int:
         """Asks the voter's candidate, with a vote if one may be sent; returns the number.
 
         pending: the operations to request a token for.
@@ -106,8 +106,8 @@
         return number
 
 
-def _token_want(pending: Application) -> TokenWant:
-    max_wait_ms = min(pending.max_wait * MILLISECONDS, MAX_WAIT_MS)
+def _token_want(pending: PendingAdmission) -> TokenWant:
+    max_wait_ms = min(pending.max_wait * MILLISECONDS_PER_SECOND, MAX_WAIT_MS)
     return TokenWant(
         pending.caller,
         place=pending.number,
--- a/src/dewledge/core/pooler/rate_limits/slot_grants.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_grants.py
@@ -18,7 +18,7 @@
 from dewledge.core.pooler.rate_limits.token_bucket import TokenBucket
 from dewledge.core.pooler.rate_limits.token_queue import Granted
 from dewledge.core.pooler.rate_limits.vote_fraction import VoteFraction
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 
 class SlotGrants:
@@ -47,7 +47,7 @@
         vote_fraction = self._vote_fraction
         queues = self._queues_of(want.caller, limit)
         key = QueueKey(asker, want.place) if want.place else None
-        max_wait = want.bears_ms / MILLISECONDS
+        max_wait = want.bears_ms / MILLISECONDS_PER_SECOND
         result = queues.ask(
             want.urgency,
             key,
@@ -57,9 +57,9 @@
             max_wait,
         )
         if isinstance(result, Granted):
-            age_ms = math.ceil(result.age * MILLISECONDS)
+            age_ms = math.ceil(result.age * MILLISECONDS_PER_SECOND)
             return TokenGrant(want.caller, 1, 0, age_ms=age_ms)
-        milliseconds = math.ceil(result.seconds * MILLISECONDS)
+        milliseconds = math.ceil(result.seconds * MILLISECONDS_PER_SECOND)
         is_reserved = result.is_kept or result.is_own
         return TokenGrant(want.caller, 0, milliseconds, is_reserved, refuses=result.is_refused)
 
--- a/src/dewledge/core/pooler/rate_limits/slot_voters.py
+++ b/src/dewledge/core/pooler/rate_limits/slot_voters.py
@@ -24,7 +24,7 @@
 VOTE_INTERVAL_SECONDS = 0.3
 """Seconds between two votes while every grantor is known: a third of the lifetime of a vote, so
 that two may be lost."""
-SEARCH_SPACING_SECONDS = 0.1
+SEARCH_INTERVAL_SECONDS = 0.1
 """Seconds between two questions while a grantor is not known: some round trips between regions."""
 
 
@@ -141,7 +141,7 @@
             self._questions.probe(slot, name)
         for name in voter.pending_withdrawals(now):
             self._questions.withdraw(slot, name)
-        if voter.is_poll_due(now, VOTE_INTERVAL_SECONDS, SEARCH_SPACING_SECONDS):
+        if voter.is_poll_due(now, VOTE_INTERVAL_SECONDS, SEARCH_INTERVAL_SECONDS):
             self._questions.ask(slot, voter)
 
     def _repartition(self) -> None:
--- a/src/dewledge/core/pooler/rate_limits/token_wait.py
+++ b/src/dewledge/core/pooler/rate_limits/token_wait.py
@@ -8,7 +8,7 @@
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.rate_limits.retry_times import retry_seconds
-from dewledge.core.shared.service_rate import UsualTime
+from dewledge.core.shared.service_rate import TypicalMaxTime
 
 SERVING_SMOOTHING_RATIO = 0.05
 """Ratio by which a new serving time changes the running mean: some tens of operations count."""
@@ -24,7 +24,7 @@
     """How long operations may be held, given how long admitted operations take to serve."""
 
     def __init__(self) -> None:
-        self._serving_time = UsualTime(SERVING_SMOOTHING_RATIO)
+        self._serving_time = TypicalMaxTime(SERVING_SMOOTHING_RATIO)
 
     @property
     def serving_seconds(self) -> float:
@@ -33,7 +33,7 @@
 
     def record_served(self, seconds: float) -> None:
         """Records the time from an operation's token to its first statement's answer."""
-        self._serving_time.note(seconds)
+        self._serving_time.record(seconds)
 
     def hold_seconds(self, statement_timeout: float) -> float:
         """Returns how long an operation may be held and still be served before its timeout."""
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -19,7 +19,7 @@
 from dewledge.core.pooler.sessions.session_start import SessionStart
 from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
 from dewledge.core.pooler.sessions.session_transactions import SessionTransactions
-from dewledge.core.pooler.statements.come_back import COME_BACK_ENDING_MS, refusal
+from dewledge.core.pooler.statements.come_back import RETRY_AFTER_STOPPING_MS, refusal
 from dewledge.core.pooler.statements.statement_run import StatementRun
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import (
@@ -100,7 +100,7 @@
         self._is_handling_batch = False
         self._close_if_requested()
 
-    def leave(self) -> None:
+    def close_when_idle(self) -> None:
         """Closes the session as soon as it is idle, for a planned stop."""
         self._closes_when_idle = True
         self._close_if_requested()
@@ -113,7 +113,7 @@
         if self._state is not None and not self._is_busy:
             self._transactions.end_idle(self._state, reason)
 
-    def end_if_denied(self) -> None:
+    def end_transaction_if_unauthorized(self) -> None:
         """Rolls back an idle transaction if the client's credential is no longer valid."""
         state = self._state
         if state is None or state.transaction is None:
@@ -121,7 +121,7 @@
         if not self._authorization.is_transaction_authorized(state):
             self.end_transaction("token_taken_away")
 
-    def resting_since(self) -> float | None:
+    def idle_since(self) -> float | None:
         """Returns when the open transaction last used its connection (steady clock, seconds).
 
         None while a statement is being answered, and without a transaction that has a connection.
@@ -209,7 +209,7 @@
 
     def _run_single_statement(self, state: SessionState, statement: Statement) -> None:
         if self._services.is_ending:
-            refused = refusal(ErrorCode.OVERLOADED, COME_BACK_ENDING_MS)
+            refused = refusal(ErrorCode.OVERLOADED, RETRY_AFTER_STOPPING_MS)
             self._fail(state, statement.id, refused)
             return
         route = self._authorized_route(state, statement)
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -11,13 +11,13 @@
 
 from dewledge.core.pooler.events import OperationHeld, OperationNotAdmitted
 from dewledge.core.pooler.load.ticket import Ticket
-from dewledge.core.pooler.rate_limits.admission import Application, Refusal, Wish
-from dewledge.core.pooler.rate_limits.kept_tokens import KeptTokens
+from dewledge.core.pooler.rate_limits.admission import AdmissionRequest, PendingAdmission, Refusal
+from dewledge.core.pooler.rate_limits.kept_tokens import TokenReservations
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
 from dewledge.core.pooler.statements.statements import Statement
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 MIN_LOGGED_WAIT_MS = 100
 """Milliseconds: shortest wait for a rate-limit token that is logged; longer than a network round
@@ -41,9 +41,9 @@
     def __init__(self, session: str, services: PoolServices) -> None:
         self._session = session
         self._services = services
-        self._application: Application | None = None
+        self._application: PendingAdmission | None = None
         """Pending request for admission of an operation, None for none."""
-        self._reserved_tokens = KeptTokens()
+        self._reserved_tokens = TokenReservations()
         """Rate-limit tokens reserved for operations of this session that were refused."""
 
     @property
@@ -71,7 +71,9 @@
                 self._application = None
                 on_decided(self._decide(state, route, statement, refusal, arrived))
 
-        application = self._services.admission.apply(self._admission_request(state, route), receive)
+        application = self._services.admission.submit(
+            self._admission_request(state, route), receive
+        )
         if outcome:
             on_decided(self._decide(state, route, statement, outcome[0], arrived))
         else:
@@ -80,20 +82,20 @@
     def withdraw(self) -> None:
         """Withdraws a pending request: the client has left."""
         if self._application is not None:
-            self._application.withdraw()
+            self._application.cancel()
             self._application = None
 
     def record_served(self, admitted_at: float) -> None:
         """Records that an admitted operation's first statement was answered without a failure."""
         now = self._services.scheduler.now()
-        self._services.admission.note_served(now - admitted_at)
+        self._services.admission.record_served(now - admitted_at)
 
-    def _admission_request(self, state: SessionState, route: Route) -> Wish:
+    def _admission_request(self, state: SessionState, route: Route) -> AdmissionRequest:
         """Returns the request for admission, with a token reserved for this session if any."""
         reserved = self._reserved_tokens.redeem(state.caller, self._services.scheduler.now())
         policy = self._services.load_policy
         urgency = route.priority if policy.urgent_tokens else 0
-        return Wish(
+        return AdmissionRequest(
             state.caller,
             route.statement_timeout,
             reserved,
@@ -111,7 +113,7 @@
         arrived: float,
     ) -> AdmissionDecision:
         decision = AdmissionDecision(refusal, arrived, self._services.scheduler.now())
-        waited_ms = int((decision.decided_at - arrived) * MILLISECONDS)
+        waited_ms = int((decision.decided_at - arrived) * MILLISECONDS_PER_SECOND)
         if refusal is not None:
             self._store_reservation(state, route, refusal, arrived)
             self._record_refusal(state, route, statement, refusal, waited_ms)
@@ -124,7 +126,7 @@
         self, state: SessionState, route: Route, refusal: Refusal, arrived: float
     ) -> None:
         if refusal.kept is not None:
-            self._reserved_tokens.keep(refusal.kept)
+            self._reserved_tokens.add(refusal.kept)
             state.ticket = Ticket(arrived, refusal.kept.return_at, route.priority)
 
     def _record_refusal(
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -9,8 +9,8 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.events import PoolingEvent
 from dewledge.core.pooler.load.policy import LoadPolicy
-from dewledge.core.pooler.load.return_moments import ReturnMoments
-from dewledge.core.pooler.rate_limits.admission import Admission, AdmitsAll
+from dewledge.core.pooler.load.return_moments import RetrySchedule
+from dewledge.core.pooler.rate_limits.admission import Admission, AdmitAll
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.pooler.sessions.denials import DenialLog
 from dewledge.core.pooler.sessions.routes import EMPTY_ROUTE_TABLE, RouteTable
@@ -43,15 +43,15 @@
         """Which decisions under load are enabled."""
         self.denials = DenialLog(scheduler, record)
         """Log of sessions that presented an unknown credential."""
-        self.second_reads = RetryBudget(READ_RETRY_RATIO, READ_RETRY_RESERVE)
+        self.read_retry_budget = RetryBudget(READ_RETRY_RATIO, READ_RETRY_RESERVE)
         """Budget for retries of reads whose connection holder stopped answering."""
-        self.returns: dict[str, ReturnMoments] = {}
+        self.retry_times: dict[str, RetrySchedule] = {}
         """By group: retry times for refused clients that got none from a queue."""
-        self.admission: Admission = admission or AdmitsAll()
+        self.admission: Admission = admission or AdmitAll()
         """Decides whether a caller's operation may begin, before any work is done for it."""
         self.is_ending = False
         """Set near the end of a planned stop: new statements could not be answered in time."""
-        self.suspect = suspect
+        self.on_unanswered_statement = suspect
         """Called with the group and the name of a database that did not answer a statement."""
         self._configuration_waiters: list[Callable[[], None]] = []
 
@@ -62,15 +62,15 @@
             return False
         return any(group.view.databases for group in self.groups.values())
 
-    def return_moments(self, group: str) -> ReturnMoments:
+    def retry_times_of(self, group: str) -> RetrySchedule:
         """Returns a group's retry times for refused clients that got none from a queue."""
-        return self.returns.setdefault(group, ReturnMoments())
+        return self.retry_times.setdefault(group, RetrySchedule())
 
     def call_when_configured(self, callback: Callable[[], None]) -> None:
         """Registers `callback` to be called once, when the process becomes configured."""
         self._configuration_waiters.append(callback)
 
-    def wake_if_configured(self) -> None:
+    def notify_if_configured(self) -> None:
         """Runs the waiting callbacks if the process is configured.
 
         Called after each change of the configuration or of a group.
--- a/src/dewledge/core/pooler/sessions/session_changes.py
+++ b/src/dewledge/core/pooler/sessions/session_changes.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.sessions.session_state import (
     MAX_PREPARED_STATEMENTS,
     MAX_SESSION_VALUES,
-    PreparedShape,
+    PreparedStatement,
     SessionState,
 )
 from dewledge.core.pooler.statements.statements import Failure, Statement, StatementKind
@@ -24,7 +24,7 @@
     elif statement.kind is StatementKind.PREPARE:
         if statement.name not in state.prepared and len(state.prepared) >= MAX_PREPARED_STATEMENTS:
             return Failure(ErrorCode.TOO_LARGE, "too many prepared statements")
-        shape = PreparedShape(statement.writes, statement.argument)
+        shape = PreparedStatement(statement.writes, statement.argument)
         state.prepared[statement.name] = shape
     else:
         state.prepared.pop(statement.name, None)
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooler.sessions.authorization import Authorization
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
-from dewledge.core.pooler.statements.come_back import COME_BACK_STARTING_MS, not_run_text
+from dewledge.core.pooler.statements.come_back import RETRY_AFTER_STARTING_MS, not_run_text
 from dewledge.core.pooler.statements.statements import Failure, Startup
 from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.errors import ErrorCode
@@ -81,5 +81,5 @@
     def _refuse_waiting(self) -> None:
         if self._waiting_startup is not None:
             self._waiting_startup = None
-            message = not_run_text(COME_BACK_STARTING_MS)
+            message = not_run_text(RETRY_AFTER_STARTING_MS)
             self._on_refused(Failure(ErrorCode.OVERLOADED, message))
--- a/src/dewledge/core/pooler/sessions/session_state.py
+++ b/src/dewledge/core/pooler/sessions/session_state.py
@@ -22,7 +22,7 @@
 """Statements that a session may prepare at most: limits the memory that a client can use."""
 
 
-class PreparedShape(msgspec.Struct, frozen=True):
+class PreparedStatement(msgspec.Struct, frozen=True):
     """Statement prepared under a name."""
 
     writes: bool
@@ -37,7 +37,7 @@
         "failed",
         "is_admitted",
         "last_used",
-        "leads",
+        "requires_primary",
         "is_loss_unreported",
         "read_only",
         "route",
@@ -53,7 +53,7 @@
         """Whether it was counted against its caller's rate limit."""
         self.is_loss_unreported = False
         """Whether the proxy rolled it back and has not reported that to the client yet."""
-        self.leads = False
+        self.requires_primary = False
         """Whether it was begun in a form that only a primary accepts."""
         self.wrote = False
         self.last_used = now
@@ -82,7 +82,7 @@
         self.caller = NO_CALLER
         """Caller whose connections are used; set by the statement that begins an operation."""
         self.values: dict[str, str] = {}
-        self.prepared: dict[str, PreparedShape] = {}
+        self.prepared: dict[str, PreparedStatement] = {}
         self.transaction: OpenTransaction | None = None
         self.floor: LogPosition | None = None
         self.ticket: Ticket | None = None
@@ -101,7 +101,7 @@
             return TransactionState.IDLE
         return TransactionState.FAILED if self.transaction.failed else TransactionState.OPEN
 
-    def raise_floor(self, position: LogPosition | None) -> None:
+    def raise_min_position(self, position: LogPosition | None) -> None:
         """Raises the minimum position of later reads to that of a commit of this session."""
         if position is not None and (self.floor is None or position > self.floor):
             self.floor = position
--- a/src/dewledge/core/pooler/sharing/channel_session.py
+++ b/src/dewledge/core/pooler/sharing/channel_session.py
@@ -83,7 +83,7 @@
         self._ended = False
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no statement is waiting or running and no transaction is open."""
         return self._current is None and self._connection is None
 
@@ -174,7 +174,7 @@
 
     def _on_setup_timeout(self) -> None:
         if self._connection is not None:
-            self._services.suspect(self._group.view.name, self._database_id)
+            self._services.on_unanswered_statement(self._group.view.name, self._database_id)
             self._fail_before_sending(self._connection)
 
     def _fail_before_sending(self, connection: DatabaseConnection) -> None:
@@ -206,7 +206,7 @@
             return
         if self._current is not None:
             kind = self._current.statement.kind
-            self._pool.note_answer(kind, reply, self._slot_retry.elapsed_seconds, connection)
+            self._pool.record_answer(kind, reply, self._slot_retry.elapsed_seconds, connection)
         if self._slot_retry.should_resend(reply, self._transaction_state, self._pool):
             self._timer.start(self._slot_retry.pause_seconds(), lambda: self._resend(connection))
             return
--- a/src/dewledge/core/pooler/sharing/channel_state.py
+++ b/src/dewledge/core/pooler/sharing/channel_state.py
@@ -3,7 +3,7 @@
 The state is applied to a database connection before a statement of the channel runs on it.
 """
 
-from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
+from dewledge.core.pooler.sessions.session_state import PreparedStatement, SessionState
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 
 _STATE_KINDS = frozenset(
@@ -36,7 +36,7 @@
         if statement.kind is StatementKind.SET_VALUE:
             state.values[statement.name] = statement.argument
         elif statement.kind is StatementKind.PREPARE:
-            shape = PreparedShape(statement.writes, statement.argument)
+            shape = PreparedStatement(statement.writes, statement.argument)
             state.prepared[statement.name] = shape
         elif statement.kind is StatementKind.DEALLOCATE:
             state.prepared.pop(statement.name, None)
--- a/src/dewledge/core/pooler/sharing/channel_wait.py
+++ b/src/dewledge/core/pooler/sharing/channel_wait.py
@@ -19,12 +19,12 @@
 from dewledge.core.pooler.sharing.messages import ChannelStatement
 from dewledge.core.pooler.sharing.single_timer import SingleTimer
 from dewledge.core.pooler.statements.statements import (
-    OWN_QUESTIONS,
-    TAKES_SLOT,
+    ROLE_STATEMENTS,
+    SLOT_STATEMENTS,
     Failure,
     StatementKind,
 )
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode
 
 DEFAULT_WAIT_SECONDS = 0.25
@@ -96,7 +96,7 @@
         """Reevaluates a queued statement whenever the queue's verdict expires."""
         if self._waiter is not waiter or not self._uses_useful_waits:
             return
-        verdict = pool.judge(waiter)
+        verdict = pool.recheck(waiter)
         if isinstance(verdict, WaitUntil):
             remaining = max(verdict.at - self._services.scheduler.now(), 0.0)
             self._timer.start(remaining, lambda: self._judge(pool, waiter))
@@ -110,7 +110,7 @@
         waiter, self._waiter = self._waiter, None
         self._timer.clear()
         if denial is Denial.UNREACHABLE:
-            self._services.suspect(self._group.view.name, self._database_id)
+            self._services.on_unanswered_statement(self._group.view.name, self._database_id)
             self._on_refused(Failure(ErrorCode.DATABASE_UNREACHABLE, "no connection"))
         elif waiter is not None and waiter.refusal is not None:
             self._refuse_overloaded(waiter, waiter.refusal)
@@ -120,7 +120,7 @@
     def _refuse_overloaded(self, waiter: Waiter, refusal: Refuse) -> None:
         group, now = self._group.view.name, self._services.scheduler.now()
         self._services.record(wait_refused(group, self._database_id, self._statement, waiter, now))
-        retry_after_ms = math.ceil(refusal.come_back_seconds * MILLISECONDS)
+        retry_after_ms = math.ceil(refusal.come_back_seconds * MILLISECONDS_PER_SECOND)
         self._on_refused(Failure(ErrorCode.OVERLOADED, refusal.cause, retry_after_ms))
 
     def _on_timeout(self) -> None:
@@ -130,6 +130,6 @@
 
 
 def _demand_of(kind: StatementKind) -> Demand:
-    if kind in OWN_QUESTIONS:
-        return Demand.OWN
-    return Demand.SINGLE if kind in TAKES_SLOT else Demand.TRANSACTION
+    if kind in ROLE_STATEMENTS:
+        return Demand.INTERNAL
+    return Demand.SINGLE if kind in SLOT_STATEMENTS else Demand.TRANSACTION
--- a/src/dewledge/core/pooler/sharing/holders.py
+++ b/src/dewledge/core/pooler/sharing/holders.py
@@ -17,11 +17,11 @@
 
 RESERVED_RATIO = 0.1
 """Part of a database's connection limit that is reserved for processes that have just started."""
-LEAST_DIRECT_SHARE = 3
+MIN_DIRECT_CONNECTIONS = 3
 """Connections per process below which only holders connect to the database."""
 CONNECTIONS_PER_HOLDER = 8
 """Connections planned per holder of a database."""
-LEAST_HOLDERS = 2
+MIN_HOLDERS = 2
 """Holders that a database has at least, so that one remains if another is lost."""
 FALLBACK_CONNECTIONS = 2
 """Connections that a process which is not a holder may open if no holder can be reached."""
@@ -58,7 +58,7 @@
         return [*main, *self.holders[self.main :]]
 
 
-def share_of_connections(limit: int, processes: int) -> int:
+def connections_per_process(limit: int, processes: int) -> int:
     """Returns the connections per process if `processes` divide a database's limit equally."""
     return usable_connections(limit) // max(processes, 1)
 
@@ -80,16 +80,14 @@
     process: the name of the process. limit: the database's connection limit. distance: returns the
     distance of a zone from the database's zone, 0 for the same zone.
     """
-    connections = share_of_connections(limit, len(members))
-    if connections >= LEAST_DIRECT_SHARE:
+    connections = connections_per_process(limit, len(members))
+    if connections >= MIN_DIRECT_CONNECTIONS:
         return Holding(connections)
     ranked = rank_members(database_id, members, distance)
-    count = min(
-        max(usable_connections(limit) // CONNECTIONS_PER_HOLDER, LEAST_HOLDERS), len(ranked)
-    )
+    count = min(max(usable_connections(limit) // CONNECTIONS_PER_HOLDER, MIN_HOLDERS), len(ranked))
     holders = ranked[:count]
     if process in holders:
-        return Holding(max(share_of_connections(limit, count), 1))
+        return Holding(max(connections_per_process(limit, count), 1))
     start = xxhash.xxh3_64_intdigest(f"{process} {database_id}".encode()) % count
     order = [*holders[start:], *holders[:start], *ranked[count : count + SUBSTITUTE_HOLDERS]]
     return Holding(0, tuple(name for name in order if name != process), count)
--- a/src/dewledge/core/pooler/sharing/messages.py
+++ b/src/dewledge/core/pooler/sharing/messages.py
@@ -198,7 +198,7 @@
 )
 
 
-def wait_at_holder(wait_until: float, now: float) -> float | None:
+def holder_wait_seconds(wait_until: float, now: float) -> float | None:
     """Returns how many seconds a holder may let a statement wait; None for the holder's default.
 
     wait_until: when this process refuses the statement (steady clock, seconds); infinite for none.
@@ -208,7 +208,7 @@
     return round(max((wait_until - now) * HOLDER_WAIT_RATIO, 0.0), 3)
 
 
-def waited_already(arrived: float, now: float) -> float:
+def seconds_waited(arrived: float, now: float) -> float:
     """Returns the seconds since an operation first arrived; 0 if `arrived` is infinite."""
     return 0.0 if math.isinf(arrived) else round(max(now - arrived, 0.0), 3)
 
--- a/src/dewledge/core/pooler/sharing/packing.py
+++ b/src/dewledge/core/pooler/sharing/packing.py
@@ -7,7 +7,7 @@
 
 from dewledge.errors import ProtocolError
 
-LEAST_COMPRESSED_BYTES = 1024
+MIN_COMPRESSED_BYTES = 1024
 """Size from which values are compressed."""
 MAX_VALUE_BYTES = 8 * 1024 * 1024
 """Size limit of a decompressed value; a larger one is rejected."""
@@ -17,7 +17,7 @@
 
 def pack_value(value: bytes) -> bytes:
     """Returns a value encoded for a link, compressed if it is large."""
-    if len(value) < LEAST_COMPRESSED_BYTES:
+    if len(value) < MIN_COMPRESSED_BYTES:
         return _PLAIN_MARK + value
     return _COMPRESSED_MARK + zlib.compress(value)
 
--- a/src/dewledge/core/pooler/sharing/readers.py
+++ b/src/dewledge/core/pooler/sharing/readers.py
@@ -13,9 +13,9 @@
 
 from dewledge.core.pooler.sharing.members import Member
 
-MOST_READING_ALL = 3
+MAX_PROCESSES_ALL_READING = 3
 """Processes up to which every process reads the store itself."""
-READERS = 2
+READER_COUNT = 2
 """Processes that read the store if not all do: one in each of two regions, or two in the only
 region, so that the loss of one is tolerated."""
 FOLLOWERS_PER_PROCESS = 8
@@ -40,7 +40,7 @@
 
     process: its name, which must be in `members`. region_of: returns the region of a zone.
     """
-    if len(members) <= MOST_READING_ALL:
+    if len(members) <= MAX_PROCESSES_ALL_READING:
         return ReadingPlan(True)
     regions = _by_region(members, region_of)
     readers = _readers(regions)
@@ -57,8 +57,8 @@
 
 def _readers(regions: Mapping[str, Sequence[str]]) -> Sequence[str]:
     if len(regions) == 1:
-        return next(iter(regions.values()))[:READERS]
-    return [names[0] for names in regions.values()][:READERS]
+        return next(iter(regions.values()))[:READER_COUNT]
+    return [names[0] for names in regions.values()][:READER_COUNT]
 
 
 def _by_region(
--- a/src/dewledge/core/pooler/sharing/slot_retry.py
+++ b/src/dewledge/core/pooler/sharing/slot_retry.py
@@ -1,7 +1,7 @@
 """Decides whether a holder resends a peer's statement that the database refused as overloaded.
 
 The statement is resent after a pause until its time limit, or until the database has run no
-statement of this process for EXHAUSTED_SECONDS. Then the refusal is passed on with a time at
+statement of this process for EXHAUSTED_AFTER_SECONDS. Then the refusal is passed on with a time at
 which to retry. A statement that is resent keeps its connection, so later statements queue behind
 it.
 """
@@ -10,11 +10,11 @@
 import random
 
 from dewledge.core.pooler.load.verdict import RefusalCause
-from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_SECONDS
+from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_AFTER_SECONDS
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.statements.statements import Failure, Reply, TransactionState
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode
 
 RESEND_PAUSE_SECONDS = 0.01
@@ -65,19 +65,19 @@
     def _is_exhausted(
         self, now: float, state_before: TransactionState, pool: ConnectionPool
     ) -> bool:
-        """Tells whether the database ran no statement of this process for EXHAUSTED_SECONDS.
+        """Tells whether the database ran no statement of this process for EXHAUSTED_AFTER_SECONDS.
 
         False in a transaction, whose completed work a refusal would waste.
         """
         if state_before is TransactionState.OPEN or not self._services.load_policy.useful_waits:
             return False
-        return now - max(self._first_sent_at, pool.served_at) >= EXHAUSTED_SECONDS
+        return now - max(self._first_sent_at, pool.last_served_at) >= EXHAUSTED_AFTER_SECONDS
 
     def with_retry_time(self, reply: Reply, pool: ConnectionPool) -> Reply:
         """Adds a retry time to the refusal of a statement, if useful waits are enabled."""
         if not self._services.load_policy.useful_waits:
             return reply
-        retry_after_ms = math.ceil(pool.promise_return() * MILLISECONDS)
+        retry_after_ms = math.ceil(pool.reserve_retry_time() * MILLISECONDS_PER_SECOND)
         failure = Failure(ErrorCode.OVERLOADED, RefusalCause.NO_ROOM_IN_TIME, retry_after_ms)
         return Reply(reply.state, failure=failure, position=reply.position)
 
--- a/src/dewledge/core/pooler/sharing/table_cache.py
+++ b/src/dewledge/core/pooler/sharing/table_cache.py
@@ -43,7 +43,7 @@
         self._keys_digest = 0
 
     @property
-    def is_known(self) -> bool:
+    def is_loaded(self) -> bool:
         """Whether the table was read at least once."""
         return self.version >= 0
 
@@ -72,7 +72,7 @@
         self._evict_oldest_removals()
         self.version = max(self.version, version)
 
-    def agrees_with(self, delta: TableDelta) -> bool:
+    def matches_keys_of(self, delta: TableDelta) -> bool:
         """Tells whether applying the changes results in the sender's set of keys."""
         if delta.keys_digest is None:
             return True
--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -1,7 +1,7 @@
 """An attempt to run a statement on a connection: setup, sending and reply.
 
 Attempt sets the time limit of each step, ignores replies that belong to an earlier epoch of the
-HeldConnection, and reports each result to the AttemptListener. retry_rule.py decides what happens
+BorrowedConnection, and reports each result to the AttemptListener. retry_rule.py decides what happens
 next.
 """
 
@@ -17,7 +17,7 @@
     send_setup,
     statement_for_database,
 )
-from dewledge.core.pooler.statements.held_connection import HeldConnection
+from dewledge.core.pooler.statements.held_connection import BorrowedConnection
 from dewledge.core.pooler.statements.retry_rule import Trouble
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statement_scope import StatementScope
@@ -64,7 +64,7 @@
     def __init__(
         self,
         scope: StatementScope,
-        held: HeldConnection,
+        held: BorrowedConnection,
         timers: RunTimers,
         listener: AttemptListener,
     ) -> None:
@@ -124,7 +124,7 @@
             return
         self._timers.clear_limit()
         if isinstance(result, Reply) and result.failure is not None:
-            self._watch.take(result, None)
+            self._watch.record_reply(result, None)
             self._listener.on_setup_refused(connection, result, result.failure)
         else:
             self._listener.on_setup_failed(Trouble.LOST)
@@ -136,12 +136,12 @@
     def stop_waiting(self) -> None:
         """Stops waiting; a database that has not replied since this step began becomes suspect."""
         self.is_setting_up = False
-        self._watch.limit_passed()
+        self._watch.on_timeout()
 
     def _check_silence_after(self, epoch: int, seconds: float) -> None:
         def check() -> None:
             if not self._has_ended and epoch == self._held.epoch:
-                self._watch.look(lambda remaining: self._check_silence_after(epoch, remaining))
+                self._watch.check(lambda remaining: self._check_silence_after(epoch, remaining))
 
         self._timers.check_silence_after(seconds, check)
 
@@ -149,7 +149,7 @@
         if self._has_ended or epoch != self._held.epoch:
             return
         self._timers.clear_limit()
-        self._watch.take(reply, self._scope.statement)
+        self._watch.record_reply(reply, self._scope.statement)
         self._listener.on_reply(reply)
 
     def _on_timeout(self) -> None:
--- a/src/dewledge/core/pooler/statements/come_back.py
+++ b/src/dewledge/core/pooler/statements/come_back.py
@@ -11,17 +11,17 @@
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.core.pooler.statements.targets import Target
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode
 
-COME_BACK_OVERLOADED_MS = 100
+RETRY_AFTER_OVERLOADED_MS = 100
 """Retry delay where no queue has reported when it will have capacity."""
-COME_BACK_NO_PRIMARY_MS = 500
+RETRY_AFTER_NO_PRIMARY_MS = 500
 """Retry delay while the group has no primary. A primary is usually replaced within two seconds, and
 the refused statement has already waited for most of that time."""
-COME_BACK_STARTING_MS = 500
+RETRY_AFTER_STARTING_MS = 500
 """Retry delay for a session that starts before the process has its configuration."""
-COME_BACK_ENDING_MS = 100
+RETRY_AFTER_STOPPING_MS = 100
 """Retry delay near the end of a planned stop: the next session starts at another process."""
 
 
@@ -35,13 +35,13 @@
     return Failure(code, not_run_text(retry_after_ms), retry_after_ms)
 
 
-def least_seconds(lacks_primary: bool) -> float:
+def default_retry_seconds(lacks_primary: bool) -> float:
     """Returns the retry delay in seconds where no queue has reported when it will have capacity."""
-    default_ms = COME_BACK_NO_PRIMARY_MS if lacks_primary else COME_BACK_OVERLOADED_MS
-    return default_ms / MILLISECONDS
+    default_ms = RETRY_AFTER_NO_PRIMARY_MS if lacks_primary else RETRY_AFTER_OVERLOADED_MS
+    return default_ms / MILLISECONDS_PER_SECOND
 
 
-def seconds_after_search(
+def retry_seconds_after_search(
     scope: StatementScope,
     target: Target | None,
     exhausted: ExhaustedDatabases,
@@ -56,6 +56,6 @@
     if delays:
         return min(delays)
     if target is not None and not lacks_primary:
-        return scope.group.pool(target.database.id).promise_return()
-    returns = scope.services.return_moments(scope.route.group)
-    return returns.promise(now, least_seconds(lacks_primary))
+        return scope.group.pool(target.database.id).reserve_retry_time()
+    returns = scope.services.retry_times_of(scope.route.group)
+    return returns.reserve(now, default_retry_seconds(lacks_primary))
--- a/src/dewledge/core/pooler/statements/connection_setup.py
+++ b/src/dewledge/core/pooler/statements/connection_setup.py
@@ -11,9 +11,9 @@
 import xxhash
 
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.sessions.session_state import PreparedShape, SessionState
+from dewledge.core.pooler.sessions.session_state import PreparedStatement, SessionState
 from dewledge.core.pooler.statements.statements import (
-    OWN_STATEMENT_ID,
+    PROXY_STATEMENT_ID,
     Reply,
     Statement,
     StatementKind,
@@ -34,7 +34,7 @@
     writes: bool = False
 
 
-def prepared_name(shape: PreparedShape) -> str:
+def prepared_name(shape: PreparedStatement) -> str:
     """Returns the name of a prepared statement at databases; sessions with one shape share it."""
     digest = xxhash.xxh3_128_hexdigest(f"{int(shape.writes)} {shape.shape}".encode())
     return f"p{digest}"
@@ -118,10 +118,14 @@
     replies = SetupReplies(len(steps) + (begin is not None), done)
     for step in steps:
         message = Statement(
-            OWN_STATEMENT_ID, step.kind, name=step.name, argument=step.argument, writes=step.writes
+            PROXY_STATEMENT_ID,
+            step.kind,
+            name=step.name,
+            argument=step.argument,
+            writes=step.writes,
         )
         connection.send(message, replies.on_reply)
     if begin is not None:
         read_only = begin is StatementKind.BEGIN_READ_ONLY
-        message = Statement(OWN_STATEMENT_ID, begin)
+        message = Statement(PROXY_STATEMENT_ID, begin)
         connection.send(message, replies.on_reply, floor if read_only else None)
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.databases.proof_seeking import SEEK_AGAIN_SECONDS
+from dewledge.core.pooler.databases.proof_seeking import PROOF_REQUEST_TIMEOUT_SECONDS
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
@@ -25,9 +25,9 @@
 from dewledge.core.pooler.statements.statement_deadlines import StatementDeadlines
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Failure
-from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
+from dewledge.core.pooler.statements.targets import Proof, ReadRequirements, Target
 from dewledge.core.pooler.statements.wait_strategy import WaitStrategy
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode
 
 MIN_PAUSE_SECONDS = 0.001
@@ -106,7 +106,7 @@
         self._is_searching = False
         if self._is_fetching_proof:
             self._is_fetching_proof = False
-            self._group.end_seeking()
+            self._group.end_proof_request()
         if self._waiter is not None:
             self._waiter.withdrawn = True
             self._waiter = None
@@ -116,7 +116,7 @@
         if self.target is None or failure.code is not ErrorCode.OVERLOADED:
             return
         now = self._services.scheduler.now()
-        self._exhausted.note_overloaded(self.target.database.id, failure, now)
+        self._exhausted.record_overload(self.target.database.id, failure, now)
 
     def clear_ticket(self) -> None:
         """Clears the ticket of an earlier refusal, because the statement has now succeeded."""
@@ -133,7 +133,7 @@
 
     def _may_try(self, target: Target) -> bool:
         """Returns whether the target may be tried now, given its earlier refusals."""
-        return self._exhausted.may_ask(target.database.id, self._services.scheduler.now())
+        return self._exhausted.may_try(target.database.id, self._services.scheduler.now())
 
     def _wait_for_proof(self, targets: Sequence[Target]) -> bool:
         """Makes a read without a known floor wait while another read fetches one from the primary.
@@ -142,13 +142,13 @@
         """
         if not self._lacks_floor(targets) or self._is_fetching_proof:
             return False
-        if not self._has_waited_for_proof and not self._group.may_seek_proof():
+        if not self._has_waited_for_proof and not self._group.may_request_proof():
             self._has_waited_for_proof = True
             self._group.wait_for_proof(self._resume)
-            self._timers.resume_after(SEEK_AGAIN_SECONDS, self._resume)
+            self._timers.resume_after(PROOF_REQUEST_TIMEOUT_SECONDS, self._resume)
             return True
         self._is_fetching_proof = True
-        self._group.begin_seeking()
+        self._group.begin_proof_request()
         return False
 
     def _lacks_floor(self, targets: Sequence[Target]) -> bool:
@@ -160,13 +160,13 @@
         return bool(targets) and all(target.proof is not Proof.FLOOR for target in targets)
 
     def _find_targets(self, transaction: OpenTransaction | None) -> Sequence[Target]:
-        need = ReadNeed(self._deadlines.arrived, self._session.floor, self._session.caller)
+        need = ReadRequirements(self._deadlines.arrived, self._session.floor, self._session.caller)
         if transaction is None:
             return self._group.targets(self._route, self._writes, need)
         if transaction.read_only:
             return self._group.targets(self._route, False, need)
         primary = self._group.usable_primary
-        return [] if primary is None else [Target(primary, Proof.LEAD)]
+        return [] if primary is None else [Target(primary, Proof.PRIMARY_TRANSACTION)]
 
     def _try_next(self) -> None:
         if not self._is_searching:
@@ -203,9 +203,9 @@
         return acquire
 
     def _acquire(self, target: Target) -> None:
-        self._group.note_tried(target.database.id)
+        self._group.record_sent(target.database.id)
         now = self._services.scheduler.now()
-        self._exhausted.note_tried(target.database.id, now)
+        self._exhausted.record_tried(target.database.id, now)
         self._deadlines.begin_target_wait(now, self._targets[0].expected if self._targets else None)
         is_single = self._session.transaction is None
         demand = Demand.SINGLE if is_single else Demand.TRANSACTION
@@ -234,7 +234,7 @@
 
         Gives up if that is too late, or if all targets are exhausted.
         """
-        capacity_at = self._exhausted.next_room_at(target.database.id for target in targets)
+        capacity_at = self._exhausted.next_capacity_at(target.database.id for target in targets)
         if capacity_at is None or capacity_at > self._deadlines.give_up_at:
             self._give_up()
             return
@@ -267,12 +267,12 @@
         if waiter is not None and waiter.refusal is not None and self.target is not None:
             self._record_refused_wait(waiter, waiter.refusal, self.target.database.id)
         if denial is Denial.UNREACHABLE and self.target is not None:
-            self._services.suspect(self._route.group, self.target.database.id)
+            self._services.on_unanswered_statement(self._route.group, self.target.database.id)
         self._try_next()
 
     def _record_refused_wait(self, waiter: Waiter, refusal: Refuse, database_id: str) -> None:
         now = self._services.scheduler.now()
-        self._exhausted.note_room_at(database_id, now + refusal.come_back_seconds)
+        self._exhausted.record_capacity_at(database_id, now + refusal.come_back_seconds)
         group, statement = self._route.group, self._record.statement_id
         self._services.record(wait_refused(group, database_id, statement, waiter, now))
 
@@ -281,13 +281,13 @@
             return
         self.stop()
         self._record.record_attempt("", self.target, "given_up")
-        seconds = self._strategy.come_back_seconds(
+        seconds = self._strategy.retry_after_seconds(
             self._scope, self.target, self._exhausted, self._lacks_primary
         )
         now = self._services.scheduler.now()
         first_arrived = self._deadlines.first_arrived
         self._session.ticket = Ticket(first_arrived, now + seconds, self._route.priority)
-        self._callbacks.gave_up(math.ceil(seconds * MILLISECONDS))
+        self._callbacks.gave_up(math.ceil(seconds * MILLISECONDS_PER_SECOND))
 
     @property
     def _lacks_primary(self) -> bool:
--- a/src/dewledge/core/pooler/statements/held_connection.py
+++ b/src/dewledge/core/pooler/statements/held_connection.py
@@ -5,21 +5,21 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.events import PrimaryRefuted
 from dewledge.core.pooler.load.holder_health import HolderState
-from dewledge.core.pooler.pool.database_connection import DatabaseConnection, ignore_holder
+from dewledge.core.pooler.pool.database_connection import DatabaseConnection, ignore_holder_state
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.statements.retry_outcomes import ConnectionDisposition
 from dewledge.core.pooler.statements.statements import Failure
 from dewledge.errors import ErrorCode
 
 
-class HeldConnection:
+class BorrowedConnection:
     """Holds at most one connection. Replies to messages of an earlier `epoch` must be ignored."""
 
     def __init__(
         self,
         services: PoolServices,
         group: Group,
-        on_holder_state: Callable[[HolderState], None] = ignore_holder,
+        on_holder_state: Callable[[HolderState], None] = ignore_holder_state,
     ) -> None:
         """`on_holder_state`: called when the health state of the connection's holder changes."""
         self._on_holder_state = on_holder_state
@@ -36,12 +36,12 @@
     def hold(self, connection: DatabaseConnection) -> None:
         """Takes over a connection from the pool."""
         self.connection = connection
-        connection.holder_judged = self._on_holder_state
+        connection.on_holder_state = self._on_holder_state
 
     def _detach(self) -> DatabaseConnection | None:
         connection, self.connection = self.connection, None
         if connection is not None:
-            connection.holder_judged = ignore_holder
+            connection.on_holder_state = ignore_holder_state
         return connection
 
     def next_epoch(self) -> int:
@@ -61,7 +61,7 @@
         if connection is not None:
             self._group.roll_back(connection, self._services.scheduler)
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Closes a connection whose state is unknown; its pending replies become obsolete."""
         self.epoch += 1
         connection = self._detach()
@@ -82,7 +82,7 @@
         elif disposition is ConnectionDisposition.RELEASED or is_released_clean:
             self.release()
         elif disposition is ConnectionDisposition.CLOSED:
-            self.drop()
+            self.discard()
 
     def clear_prepared(self) -> None:
         """Clears the record of prepared statements, because the database lacks one of them."""
@@ -99,7 +99,9 @@
     def suspect(self) -> None:
         """Reports the database as suspect, because it is unreachable or did not reply."""
         if self.connection is not None:
-            self._services.suspect(self._group.view.name, self.connection.database_id)
+            self._services.on_unanswered_statement(
+                self._group.view.name, self.connection.database_id
+            )
 
     def refute_primary(self, statement_id: str) -> None:
         """Records that the database refused the statement because it is not the primary."""
--- a/src/dewledge/core/pooler/statements/position_recorder.py
+++ b/src/dewledge/core/pooler/statements/position_recorder.py
@@ -31,7 +31,7 @@
 
     def _record_single(self, position: LogPosition, sent_at: float, proved_primary: bool) -> None:
         if self._writes:
-            self._session.raise_floor(position)
+            self._session.raise_min_position(position)
         if self._writes or proved_primary:
             self._group.record_proof(sent_at, position)
             self._replace_floor_of_earlier_term(position)
@@ -42,8 +42,8 @@
         """Records a position in a transaction; a commit without writes proves no primary."""
         has_written = self._is_commit and transaction.wrote
         if has_written:
-            self._session.raise_floor(position)
-        if has_written or (not self._is_commit and transaction.leads):
+            self._session.raise_min_position(position)
+        if has_written or (not self._is_commit and transaction.requires_primary):
             self._group.record_proof(sent_at, position)
 
     def _replace_floor_of_earlier_term(self, position: LogPosition) -> None:
--- a/src/dewledge/core/pooler/statements/primary_lease_use.py
+++ b/src/dewledge/core/pooler/statements/primary_lease_use.py
@@ -50,22 +50,22 @@
         target = self._target
         if self.is_pinned or target is None or target.proof is Proof.NONE or self._reads_by_lease:
             return None
-        if target.proof in (Proof.LEAD, Proof.RIGHT):
+        if target.proof in (Proof.PRIMARY_TRANSACTION, Proof.LEASE):
             return StatementKind.BEGIN
         return StatementKind.BEGIN_READ_ONLY if self._transaction is not None else None
 
-    def is_lacking(self, database_id: str) -> bool:
+    def lacks_lease(self, database_id: str) -> bool:
         """Returns whether the statement requires the primary but the lease forbids its use."""
         transaction, target = self._transaction, self._target
         if transaction is not None and transaction.connection is not None:
-            needs_primary = transaction.leads
+            needs_primary = transaction.requires_primary
         else:
             needs_primary = target is not None and target.proof is not Proof.FLOOR
         return needs_primary and not self._group.may_lead(database_id)
 
     def record_send(self) -> None:
         """Records the fencing token under which the statement is sent."""
-        self._fencing_token = self._group.right.fencing_token
+        self._fencing_token = self._group.primary_lease.fencing_token
 
     def record_success(self, database_id: str) -> None:
         """Records the database as proven primary if only a primary could have run the statement."""
@@ -73,12 +73,12 @@
         if transaction is None:
             is_confirmed = self._writes or self.opens_primary_transaction
         else:
-            is_confirmed = transaction.leads and not self._is_commit
+            is_confirmed = transaction.requires_primary and not self._is_commit
         if is_confirmed:
-            self._group.right.prove(database_id, self._fencing_token)
+            self._group.primary_lease.record_leadership_proof(database_id, self._fencing_token)
 
     @property
     def _reads_by_lease(self) -> bool:
         """Whether a read outside of transactions uses a primary already confirmed by the lease."""
         target = self._target
-        return self._transaction is None and target is not None and target.proof is Proof.RIGHT
+        return self._transaction is None and target is not None and target.proof is Proof.LEASE
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/read_choice.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable, Sequence
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.load.choice import Candidate, Completion, order
-from dewledge.core.pooler.load.load_reporter import bounded_report
-from dewledge.core.pooler.load.load_table import KnownLoad, LoadTable
+from dewledge.core.pooler.load.choice import Candidate, Completion, order_candidates
+from dewledge.core.pooler.load.load_reporter import clamped_report
+from dewledge.core.pooler.load.load_table import LoadEstimate, LoadTable
 from dewledge.core.pooler.load.report import LoadReport
-from dewledge.core.pooler.load.shown_failures import ShownFailures
+from dewledge.core.pooler.load.shown_failures import RecentFailures
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 ROUND_TRIP_SECONDS = (0.001, 0.004, 0.03)
 """Typical round trips within a zone, between zones of a region, and between regions."""
@@ -26,29 +26,29 @@
 comes last."""
 
 
-def report_of(pool: ConnectionPool) -> LoadReport:
+def load_report_of(pool: ConnectionPool) -> LoadReport:
     """Returns the load report that a holder sends to other processes, from its pool."""
-    return bounded_report(
+    return clamped_report(
         pool.waiting,
         pool.urgent_waiting,
         pool.running,
         0 if _cannot_serve(pool) else pool.window_size,
         pool.openings,
-        round(pool.service_rate.service_time * MILLISECONDS),
+        round(pool.service_rate.service_time * MILLISECONDS_PER_SECOND),
     )
 
 
-class ReadChoice:
+class CompletionEstimator:
     """Estimates when the databases of a group complete a read, from their loads and failures."""
 
     def __init__(self, clock: Callable[[], float], draw: Callable[[], float]) -> None:
         """`clock`: steady clock, seconds. `draw`: returns a random number from 0 to below 1."""
         self._clock = clock
         self._draw = draw
-        self.book = LoadTable()
-        self.failures = ShownFailures()
+        self.load_table = LoadTable()
+        self.failures = RecentFailures()
 
-    def load_of(self, record: DatabaseRecord, pool: ConnectionPool | None) -> KnownLoad:
+    def load_of(self, record: DatabaseRecord, pool: ConnectionPool | None) -> LoadEstimate:
         """Returns the load of a database.
 
         pool: the pool of this process if it holds the connections itself, otherwise None.
@@ -56,11 +56,13 @@
         if pool is not None:
             window = min(pool.window_size, record.slots or pool.window_size)
             service = pool.service_rate.service_time
-            return KnownLoad(pool.waiting, pool.running, window, service)
-        load = self.book.known(record.id, self._clock())
+            return LoadEstimate(pool.waiting, pool.running, window, service)
+        load = self.load_table.estimate(record.id, self._clock())
         if load is not None:
             return load
-        return KnownLoad(0.0, 0.0, max(record.slots, 1), self.book.usual_service(), weight=0.0)
+        return LoadEstimate(
+            0.0, 0.0, max(record.slots, 1), self.load_table.usual_service_seconds(), weight=0.0
+        )
 
     def completion(
         self,
@@ -80,7 +82,7 @@
         """
         load = self.load_of(record, pool if is_direct else None)
         in_flight = 0 if pool is None else pool.load
-        sent_since = 0 if is_direct else min(self.book.sent_since(record.id), in_flight)
+        sent_since = 0 if is_direct else min(self.load_table.sent_since(record.id), in_flight)
         wait = load.expected_wait(sent_since, in_flight)
         round_trip = ROUND_TRIP_SECONDS[steps]
         return Completion(
@@ -96,14 +98,14 @@
 
     def _detour_seconds(self, record: DatabaseRecord, pool: ConnectionPool | None) -> float:
         """Returns the expected cost of failures at the database, in seconds."""
-        detour = self.failures.detour(record.id, self._clock())
+        detour = self.failures.expected_cost(record.id, self._clock())
         if pool is not None and (pool.is_unreachable or pool.is_silent):
             detour += UNREACHABLE_SECONDS
         return detour
 
     def order(self, candidates: Sequence[Candidate]) -> Sequence[Candidate]:
         """Returns the candidates in the order in which to try them."""
-        return order(candidates, self._draw)
+        return order_candidates(candidates, self._draw)
 
 
 def _cannot_serve(pool: ConnectionPool) -> bool:
@@ -116,7 +118,7 @@
     return 0.0 if has_connection else CONNECTION_OPENING_SECONDS + round_trip
 
 
-def _displacement_seconds(load: KnownLoad) -> float:
+def _displacement_seconds(load: LoadEstimate) -> float:
     """Returns the seconds of capacity that a read at the primary takes from writes.
 
     This is the service time, rising to twice that as the slots fill up, since the next statement
--- a/src/dewledge/core/pooler/statements/rollback.py
+++ b/src/dewledge/core/pooler/statements/rollback.py
@@ -26,4 +26,4 @@
             connection.close()
         pool.release(connection)
 
-    connection.send_own(StatementKind.ROLLBACK, on_reply)
+    connection.send_internal(StatementKind.ROLLBACK, on_reply)
--- a/src/dewledge/core/pooler/statements/run_record.py
+++ b/src/dewledge/core/pooler/statements/run_record.py
@@ -4,7 +4,7 @@
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Reply
 from dewledge.core.pooler.statements.targets import Target
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 
 class RunRecord:
@@ -47,12 +47,16 @@
                 outcome="done" if reply.failure is None else reply.failure.code,
                 floor="" if floor is None else f"{floor.term}.{floor.offset}",
                 waited_ms=self._elapsed_ms(),
-                target_ms=int(self._route.target_latency * MILLISECONDS),
+                target_ms=int(self._route.target_latency * MILLISECONDS_PER_SECOND),
                 configuration=self._services.routes.version,
-                expected_ms=-1 if expected is None else int(expected.seconds * MILLISECONDS),
-                word_age_ms=-1 if expected is None else int(expected.age_seconds * MILLISECONDS),
+                expected_ms=-1
+                if expected is None
+                else int(expected.seconds * MILLISECONDS_PER_SECOND),
+                word_age_ms=-1
+                if expected is None
+                else int(expected.age_seconds * MILLISECONDS_PER_SECOND),
             )
         )
 
     def _elapsed_ms(self) -> int:
-        return int((self._services.scheduler.now() - self._arrived) * MILLISECONDS)
+        return int((self._services.scheduler.now() - self._arrived) * MILLISECONDS_PER_SECOND)
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -7,7 +7,7 @@
 import math
 
 from dewledge.core.pooler.load.choice import Completion
-from dewledge.core.pooler.load.ticket import Ticket, arrival_of
+from dewledge.core.pooler.load.ticket import Ticket, effective_arrival
 from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.routes import Route
@@ -26,7 +26,7 @@
 MAX_REPLICA_WAIT_SECONDS = 0.25
 """Maximum wait of a read for a lagging replica, from its arrival. The lag is only predicted, and a
 replica that receives no log at all never catches up."""
-SETUP_LIMIT_SECONDS = 0.4
+SETUP_TIMEOUT_SECONDS = 0.4
 """Time for the replies to the connection setup; after that the database is treated as silent
 (docs/design/silence.md). Half of a statement timeout of 0.8 s, so that another one can be tried."""
 QUEUED_SETUP_RATIO = 0.5
@@ -67,7 +67,7 @@
     def __init__(self, arrived: float, route: Route, ticket: Ticket | None) -> None:
         """`ticket`: issued to the session by an earlier refusal, None for none."""
         self.arrived = arrived
-        self.first_arrived = arrival_of(ticket, route.priority, arrived)
+        self.first_arrived = effective_arrival(ticket, route.priority, arrived)
         self.deadline = arrived + route.statement_timeout
         self.latest_start = arrived + max(route.statement_timeout - NETWORK_ALLOWANCE_SECONDS, 0.0)
         self.in_time_until = self.first_arrived + route.target_latency - NETWORK_ALLOWANCE_SECONDS
@@ -116,7 +116,7 @@
 
         is_queued_elsewhere: whether the setup may wait in the queue of another process.
         """
-        limit = now + SETUP_LIMIT_SECONDS
+        limit = now + SETUP_TIMEOUT_SECONDS
         if is_queued_elsewhere:
             limit = max(limit, now + (self.give_up_at - now) * QUEUED_SETUP_RATIO)
         return limit
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.statements.come_back import refusal
 from dewledge.core.pooler.statements.connection_setup import plan_setup
 from dewledge.core.pooler.statements.database_search import DatabaseSearch, SearchCallbacks
-from dewledge.core.pooler.statements.held_connection import HeldConnection
+from dewledge.core.pooler.statements.held_connection import BorrowedConnection
 from dewledge.core.pooler.statements.position_recorder import PositionRecorder
 from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from dewledge.core.pooler.statements.retry_outcomes import (
@@ -56,7 +56,7 @@
         self._deadlines = self._strategy.deadlines(scope)
         self._record = RunRecord(scope)
         self._timers = RunTimers(self._scheduler)
-        self._held = HeldConnection(scope.services, scope.group, self._on_holder_state)
+        self._held = BorrowedConnection(scope.services, scope.group, self._on_holder_state)
         self._lease = PrimaryLeaseUse(scope.group, self._transaction, scope.writes, scope.is_commit)
         self._position_recorder = PositionRecorder(scope, self._transaction)
         self._attempt = Attempt(scope, self._held, self._timers, self)
@@ -65,7 +65,7 @@
         self._search = DatabaseSearch(
             scope, self._strategy, self._deadlines, self._record, self._timers, callbacks
         )
-        self._second_reads = scope.services.second_reads
+        self._second_reads = scope.services.read_retry_budget
         self._reruns = 0
         self._finished = False
 
@@ -82,7 +82,7 @@
         """Ends the statement after a client disconnect and closes the connection in use."""
         if not self._finished:
             self._end()
-            self._held.drop()
+            self._held.discard()
 
     # Connection setup and sending.
 
@@ -92,7 +92,7 @@
         limit = self._deadlines.setup_deadline(self._scheduler.now(), self._is_queued_elsewhere)
         self._deadlines.set_connection_deadlines(connection, self._lease.is_pinned, limit)
         self._lease.begin_attempt(target)
-        if self._lease.is_lacking(connection.database_id):
+        if self._lease.lacks_lease(connection.database_id):
             self._stop_before_sending(Progress.WAITING)
             return
         steps = plan_setup(self._session, connection, self._scope.statement, self._lease.is_pinned)
@@ -129,14 +129,14 @@
 
     def on_setup_done(self, connection: DatabaseConnection) -> None:
         """Sends the statement on the prepared connection, if the lease still allows it."""
-        if self._lease.is_lacking(connection.database_id):
+        if self._lease.lacks_lease(connection.database_id):
             self._timers.clear_limit()
             self._stop_before_sending(Progress.IN_SETUP)
             return
         transaction = self._transaction
         if transaction is not None and transaction.connection is None:
             transaction.connection = connection
-            transaction.leads = self._lease.opens_primary_transaction
+            transaction.requires_primary = self._lease.opens_primary_transaction
         self._send(connection)
 
     def on_setup_refused(
@@ -146,7 +146,7 @@
         self._record_attempt(failure.code)
         self._held.report_failure(failure, self._scope.statement.id)
         self._search.record_refusal(failure)
-        has_unanswered = bool(connection.unanswered)
+        has_unanswered = bool(connection.unanswered_count)
         refused = Incident(Trouble.REFUSED, Progress.IN_SETUP, failure, reply.state, has_unanswered)
         self._apply_rule(refused)
 
@@ -179,7 +179,7 @@
         Another database may have become primary, so a success must not be reported.
         """
         connection = self._held.connection
-        return connection is not None and self._lease.is_lacking(connection.database_id)
+        return connection is not None and self._lease.lacks_lease(connection.database_id)
 
     def on_timeout(self) -> None:
         """Handles an attempt that reached its time limit without a reply."""
--- a/src/dewledge/core/pooler/statements/statements.py
+++ b/src/dewledge/core/pooler/statements/statements.py
@@ -11,7 +11,7 @@
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 
-OWN_STATEMENT_ID = "-"
+PROXY_STATEMENT_ID = "-"
 """The id of statements that the proxy itself sends."""
 
 
@@ -36,11 +36,11 @@
     STEP_DOWN = "step_down"
 
 
-TAKES_SLOT = frozenset(
+SLOT_STATEMENTS = frozenset(
     {StatementKind.READ, StatementKind.WRITE, StatementKind.EXECUTE, StatementKind.COMMIT}
 )
 """Statements that occupy a slot of the database, or are refused as overloaded if none is free."""
-OWN_QUESTIONS = frozenset({StatementKind.STATUS, StatementKind.STEP_DOWN})
+ROLE_STATEMENTS = frozenset({StatementKind.STATUS, StatementKind.STEP_DOWN})
 """Statements by which the proxy queries or changes a database's role. Client statements never delay
 them, because the choice of the primary depends on the replies."""
 
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -30,14 +30,14 @@
     """How a database proves that it may serve the statement.
 
     FLOOR: the database checks that its log has reached the floor; replicas can do so too.
-    LEAD: the statement runs in a transaction that only the primary accepts.
-    RIGHT: the database was confirmed as primary under the current lease of this process.
+    PRIMARY_TRANSACTION: the statement runs in a transaction that only the primary accepts.
+    LEASE: the database was confirmed as primary under the current lease of this process.
     NONE: no proof needed, since every database but the primary refuses the statement.
     """
 
     FLOOR = "floor"
-    LEAD = "lead"
-    RIGHT = "right"
+    PRIMARY_TRANSACTION = "lead"
+    LEASE = "right"
     NONE = "none"
 
 
@@ -54,7 +54,7 @@
     expected: Completion | None = None
 
 
-class ReadNeed(msgspec.Struct, frozen=True):
+class ReadRequirements(msgspec.Struct, frozen=True):
     """The freshness requirements of a read.
 
     arrived: arrival (steady clock, seconds). session_floor: log position of the session's newest
@@ -66,7 +66,9 @@
     caller: str = NO_CALLER
 
 
-def read_floor(route: Route, history: FreshnessHistory, need: ReadNeed) -> LogPosition | None:
+def read_floor(
+    route: Route, history: FreshnessHistory, need: ReadRequirements
+) -> LogPosition | None:
     """Returns the minimum log position for this read; None if only the primary may serve it."""
     if route.consistency is Consistency.PRIMARY:
         return None
@@ -78,7 +80,7 @@
     return proof.position
 
 
-def read_targets(
+def targets_by_local_load(
     view: GroupView,
     floor: LogPosition | None,
     primary: DatabaseRecord | None,
@@ -86,7 +88,7 @@
     load: Callable[[DatabaseRecord], int],
     lacks: Callable[[DatabaseRecord, LogPosition], bool],
     excluded: str | None = None,
-    primary_proof: Proof = Proof.LEAD,
+    primary_proof: Proof = Proof.PRIMARY_TRANSACTION,
 ) -> Sequence[Target]:
     """Returns the targets of a read, ordered by the load of this process and the distance.
 
@@ -109,19 +111,19 @@
     return [Target(record, Proof.FLOOR, floor) for record in serving] + primary_targets
 
 
-def expected_targets(
+def targets_by_completion(
     view: GroupView,
     floor: LogPosition | None,
     primary: DatabaseRecord | None,
     cost: Callable[[DatabaseRecord, LogPosition], Completion],
     order: Callable[[Sequence[Candidate]], Sequence[Candidate]],
     excluded: str | None = None,
-    primary_proof: Proof = Proof.LEAD,
+    primary_proof: Proof = Proof.PRIMARY_TRANSACTION,
 ) -> Sequence[Target]:
     """Returns the targets of a read, ordered by expected completion.
 
-    Databases and proofs are the same as in `read_targets`. cost: expected completion at a database
-    for a floor. order: sorts the candidates.
+    Databases and proofs are the same as in `targets_by_local_load`. cost: expected completion
+    at a database for a floor. order: sorts the candidates.
     """
     primary_targets = [] if primary is None else [Target(primary, primary_proof)]
     if floor is None:
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -10,8 +10,11 @@
 from dewledge.core.pooler.load.verdict import Verdict
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.waiter import Waiter
-from dewledge.core.pooler.statements.come_back import least_seconds, seconds_after_search
-from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, NeverExhausted
+from dewledge.core.pooler.statements.come_back import (
+    default_retry_seconds,
+    retry_seconds_after_search,
+)
+from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, IgnoredRefusals
 from dewledge.core.pooler.statements.statement_deadlines import FixedDeadlines, StatementDeadlines
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.targets import Target
@@ -32,7 +35,7 @@
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
         """Returns whether limits must allow for waiting in the queue of another process."""
 
-    def come_back_seconds(
+    def retry_after_seconds(
         self,
         scope: StatementScope,
         target: Target | None,
@@ -42,7 +45,7 @@
         """Returns the retry delay in seconds for a statement that found no connection."""
 
 
-class UsefulWaits:
+class DeadlineBasedWaits:
     """Lets a statement wait while it can meet its deadline, and refuses it as soon as it can't."""
 
     def deadlines(self, scope: StatementScope) -> StatementDeadlines:
@@ -55,13 +58,13 @@
 
     def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
         """Returns the verdict of the pool's queue."""
-        return pool.judge(waiter)
+        return pool.recheck(waiter)
 
     def is_queued_elsewhere(self, scope: StatementScope, database_id: str) -> bool:
         """Returns whether the database is reached through another process."""
         return not scope.group.holding(database_id).is_direct
 
-    def come_back_seconds(
+    def retry_after_seconds(
         self,
         scope: StatementScope,
         target: Target | None,
@@ -69,7 +72,7 @@
         lacks_primary: bool,
     ) -> float:
         """Returns the delay until a queue is expected to have capacity."""
-        return seconds_after_search(scope, target, exhausted, lacks_primary)
+        return retry_seconds_after_search(scope, target, exhausted, lacks_primary)
 
 
 class FixedWaits:
@@ -81,7 +84,7 @@
 
     def exhausted_databases(self, scope: StatementScope) -> ExhaustedDatabases:
         """Returns a record that ignores overload refusals of databases."""
-        return NeverExhausted(scope.group)
+        return IgnoredRefusals(scope.group)
 
     def reassess(self, pool: ConnectionPool, waiter: Waiter) -> Verdict | None:
         """Returns None, because fixed waits are not re-evaluated."""
@@ -91,7 +94,7 @@
         """Returns False: limits reserve no time for the queues of other processes."""
         return False
 
-    def come_back_seconds(
+    def retry_after_seconds(
         self,
         scope: StatementScope,
         target: Target | None,
@@ -99,10 +102,10 @@
         lacks_primary: bool,
     ) -> float:
         """Returns a fixed delay."""
-        return least_seconds(lacks_primary)
+        return default_retry_seconds(lacks_primary)
 
 
-_USEFUL = UsefulWaits()
+_USEFUL = DeadlineBasedWaits()
 _FIXED = FixedWaits()
 
 
--- a/src/dewledge/core/proxy/gateway/fair_queue.py
+++ b/src/dewledge/core/proxy/gateway/fair_queue.py
@@ -77,7 +77,7 @@
             return None
         last = max(self._lines, key=self._last_tag)
         own = len(self._lines.get(caller, ()))
-        if self._shares.tag(caller) + own * ITEM_COST / weight >= self._last_tag(last):
+        if self._shares.start_tag(caller) + own * ITEM_COST / weight >= self._last_tag(last):
             return None
         entry = next(reversed(self._lines[last].values()))
         self.withdraw(entry)
@@ -94,11 +94,13 @@
         return next(iter(self._lines[caller].values()))
 
     def _start(self, entry: QueueEntry[Item]) -> tuple[float, int]:
-        return (self._shares.tag(entry.caller), entry.number)
+        return (self._shares.start_tag(entry.caller), entry.number)
 
     def _last_tag(self, caller: str) -> float:
         behind = len(self._lines[caller]) - 1
-        return self._shares.tag(caller) + behind * self._shares.step(caller, ITEM_COST)
+        return self._shares.start_tag(caller) + behind * self._shares.tag_increment(
+            caller, ITEM_COST
+        )
 
     def _remove(self, entry: QueueEntry[Item]) -> None:
         entry.waiting = False
--- a/src/dewledge/core/proxy/gateway/group_monitor.py
+++ b/src/dewledge/core/proxy/gateway/group_monitor.py
@@ -11,7 +11,7 @@
 from dewledge.core.proxy.gateway.status_rounds import StatusRound, StatusRounds
 from dewledge.core.proxy.jobs import StatusReading
 from dewledge.core.proxy.messages import GroupStatusRequest
-from dewledge.core.shared.service_rate import UsualTime
+from dewledge.core.shared.service_rate import TypicalMaxTime
 from dewledge.errors import ErrorCode
 
 RETRY_GROWTH = 1.5
@@ -58,7 +58,7 @@
         self._retry_pause = 0.0
         self._search_pause = context.settings.no_primary_interval
         self._known_primary: str | None = None
-        self._confirmation_time = UsualTime(context.settings.service_time_smoothing)
+        self._confirmation_time = TypicalMaxTime(context.settings.service_time_smoothing)
         self.statuses = StatusCache()
         self._status_answers = StatusAnswers(context, self.statuses)
         self._heartbeat = GroupHeartbeat(context, self._rounds, lambda: self.primary)
@@ -223,7 +223,7 @@
         self._context.cancel(waiter.timer)
         self._retry_pause = 0.0
         if waiter.claim.write and verdict is Verdict.CONFIRMED:
-            self._confirmation_time.note(now - waiter.began_at)
+            self._confirmation_time.record(now - waiter.began_at)
         waiter.on_verdict(verdict, now)
 
     def _counts(self, waiter: _Waiter, status_round: StatusRound, now: float) -> bool:
--- a/src/dewledge/core/shared/fair_share.py
+++ b/src/dewledge/core/shared/fair_share.py
@@ -46,12 +46,12 @@
         """Number of remembered callers."""
         return len(self._shares)
 
-    def tag(self, caller: str) -> float:
+    def start_tag(self, caller: str) -> float:
         """Returns the virtual time at which a caller's next request starts."""
         share = self._shares.get(caller)
         return self.virtual_time if share is None else share.tag
 
-    def step(self, caller: str, cost: float) -> float:
+    def tag_increment(self, caller: str, cost: float) -> float:
         """Returns by how much serving a request would advance the caller's tag."""
         return cost / self._shares[caller].weight
 
@@ -80,7 +80,7 @@
         self._drop_passed()
         self.leave(caller)
 
-    def settle(self, caller: str, extra: float) -> None:
+    def adjust_cost(self, caller: str, extra_cost: float) -> None:
         """Corrects the cost of a request that was served; `extra` may be negative.
 
         Does nothing while no request waits.
@@ -89,11 +89,11 @@
             return
         share = self._shares.get(caller)
         if share is None:
-            if extra <= 0:
+            if extra_cost <= 0:
                 return
             share = self._shares[caller] = _CallerShare(self.virtual_time, DEFAULT_WEIGHT)
         min_tag = min(share.tag, self.virtual_time)
-        share.tag = max(share.tag + extra / share.weight, min_tag)
+        share.tag = max(share.tag + extra_cost / share.weight, min_tag)
         if not share.waiting:
             self._mark_idle(caller, share)
 
--- a/src/dewledge/core/shared/service_rate.py
+++ b/src/dewledge/core/shared/service_rate.py
@@ -33,7 +33,7 @@
         return (ahead + 1.0) * self._mean / max(slots, 1)
 
 
-class UsualTime:
+class TypicalMaxTime:
     """An upper estimate of a duration: the running mean plus some mean deviations."""
 
     def __init__(self, smoothing: float) -> None:
@@ -46,7 +46,7 @@
         """The estimate in seconds; 0 before the first duration."""
         return 0.0 if self._mean is None else self._mean + DEVIATIONS_ABOVE_MEAN * self._deviation
 
-    def note(self, duration: float) -> None:
+    def record(self, duration: float) -> None:
         """Adds one duration in seconds."""
         if self._mean is None:
             self._mean = duration
--- a/src/dewledge/platform/operator_records.py
+++ b/src/dewledge/platform/operator_records.py
@@ -11,7 +11,7 @@
 from dewledge.core.pooler.rate_limits.limits import RateLimit
 from dewledge.core.pooler.sessions.routes import Consistency, GroupPolicy, Route, RouteTable
 from dewledge.core.shared.caller_credentials import credential_digest, index_credentials
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ProtocolError
 
 DRAINING = "draining"
@@ -91,7 +91,7 @@
             service.name: GroupPolicy(service.name, service.max_connections, service.sync_replicas)
             for service in row.services
         },
-        row.limits.tx_idle_ms / MILLISECONDS,
+        row.limits.tx_idle_ms / MILLISECONDS_PER_SECOND,
         None
         if row.tenants is None
         else index_credentials((t.name, t.key_digests) for t in tenants),
@@ -125,10 +125,10 @@
         row.host,
         row.service,
         consistency,
-        row.timeout_ms / MILLISECONDS,
-        row.target_latency_ms / MILLISECONDS,
+        row.timeout_ms / MILLISECONDS_PER_SECOND,
+        row.target_latency_ms / MILLISECONDS_PER_SECOND,
         row.priority,
-        row.max_staleness_ms / MILLISECONDS,
+        row.max_staleness_ms / MILLISECONDS_PER_SECOND,
         row.public,
     )
 
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -20,7 +20,7 @@
     SocketOption,
 )
 from dewledge.core.pooler.coordination_store import (
-    CALL_LIMIT_SECONDS,
+    CALL_TIMEOUT_SECONDS,
     FeedAnswer,
     HistoryLost,
     StoreRow,
@@ -89,7 +89,7 @@
         """Sends later calls to another "ip:port"."""
         self._calls.change_address(address)
 
-    def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
+    def read_table(self, table: str, limit: float = CALL_TIMEOUT_SECONDS) -> TableRows:
         """Returns all rows of a table's empty part."""
         rows: list[StoreRow] = []
         start = ""
@@ -105,14 +105,14 @@
         """Returns one row of a table's empty part, None if it is not there."""
         behind = key + "\0"
         query = {"table": table, "part": "", "startRev": key, "targetVersion": behind, "limit": "1"}
-        answer = self._get("/dewledge/rows-get", query, CALL_LIMIT_SECONDS)
+        answer = self._get("/dewledge/rows-get", query, CALL_TIMEOUT_SECONDS)
         rows = [self._store_row(table, row) for row in answer.rows if row.tls_key == key]
         return rows[0] if rows else None
 
     def watch_table(self, table: str, after: int, wait: float) -> FeedAnswer:
         """Returns the rows of a table that changed after a version, waiting `wait` seconds."""
         query = {"table": table, "after": str(after), "waitMs": str(int(wait * 1000))}
-        answer = self._get("/dewledge/rows-feed", query, wait + CALL_LIMIT_SECONDS)
+        answer = self._get("/dewledge/rows-feed", query, wait + CALL_TIMEOUT_SECONDS)
         return FeedAnswer(tuple(self._store_row(table, row) for row in answer.rows), answer.ver)
 
     def write(self, write: StoreWrite) -> int:
@@ -124,7 +124,7 @@
             "put": [{**address, "value": value}],
             "remove": [],
         }
-        return self._request("POST", "/dewledge/rows-tx", {}, CALL_LIMIT_SECONDS, body).ver
+        return self._request("POST", "/dewledge/rows-tx", {}, CALL_TIMEOUT_SECONDS, body).ver
 
     def _store_row(self, table: str, row: _Row) -> StoreRow:
         value = base64.b64decode(row.value or "")
@@ -175,7 +175,7 @@
         }
         body = json.dumps({"service": group, "id": database_id}).encode()
         try:
-            answer = self._calls.call("POST", "/promote", body, CALL_LIMIT_SECONDS, headers)
+            answer = self._calls.call("POST", "/promote", body, CALL_TIMEOUT_SECONDS, headers)
         except (ServerUnreachable, AnswerMissing, ProtocolError) as error:
             raise StoreOutcomeUnknown(f"no answer: {error}") from error
         if answer.status not in (ACCEPTED, FENCED):
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
-from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.sessions.services import PoolServices
@@ -110,7 +110,7 @@
 
     def __init__(self, base: ProcessBase, neighbours: Neighbours) -> None:
         settings, services = base.settings, base.services
-        self.reach_limit = ReachLimit()
+        self.reach_limit = ConnectTimeout()
         """How long databases take to accept a connection, as openers and probes observe it."""
         direct = DirectOpener(
             base.loop,
@@ -129,7 +129,9 @@
 class Failover:
     """What finds a lost primary and replaces it; `core/pooler/failover` decides."""
 
-    def __init__(self, base: ProcessBase, neighbours: Neighbours, reach_limit: ReachLimit) -> None:
+    def __init__(
+        self, base: ProcessBase, neighbours: Neighbours, reach_limit: ConnectTimeout
+    ) -> None:
         settings, platform = base.settings, base.platform
         self.claim_events = ClaimEvents()
         context = FailoverContext(
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -56,7 +56,7 @@
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
-        self._services.wake_if_configured()
+        self._services.notify_if_configured()
 
     def take_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Takes the whole table of databases: what is not in it has left."""
@@ -93,7 +93,7 @@
             draining=record.draining,
             revision=row.version,
         ).info("database_known")
-        self._services.wake_if_configured()
+        self._services.notify_if_configured()
 
     def _database_gone(self, group: Group, database_id: str, revision: int) -> None:
         if database_id in group.view.databases:
--- a/src/dewledge/shell/pooler/failover/claim_events.py
+++ b/src/dewledge/shell/pooler/failover/claim_events.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
+from dewledge.core.pooler.failover.messages import Claim, ClaimAcknowledged
 from dewledge.shell.pooler.listeners import Listeners
 
 
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.noticed: Listeners[[str, Claim]] = Listeners()
         """A group, and a claim on it that another process sent and that is newer than the own."""
-        self.known: Listeners[[str, ClaimKnown]] = Listeners()
+        self.known: Listeners[[str, ClaimAcknowledged]] = Listeners()
         """A group, and which claim on it another process knows."""
         self.learned: Listeners[[str, Claim]] = Listeners()
         """A group, and a claim on it that this process did not know, before it takes effect."""
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite
-from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
+from dewledge.core.pooler.failover.messages import Claim, ClaimAcknowledged
 from dewledge.errors import StoreError
 from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.lease_confirmations import LeaseConfirmations
@@ -74,7 +74,7 @@
                 self._known_versions[row.key] = 0 if row.gone else row.version
             known = None if row.gone else read_known(row)
             if known is not None:
-                self._events.known.tell(known.group, ClaimKnown(known.process, known.token))
+                self._events.known.tell(known.group, ClaimAcknowledged(known.process, known.token))
 
     def _claim_learned(self, group: str, claim: Claim) -> None:
         """Logs a newer claim, and acknowledges it through the store if nothing else does."""
@@ -116,7 +116,7 @@
         self._peers.send(answer, [sender])
 
     def _take_answer(self, answer: ClaimAnswer, _sender: str) -> None:
-        self._events.known.tell(answer.group, ClaimKnown(answer.sender, answer.token))
+        self._events.known.tell(answer.group, ClaimAcknowledged(answer.sender, answer.token))
 
     def _acknowledge_by_store(self, group: str, fencing_token: int) -> None:
         if self._stopped or self._acknowledged.get(group, 0) >= fencing_token:
--- a/src/dewledge/shell/pooler/failover/database_questions.py
+++ b/src/dewledge/shell/pooler/failover/database_questions.py
@@ -83,7 +83,7 @@
                 pool.release(connection)
                 told(None if reply is None else self._parse_status(reply))
 
-            connection.send_own(kind, answered, argument=argument)
+            connection.send_internal(kind, answered, argument=argument)
 
         def lost(connection: DatabaseConnection) -> None:
             connection.close()
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -13,20 +13,20 @@
 from dewledge.core.pooler.coordination_store import PromotionCalls, StoreRow
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.candidates import rank_judges
 from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
     Claim,
-    ClaimKnown,
-    ClaimSeen,
+    ClaimAcknowledged,
+    ClaimReceived,
     DatabaseStatus,
     FailoverEffect,
     FailoverEvent,
     IndirectProbeReported,
     Phase,
-    PrimaryDoubted,
+    PrimarySuspected,
     Promote,
     ReachTested,
     ReadStatus,
@@ -91,7 +91,7 @@
 
     def doubt(self, group: str, database_id: str) -> None:
         """A statement got no answer, or no connection could be opened."""
-        self._handle(group, PrimaryDoubted(database_id))
+        self._handle(group, PrimarySuspected(database_id))
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
         """Takes claim rows of the store."""
@@ -106,11 +106,11 @@
         if claim.fencing_token > self._context.leases.of(group).fencing_token:
             self._context.claim_events.learned.tell(group, claim)
         if group in self._groups and not self._stopped:
-            self._handle(group, ClaimSeen(claim))
+            self._handle(group, ClaimReceived(claim))
         else:
-            self._context.leases.of(group).take_claim(claim)
+            self._context.leases.of(group).apply_claim(claim)
 
-    def take_known(self, group: str, known: ClaimKnown) -> None:
+    def take_known(self, group: str, known: ClaimAcknowledged) -> None:
         """Another process acknowledged a claim."""
         self._handle(group, known)
 
@@ -157,7 +157,7 @@
         failover = self._failovers.get(name)
         if failover is None:
             return True
-        return failover.phase is not Phase.STEADY or failover.doubted is not None
+        return failover.phase is not Phase.STEADY or failover.suspected is not None
 
     def _handle(self, group_name: str, event: FailoverEvent) -> None:
         group = self._groups.get(group_name)
@@ -173,7 +173,7 @@
             event, group.view, judges, self._context.loop.now(), self._registered
         )
         relay = None if failover.reached_by is None else self._addresses().get(failover.reached_by)
-        group.set_doubt(failover.doubted, relay)
+        group.set_suspected(failover.suspected, relay)
         for effect in effects:
             self._carry_out(group, effect)
 
@@ -210,7 +210,7 @@
     def _panel(self, group_name: str) -> Sequence[str]:
         known = self._panels.get(group_name)
         if known is None:
-            known = panel(group_name, self._addresses().keys() | {self._own_name})
+            known = rank_judges(group_name, self._addresses().keys() | {self._own_name})
             self._panels[group_name] = known
         return known
 
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
 from dewledge.shell.pooler.links.byte_stream import Connecting
 from dewledge.shell.pooler.links.peer_messages import (
     IndirectProbeAnswer,
@@ -43,7 +43,7 @@
         own_name: str,
         peers: PeerSocket,
         find: Callable[[str], DatabaseRecord | None],
-        reach_limit: ReachLimit,
+        reach_limit: ConnectTimeout,
         listener: ProbeListener,
     ) -> None:
         """`find`: returns a database by its id, None if no group has it."""
@@ -71,7 +71,7 @@
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
-            self._reach_limit.observe(self._loop.now() - started_at)
+            self._reach_limit.record_connect_time(self._loop.now() - started_at)
             sock.close()
             done(True)
 
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -61,13 +61,13 @@
         if self._members.is_registered:
             self._leases.confirm_all(at)
             for group in self._groups.values():
-                group.right_confirmed()
+                group.on_lease_renewed()
 
     def _tick(self) -> None:
         if self._stopped:
             return
         now = self._loop.now()
-        inquiry = self._confirmation.ask(self._leases.by_group, now)
+        inquiry = self._confirmation.next_poll(self._leases.by_group, now)
         if inquiry is not None:
             addresses = self._members.addresses
             known = [addresses[name] for name in inquiry.voters if name in addresses]
@@ -88,7 +88,9 @@
             self._lapsed ^= {name}
 
     def _take_question(self, question: ConfirmationQuestion, sender: str) -> None:
-        answer = self._confirmation.answer(question, self._leases.by_group, self._members.members)
+        answer = self._confirmation.answer_question(
+            question, self._leases.by_group, self._members.members
+        )
         if answer is None:
             return
         self._peers.send(answer, [sender])
@@ -97,10 +99,10 @@
                 self._send_claim(group, [sender])
 
     def _take_confirmation(self, answer: ConfirmationAnswer, sender: str) -> None:
-        for name in self._confirmation.take(answer, self._leases.by_group):
+        for name in self._confirmation.on_answer(answer, self._leases.by_group):
             group = self._groups.get(name)
             if group is not None:
-                group.right_confirmed()
+                group.on_lease_renewed()
         for name, fencing_token in answer.tokens.items():
             is_known = name in self._leases.by_group
             if is_known and fencing_token < self._leases.of(name).fencing_token:
--- a/src/dewledge/shell/pooler/group_factory.py
+++ b/src/dewledge/shell/pooler/group_factory.py
@@ -11,8 +11,8 @@
 from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
 from dewledge.core.pooler.sessions.services import PoolServices
-from dewledge.core.pooler.sharing.holders import Holding, holding_of, share_of_connections
-from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.sharing.holders import Holding, connections_per_process, holding_of
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
 from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
@@ -61,11 +61,11 @@
             self._drain_bound,
             self._direct,
             self._leases.of(name),
-            ReadChoice(now, random.random) if policy.told_load else None,
+            CompletionEstimator(now, random.random) if policy.told_load else None,
             policy.silent_databases,
             policy.fair_callers,
         )
-        group.record = self._services.record
+        group.on_event = self._services.record
         return group
 
 
@@ -95,7 +95,7 @@
         if policy is None:
             return Holding(1)
         if not self._members.is_known:
-            return Holding(max(share_of_connections(policy.max_connections, ASSUMED_MEMBERS), 1))
+            return Holding(max(connections_per_process(policy.max_connections, ASSUMED_MEMBERS), 1))
 
         def distance(zone: str) -> int:
             return self._locality.steps_between(zone, record.zone)
--- a/src/dewledge/shell/pooler/known_databases.py
+++ b/src/dewledge/shell/pooler/known_databases.py
@@ -42,7 +42,7 @@
         """Takes a load report of the holder at this address; see Group.take_load."""
         group = self.group_of(database_id)
         if group is not None:
-            group.take_load(database_id, holder, report)
+            group.record_load_report(database_id, holder, report)
 
 
 class RouteFinder:
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -19,8 +19,8 @@
     ChannelReply,
     PeerLinkMessage,
     channel_statement,
-    wait_at_holder,
-    waited_already,
+    holder_wait_seconds,
+    seconds_waited,
 )
 from dewledge.core.pooler.statements.statements import Statement
 from dewledge.core.shared.positions import LogPosition
@@ -120,7 +120,7 @@
         """All statements on a link's channels are told what is known of its other end."""
         for channel in list(self._channels.get(link, {}).values()):
             channel.connection.is_retiring = not link.is_usable
-            channel.connection.holder_judged(link.health.state)
+            channel.connection.on_holder_state(link.health.state)
 
     def _retire_silent(self, link: OutgoingLink) -> None:
         if link.health.state is HolderState.SILENT:
@@ -166,9 +166,9 @@
             statement,
             floor,
             connection.priority,
-            wait_at_holder(connection.wait_until, now),
-            wait_at_holder(connection.in_time_until, now),
-            waited_already(connection.arrived, now),
+            holder_wait_seconds(connection.wait_until, now),
+            holder_wait_seconds(connection.in_time_until, now),
+            seconds_waited(connection.arrived, now),
         )
         self._link.send(message)
 
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -145,7 +145,7 @@
     @property
     def at_rest(self) -> bool:
         """Whether nothing runs on any channel."""
-        return all(session.at_rest for session in self._channels.values())
+        return all(session.is_idle for session in self._channels.values())
 
     def send(self, message: PeerLinkMessage) -> None:
         """Sends a message."""
@@ -206,7 +206,7 @@
             if len(self._reporters) >= MOST_TOLD_DATABASES:
                 self._reporters.clear()
             reporter = self._reporters[database_id] = LoadReporter()
-        return reporter.due_report(report, self._loop.now())
+        return reporter.report_to_send(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
         """A channel is over."""
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -61,7 +61,7 @@
     def send_refusal(self, failure: Failure) -> None:
         """Refuses the session and closes the connection; see FailedLoginThrottle for when."""
         self._is_refused = True
-        pause = self._throttle.pause(self._loop.now()) if failure.code in _PACED else 0.0
+        pause = self._throttle.answer_delay(self._loop.now()) if failure.code in _PACED else 0.0
         if pause is None:
             self._stream.close()
             self._gone(self)
@@ -82,7 +82,7 @@
         if self._held is not None:
             self._held.cancel()
             self._held = None
-            self._throttle.told()
+            self._throttle.on_delay_ended()
 
     def close(self) -> None:
         """Closes the connection once everything sent has left."""
@@ -96,7 +96,7 @@
         """
         if not self._is_refused:
             self._stream.take_arrived()
-        self.session.leave()
+        self.session.close_when_idle()
 
     def _received(self, data: bytes) -> None:
         if self._is_refused:
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.codec import DatabaseCodec
 from dewledge.core.pooler.sharing.holders import FALLBACK_CONNECTIONS
@@ -39,13 +39,13 @@
         user: str,
         new_codec: Callable[[], DatabaseCodec],
         find: Callable[[str], DatabaseRecord | None],
-        reach_limit: ReachLimit | None = None,
+        reach_limit: ConnectTimeout | None = None,
     ) -> None:
         """`user`: what databases are told where there is no caller.
 
         reach_limit: is told how long connections take to be accepted."""
         self._loop = loop
-        self._reach_limit = reach_limit or ReachLimit()
+        self._reach_limit = reach_limit or ConnectTimeout()
         self._user = user
         self._new_codec = new_codec
         self._find = find
@@ -71,7 +71,7 @@
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
-            self._reach_limit.observe(self._loop.now() - started_at)
+            self._reach_limit.record_connect_time(self._loop.now() - started_at)
             user = request.caller or self._user
             _DatabaseLink(self._loop, sock, known, user, self._new_codec(), request)
 
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -70,7 +70,7 @@
     @property
     def heard_at(self) -> float:
         """When bytes came last (steady clock, seconds)."""
-        return self.health.heard_at
+        return self.health.last_received_at
 
     @property
     def is_usable(self) -> bool:
@@ -108,11 +108,11 @@
     def expect_answer(self) -> None:
         """An answer is due: from now on silence means something."""
         if self._stream is not None:
-            self._plan_look(self.health.sent(self._loop.now()))
+            self._plan_look(self.health.on_sent(self._loop.now()))
 
     def answer_came(self, count: int = 1) -> None:
         """So many answers have come, or are not awaited any more."""
-        self.health.answered(count)
+        self.health.on_replies(count)
 
     def close(self) -> None:
         """Ends the link without a call of `lost`."""
@@ -125,7 +125,7 @@
         self._clear_timer()
 
     def _dial(self) -> None:
-        self._plan_look(self.health.dialled(self._loop.now()))
+        self._plan_look(self.health.on_dial(self._loop.now()))
         self._connecting = Connecting(
             self._loop, self.address, CONNECT_LIMIT_SECONDS, self._connected, self._refused
         )
@@ -134,7 +134,7 @@
         self._connecting = None
         self._is_leaving = False
         self._clear_timer()
-        self.health.opened(self._loop.now())
+        self.health.on_opened(self._loop.now())
         self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._heard)
         self._stream.send(LinkOpened(self._own_name))
         self._tell_state(0.0)
@@ -145,9 +145,9 @@
     def _refused(self) -> None:
         self._connecting = None
         now = self._loop.now()
-        silence = self.health.silence(now)
+        silence = self.health.silence_seconds(now)
         self._clear_timer()
-        self.health.ended(now, is_dial=True)
+        self.health.on_ended(now, is_dial=True)
         self._tell_state(silence)
         self._move_on()
 
@@ -157,8 +157,8 @@
             failed()
 
     def _heard(self) -> None:
-        silence = self.health.silence(self._loop.now())
-        self.health.heard(self._loop.now())
+        silence = self.health.silence_seconds(self._loop.now())
+        self.health.on_received(self._loop.now())
         self._tell_state(silence)
 
     def _received(self, message: PeerLinkMessage) -> None:
@@ -168,7 +168,7 @@
             self._watcher.leaving(self)
             return
         if isinstance(message, Pong):
-            self.health.ponged(self._loop.now())
+            self.health.on_pong(self._loop.now())
         self._watcher.received(self, message)
 
     def _ended(self) -> None:
@@ -176,24 +176,26 @@
 
     def _lose(self, reason: str) -> None:
         now = self._loop.now()
-        silence = self.health.silence(now)
-        logger.bind(peer=self.address, reason=reason, due=self.health.due).info("link_lost")
+        silence = self.health.silence_seconds(now)
+        logger.bind(peer=self.address, reason=reason, due=self.health.outstanding_replies).info(
+            "link_lost"
+        )
         self.close()
-        self.health.ended(now, is_dial=False)
+        self.health.on_ended(now, is_dial=False)
         self._tell_state(silence)
         self._watcher.lost(self)
 
     def _look(self) -> None:
         self._timer = None
         now = self._loop.now()
-        look = self.health.look(now)
+        look = self.health.check(now)
         if look.is_lost and self._stream is not None:
             self._lose("silent")
             return
         if look.sends_ping:
             self.send(Ping())
         self._plan_look(look.again)
-        self._tell_state(self.health.silence(now))
+        self._tell_state(self.health.silence_seconds(now))
 
     def _tell_state(self, silence: float) -> None:
         """Reports a new state; callers do not wait for the dial of an end that is doubted."""
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -10,7 +10,7 @@
 from dewledge.core.pooler.events import HolderJudged, PoolingEvent
 from dewledge.core.pooler.load.holder_health import WITHOUT_PROBES, HolderRules, HolderState
 from dewledge.core.pooler.sharing.messages import PeerLinkMessage
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.shell.pooler.links.outgoing_link import OutgoingLink
 from dewledge.shell.shared.event_loop import EventLoop
 
@@ -105,10 +105,10 @@
         event = HolderJudged(
             peer=link.address,
             state=health.state,
-            silence_ms=round(silence * MILLISECONDS),
-            due=health.due,
-            usual_ms=round(health.usual_round_trip * MILLISECONDS),
-            lasted_ms=round(lasted * MILLISECONDS),
+            silence_ms=round(silence * MILLISECONDS_PER_SECOND),
+            due=health.outstanding_replies,
+            usual_ms=round(health.usual_round_trip * MILLISECONDS_PER_SECOND),
+            lasted_ms=round(lasted * MILLISECONDS_PER_SECOND),
         )
         self._record(event)
         for judged in self._health_watchers:
--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from dewledge.core.pooler.events import StatementAnswered
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
 if TYPE_CHECKING:
     from prometheus_client import Metric
@@ -110,7 +110,7 @@
         self._statements[StatementLabels(event.kind, event.consistency, event.outcome)] += 1
         labels = DurationLabels(event.kind, event.consistency)
         durations = self._seconds.setdefault(labels, _Durations())
-        durations.add(event.waited_ms / MILLISECONDS)
+        durations.add(event.waited_ms / MILLISECONDS_PER_SECOND)
         attempts = event.way.split(",")
         if event.expected_ms >= 0 and len(attempts) == 1 and event.outcome == "done":
             self._accuracies[_accuracy(event.expected_ms, event.waited_ms)] += 1
--- a/src/dewledge/shell/pooler/observing/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -64,7 +64,7 @@
     (
         "links_doubted",
         "Links whose other end is late with a sign of life.",
-        lambda parts: parts.links.count(HolderState.DOUBTED),
+        lambda parts: parts.links.count(HolderState.SUSPECTED),
     ),
     (
         "links_silent",
