--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -9,12 +9,16 @@
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.load.wait_counts import WaitCounts
-from dewledge.core.pooler.load.wait_summaries import SUMMARY_SECONDS, QueueName, WaitSummaries
+from dewledge.core.pooler.load.wait_summaries import (
+    SUMMARY_INTERVAL_SECONDS,
+    QueueName,
+    WaitSummaries,
+)
 from dewledge.core.pooler.scheduling import Scheduler
 
 
 class WaitReporter:
-    """At most a line for each pool of this process in SUMMARY_SECONDS."""
+    """At most a line for each pool of this process in SUMMARY_INTERVAL_SECONDS."""
 
     def __init__(
         self,
@@ -30,7 +34,7 @@
 
     def start(self) -> None:
         """Logs from now on."""
-        self._scheduler.call_later(SUMMARY_SECONDS, self._tell_and_go_on)
+        self._scheduler.call_later(SUMMARY_INTERVAL_SECONDS, self._tell_and_go_on)
 
     def tell(self) -> None:
         """Logs what was counted since the last time."""
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -172,11 +172,11 @@
     def _end_resting_transactions(self, now: float) -> None:
         limit = self._services.routes.transaction_idle_timeout
         for connection in list(self._clients.connections):
-            since = connection.session.resting_since()
+            since = connection.session.idle_since()
             if since is not None and now - since > limit:
                 connection.session.end_transaction("rested_too_long")
             elif since is not None:
-                connection.session.end_if_denied()
+                connection.session.end_transaction_if_unauthorized()
 
     def _finish(self) -> None:
         self._failover.driver.stop()
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -8,7 +8,7 @@
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_SPACING_SECONDS
+from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_INTERVAL_SECONDS
 from dewledge.core.pooler.sessions.routes import RouteTable
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.member_table import MemberTable
@@ -54,21 +54,21 @@
         self._grantor.set_limits(limits)
 
     def _tick(self) -> None:
-        again = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
+        again = self._gate.tick() if self._members.is_known else SEARCH_INTERVAL_SECONDS
         self._loop.call_later(again, self._tick)
 
     def send(self, name: str, question: QuotaQuestion) -> None:
         """Sends a question of the gate to the process of this name, or asks the own grantor."""
         if name == self._own_name:
-            answer = self._grantor.take_question(question, self._loop.now())
-            self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
+            answer = self._grantor.answer_question(question, self._loop.now())
+            self._loop.call_later(0.0, lambda: self._gate.handle_answer(answer))
             return
         member = self._members.members.get(name)
         if member is not None:
             self._peers.send(question, [member.peer_address])
 
     def _take_question(self, question: QuotaQuestion, sender: str) -> None:
-        self._peers.send(self._grantor.take_question(question, self._loop.now()), [sender])
+        self._peers.send(self._grantor.answer_question(question, self._loop.now()), [sender])
 
     def _take_answer(self, answer: QuotaAnswer, _sender: str) -> None:
-        self._gate.take_answer(answer)
+        self._gate.handle_answer(answer)
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -11,7 +11,7 @@
 
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.sharing.messages import TableNews
-from dewledge.core.pooler.sharing.packing import LEAST_COMPRESSED_BYTES, pack_value, unpack_value
+from dewledge.core.pooler.sharing.packing import MIN_COMPRESSED_BYTES, pack_value, unpack_value
 from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 
 RowsCallback = Callable[[tuple[StoreRow, ...], int], None]
@@ -69,7 +69,7 @@
     @property
     def is_known(self) -> bool:
         """Whether the table was ever read, or told by another process."""
-        return self._cache.is_known
+        return self._cache.is_loaded
 
     @property
     def is_confirmed_by_feed(self) -> bool:
@@ -84,7 +84,7 @@
         """Takes what the store or another process tells; returns whether it was news."""
         if delta.version < self._cache.version:
             return False
-        is_news = bool(delta.rows) or not self._cache.is_known
+        is_news = bool(delta.rows) or not self._cache.is_loaded
         if self._confirmed is None or not delta.is_whole:
             # Known before the rows are taken: what they lead to may ask how sure the table is.
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
@@ -106,7 +106,7 @@
 
     def has_changed_after(self, version: int) -> bool:
         """Tells whether a follower at `version` lacks rows; the counter alone rises often."""
-        if not self._cache.is_known or self._cache.version <= version:
+        if not self._cache.is_loaded or self._cache.version <= version:
             return False
         return version < self._last_change
 
@@ -114,7 +114,7 @@
         self, after: int, now: float, takes_large: bool, compares_keys: bool = False
     ) -> TableNews:
         """Returns what a follower at version `after` lacks, or that it is too large to be sent."""
-        age = now - self.confirmed_at if self._cache.is_known else -1.0
+        age = now - self.confirmed_at if self._cache.is_loaded else -1.0
         delta = self._cache.delta(after, compares_keys)
         rows = tuple(self._pack(row) for row in delta.rows)
         if sum(len(row.value) for row in rows) > LARGE_BYTES and not takes_large:
@@ -125,7 +125,7 @@
         """Takes another process's answer, given not before `answered_at`. Raises ProtocolError."""
         rows = tuple(_with_value(row, unpack_value(row.value)) for row in news.delta.rows)
         delta = msgspec.structs.replace(news.delta, rows=rows)
-        if delta.version >= self._cache.version and not self._cache.agrees_with(delta):
+        if delta.version >= self._cache.version and not self._cache.matches_keys_of(delta):
             self._lacks_removals = True
             logger.bind(table=self.name, after=self.version, version=delta.version).info(
                 "table_lacks_removals"
@@ -138,7 +138,7 @@
         known = self._packed.get(row.key)
         if known is None or known.version != row.version:
             known = _with_value(row, pack_value(row.value))
-            if len(row.value) >= LEAST_COMPRESSED_BYTES:
+            if len(row.value) >= MIN_COMPRESSED_BYTES:
                 self._packed[row.key] = known
         return known
 
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -13,7 +13,11 @@
 
 from dewledge.core.pooler.coordination_store import CoordinationStore
 from dewledge.core.pooler.sharing.messages import FollowTables
-from dewledge.core.pooler.sharing.readers import MOST_READING_ALL, ReadingPlan, reading_plan
+from dewledge.core.pooler.sharing.readers import (
+    MAX_PROCESSES_ALL_READING,
+    ReadingPlan,
+    reading_plan,
+)
 from dewledge.core.pooler.sharing.table_cache import TableDelta
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.links.channel_server import IncomingLink
@@ -136,7 +140,7 @@
                 "reading_planned"
             )
         addresses = [members[name].peer_address for name in plan.sources if name in members]
-        is_read_by_all = len(members) <= MOST_READING_ALL
+        is_read_by_all = len(members) <= MAX_PROCESSES_ALL_READING
         is_alone = plan.is_reader or not addresses
         for name, watcher in self._watchers.items():
             shared_wait = self._tables[name].wait_seconds
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -13,7 +13,7 @@
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import (
-    CALL_LIMIT_SECONDS,
+    CALL_TIMEOUT_SECONDS,
     CoordinationStore,
     HistoryLost,
 )
@@ -134,7 +134,7 @@
             self._pause_after(error)
 
     def _read_whole(self) -> None:
-        limit = FIRST_READ_LIMIT_SECONDS if self._newest < 0 else CALL_LIMIT_SECONDS
+        limit = FIRST_READ_LIMIT_SECONDS if self._newest < 0 else CALL_TIMEOUT_SECONDS
         sent_at = time.monotonic()
         answer = self._store.read_table(self._table, limit)
         while answer.version < self._newest and not self._stopped.is_set():
--- a/src/dewledge/shell/proxy/statement_handlers.py
+++ b/src/dewledge/shell/proxy/statement_handlers.py
@@ -13,7 +13,7 @@
     Scalar,
     Statement,
 )
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.errors import ErrorCode, Finding, InvalidInput
 from dewledge.shell.proxy.http_authentication import authenticate
 from dewledge.shell.proxy.http_status import status_of
@@ -107,9 +107,9 @@
 
     def _deadline(self, deadline_ms: int | None) -> float:
         bounds = self._services.deadlines
-        seconds = bounds.default if deadline_ms is None else deadline_ms / MILLISECONDS
+        seconds = bounds.default if deadline_ms is None else deadline_ms / MILLISECONDS_PER_SECOND
         if seconds > bounds.longest:
-            message = f"must be at most {bounds.longest * MILLISECONDS:.0f}"
+            message = f"must be at most {bounds.longest * MILLISECONDS_PER_SECOND:.0f}"
             finding = Finding("body deadline_ms", ErrorCode.MALFORMED_REQUEST, message)
             raise InvalidInput([finding])
         return self._services.now() + seconds
@@ -147,7 +147,7 @@
 
 
 def _milliseconds(seconds: float | None) -> int | None:
-    return None if seconds is None else math.ceil(seconds * MILLISECONDS)
+    return None if seconds is None else math.ceil(seconds * MILLISECONDS_PER_SECOND)
 
 
 def _retry_headers(seconds: float | None) -> Headers:
--- a/src/dewledge/simulation/simulated_proxy.py
+++ b/src/dewledge/simulation/simulated_proxy.py
@@ -23,7 +23,7 @@
 from dewledge.core.proxy.membership.member import Member
 from dewledge.core.proxy.membership.messages import SendDatagram
 from dewledge.core.proxy.messages import decode
-from dewledge.core.shared.units import MILLISECONDS
+from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 from dewledge.simulation.absences import AbsenceReason, AbsenceTracker
 from dewledge.simulation.clock import Action, ScheduledEvent
 from dewledge.simulation.core_factory import make_core
@@ -87,7 +87,7 @@
         self._desk = ReplyDesk()
         self._peer_incarnations = {}
         world = self._world
-        number = int(self.now() * MILLISECONDS) + 1
+        number = int(self.now() * MILLISECONDS_PER_SECOND) + 1
         me = Member(self.name, self.name, self.name, self.place.zone, number)
         self._core = make_core(me, world.settings, self._random)
         self._interceptor = world.make_interceptor(self)
--- a/tests/constants_table.py
+++ b/tests/constants_table.py
@@ -24,7 +24,7 @@
 UNITS_OF_NAMES = {
     "SECONDS": "seconds",
     "SECOND": "per second",
-    "MILLISECONDS": "milliseconds",
+    "MILLISECONDS_PER_SECOND": "milliseconds",
     "MS": "milliseconds",
     "BYTES": "bytes",
     "BITS": "bits",
--- a/tests/core/pooler/failover/test_claim_turn.py
+++ b/tests/core/pooler/failover/test_claim_turn.py
@@ -23,7 +23,7 @@
     ) -> ClaimTurn:
         lease = PrimaryLease(fencing)
         if claim is not None:
-            lease.take_claim(claim)
+            lease.apply_claim(claim)
         turn = ClaimTurn(local_name, lease)
         turn.on_newer_claim(NOW)
         return turn
--- a/tests/core/pooler/failover/test_group_failover.py
+++ b/tests/core/pooler/failover/test_group_failover.py
@@ -4,22 +4,22 @@
 from collections.abc import Sequence
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
-from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.candidates import rank_judges
 from dewledge.core.pooler.failover.claim_maintenance import STABLE_JUDGES_SECONDS
 from dewledge.core.pooler.failover.group_failover import NO_REGISTERED_PROCESSES, GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
     Claim,
+    ClaimReceived,
     ClaimRefused,
-    ClaimSeen,
     DatabaseStatus,
     FailoverEffect,
     FailoverEvent,
     IndirectProbeReported,
     Phase,
     PhaseChanged,
-    PrimaryDoubted,
+    PrimarySuspected,
     Promote,
     PromotionAnswered,
     ReachTested,
@@ -81,7 +81,7 @@
         return self.effects[before:]
 
     def lose_primary(self) -> None:
-        self.handle(PrimaryDoubted("p"))
+        self.handle(PrimarySuspected("p"))
         self.handle(ReachTested("p", False))
 
     def confirm_loss(self) -> None:
@@ -98,18 +98,18 @@
 
 class SuspicionTest(FailoverCase):
     def test_reachable_primary_is_not_replaced(self) -> None:
-        self.assertEqual(self.handle(PrimaryDoubted("p")), [TestReach("p")])
+        self.assertEqual(self.handle(PrimarySuspected("p")), [TestReach("p")])
         self.handle(ReachTested("p", True))
         self.advance(10.0)
         self.assertEqual(self.replacement_claims(), [])
-        self.assertIsNone(self.failover.doubted)
+        self.assertIsNone(self.failover.suspected)
 
     def test_primary_reached_by_another_process_is_not_replaced(self) -> None:
         self.lose_primary()
         self.handle(IndirectProbeReported("b", "p", False))
         self.handle(IndirectProbeReported("c", "p", True))
         self.assertEqual(self.failover.phase, Phase.STEADY)
-        self.assertEqual(self.failover.doubted, "p")
+        self.assertEqual(self.failover.suspected, "p")
         self.assertEqual(self.failover.reached_by, "c")
         self.assertEqual(self.replacement_claims(), [])
 
@@ -119,7 +119,7 @@
         tests = [e for e in self.advance(1.0) if isinstance(e, TestReach)]
         self.assertGreaterEqual(len(tests), 1)
         self.handle(ReachTested("p", True))
-        self.assertIsNone(self.failover.doubted)
+        self.assertIsNone(self.failover.suspected)
 
     def test_claim_is_written_at_once_if_all_judges_agree(self) -> None:
         self.lose_primary()
@@ -143,20 +143,20 @@
         self.assertEqual(len(self.replacement_claims()), 1)
 
     def test_suspected_replica_starts_no_check(self) -> None:
-        self.handle(ClaimSeen(Claim("b", "", 3)))
-        self.assertEqual(self.handle(PrimaryDoubted("r1")), [])
+        self.handle(ClaimReceived(Claim("b", "", 3)))
+        self.assertEqual(self.handle(PrimarySuspected("r1")), [])
 
 
 class ClaimTest(FailoverCase):
     def claim_lost_primary(self, token: int = 7) -> None:
         self.lose_primary()
         self.confirm_loss()
-        self.handle(ClaimSeen(Claim("a", "p", token)))
+        self.handle(ClaimReceived(Claim("a", "p", token)))
 
     def test_process_follows_earlier_claim_holder(self) -> None:
         self.lose_primary()
         self.confirm_loss()
-        self.handle(ClaimSeen(Claim("b", "p", 7)))
+        self.handle(ClaimReceived(Claim("b", "p", 7)))
         self.advance(2.0)
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.effects_of(Promote), [])
@@ -164,7 +164,7 @@
     def test_holder_without_effect_is_succeeded_by_newer_claim(self) -> None:
         self.lose_primary()
         self.confirm_loss()
-        self.handle(ClaimSeen(Claim("b", "p", 7)))
+        self.handle(ClaimReceived(Claim("b", "p", 7)))
         self.advance(3.1)
         self.lose_primary()
         self.confirm_loss()
@@ -172,7 +172,7 @@
         self.assertEqual(self.effects_of(WriteClaim)[-1], WriteClaim("p", 7))
 
     def test_last_holder_promotes_under_its_token_while_store_is_down(self) -> None:
-        self.handle(ClaimSeen(Claim("a", "x", 5)))
+        self.handle(ClaimReceived(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm_loss()
         self.handle(ClaimRefused())
@@ -180,19 +180,19 @@
         self.assertEqual(self.effects_of(Promote)[0].fencing_token, 5)  # type: ignore[union-attr]
 
     def test_last_holder_does_not_wait_for_claim_write(self) -> None:
-        self.handle(ClaimSeen(Claim("a", "x", 5)))
+        self.handle(ClaimReceived(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm_loss()
         self.assertEqual(self.effects_of(WriteClaim), [WriteClaim("p", 5)])
         self.assertEqual(self.failover.phase, Phase.CHOOSING)
 
     def test_holder_with_outdated_refused_token_follows(self) -> None:
-        self.handle(ClaimSeen(Claim("a", "x", 5)))
+        self.handle(ClaimReceived(Claim("a", "x", 5)))
         self.lose_primary()
         self.confirm_loss()
         self.handle(StatusRead("r1", DatabaseStatus(False, 1, LogPosition(1, 4))))
         self.advance(0.4)
-        self.handle(ClaimSeen(Claim("b", "p", 8)))
+        self.handle(ClaimReceived(Claim("b", "p", 8)))
         self.handle(PromotionAnswered("r1", False, True))
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
 
@@ -208,7 +208,7 @@
         self.assertEqual(self.failover.phase, Phase.STEADY)
 
     def test_process_without_claim_promotes_nothing(self) -> None:
-        self.handle(ClaimSeen(Claim("b", "x", 5)))
+        self.handle(ClaimReceived(Claim("b", "x", 5)))
         self.lose_primary()
         self.confirm_loss()
         for _ in range(20):
@@ -240,7 +240,7 @@
         self.assertEqual(set(promotions), {Promote("r1", 7)})
 
     def test_token_refused_for_two_databases_is_not_reused(self) -> None:
-        self.handle(ClaimSeen(Claim("a", "", 7)))
+        self.handle(ClaimReceived(Claim("a", "", 7)))
         self.lose_primary()
         self.confirm_loss()
         for _ in range(2):
@@ -251,14 +251,14 @@
         calls = len(self.effects_of(Promote))
         self.effects.clear()
         for _ in range(5):
-            self.handle(PrimaryDoubted("p"))
+            self.handle(PrimarySuspected("p"))
             self.handle(ReachTested("p", False))
             self.confirm_loss()
             self.advance(2.0)
         self.assertGreaterEqual(calls, 2)
         self.assertEqual(self.effects_of(Promote), [])
         self.assertIn(WriteClaim("p", 7), self.effects_of(WriteClaim))
-        self.handle(ClaimSeen(Claim("a", "p", 9)))
+        self.handle(ClaimReceived(Claim("a", "p", 9)))
         self.advance(3.0)
         self.assertEqual({each.fencing_token for each in self.effects_of(Promote)}, {9})
 
@@ -277,7 +277,7 @@
         self.register_database("r1", "primary")
         self.handle(Ticked())
         self.assertEqual(self.failover.phase, Phase.STEADY)
-        self.assertIsNone(self.failover.doubted)
+        self.assertIsNone(self.failover.suspected)
 
 
 class ClaimMaintenanceTest(FailoverCase):
@@ -304,24 +304,24 @@
                 self.assertEqual(effects, [], (name, after))
 
     def test_no_claim_is_written_if_another_process_holds_one(self) -> None:
-        self.handle(ClaimSeen(Claim("b", "", 3)))
+        self.handle(ClaimReceived(Claim("b", "", 3)))
         self.advance(20.0)
         self.assertEqual(self.effects_of(WriteClaim), [])
 
     def test_claim_that_replaces_no_primary_is_not_followed(self) -> None:
         self.lose_primary()
-        self.handle(ClaimSeen(Claim("b", "", 3)))
+        self.handle(ClaimReceived(Claim("b", "", 3)))
         self.assertEqual(self.failover.phase, Phase.CHECKING)
 
 
 class JudgesTest(unittest.TestCase):
     def test_judges_are_few_and_the_same_on_all_processes(self) -> None:
         members = [f"node-{number}" for number in range(850)]
-        first = panel("menus", members)
+        first = rank_judges("menus", members)
         self.assertEqual(len(first), 15)
-        self.assertEqual(first, panel("menus", reversed(members)))
-        self.assertNotEqual(first, panel("permits", members))
-        self.assertEqual(sorted(panel("menus", members[:7])), members[:7])
+        self.assertEqual(first, rank_judges("menus", reversed(members)))
+        self.assertNotEqual(first, rank_judges("permits", members))
+        self.assertEqual(sorted(rank_judges("menus", members[:7])), members[:7])
 
     def test_process_outside_judges_claims_last(self) -> None:
         view = GroupView("menus")
@@ -345,7 +345,7 @@
     def claim_draining_primary(self) -> None:
         self.register_database("p", "primary", draining=True)
         self.advance(0.5)
-        self.handle(ClaimSeen(Claim("a", "p", 7)))
+        self.handle(ClaimReceived(Claim("a", "p", 7)))
 
     def report_positions(self, **offsets: int) -> None:
         for name, offset in offsets.items():
@@ -370,7 +370,7 @@
     def test_lost_primary_is_not_asked_for_status(self) -> None:
         self.lose_primary()
         self.confirm_loss()
-        self.handle(ClaimSeen(Claim("a", "p", 7)))
+        self.handle(ClaimReceived(Claim("a", "p", 7)))
         self.assertNotIn(ReadStatus("p"), self.effects)
 
     def test_primary_with_removed_entry_is_replaced_after_timeout(self) -> None:
@@ -412,10 +412,10 @@
             for name, contender in contenders.items():
                 events: list[FailoverEvent] = [Ticked()]
                 if step == 0:
-                    events = [PrimaryDoubted("p"), ReachTested("p", False)]
+                    events = [PrimarySuspected("p"), ReachTested("p", False)]
                     events += [IndirectProbeReported(w, "p", False) for w in MEMBERS if w != name]
                 if row is not None:
-                    events.append(ClaimSeen(row))
+                    events.append(ClaimReceived(row))
                 for event in events:
                     for effect in contender.handle(event, self.view, MEMBERS, self.now):
                         if isinstance(effect, WriteClaim):
--- a/tests/core/pooler/failover/test_primary_lease.py
+++ b/tests/core/pooler/failover/test_primary_lease.py
@@ -49,14 +49,14 @@
                 lease = PrimaryLease(fencing)
                 if confirmed_at is not None:
                     lease.confirm(confirmed_at)
-                lease.take_claim(claim(5, leader))
+                lease.apply_claim(claim(5, leader))
                 self.assertEqual(lease.allows("p", NOW), allowed)
 
     def test_older_claim_is_ignored(self) -> None:
         lease = PrimaryLease(Fencing.PROCESSES)
-        self.assertTrue(lease.take_claim(claim(7, "")))
-        self.assertFalse(lease.take_claim(claim(5)))
-        self.assertFalse(lease.take_claim(claim(7)))
+        self.assertTrue(lease.apply_claim(claim(7, "")))
+        self.assertFalse(lease.apply_claim(claim(5)))
+        self.assertFalse(lease.apply_claim(claim(7)))
         self.assertTrue(lease.is_banned("p"))
 
     def test_older_confirmation_does_not_shorten_lease(self) -> None:
@@ -79,33 +79,35 @@
     def test_old_leases_end_when_all_processes_acknowledged(self) -> None:
         for name in VOTERS[:-1]:
             self.acknowledgements.add(name, NOW)
-        self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + 0.1))
+        self.assertFalse(self.acknowledgements.is_effective(self.registered, NOW + 0.1))
         self.assertEqual(self.acknowledgements.missing(self.registered.names), ["e"])
         self.acknowledgements.add("e", NOW)
-        self.assertTrue(self.acknowledgements.is_over(self.registered, NOW + 0.1))
+        self.assertTrue(self.acknowledgements.is_effective(self.registered, NOW + 0.1))
 
     def test_process_list_older_than_claim_is_not_trusted(self) -> None:
         for name in VOTERS:
             self.acknowledgements.add(name, NOW)
         older = RegisteredProcesses(self.registered.names, 6)
-        self.assertFalse(self.acknowledgements.is_over(older, NOW + 0.1))
+        self.assertFalse(self.acknowledgements.is_effective(older, NOW + 0.1))
 
     def test_processes_other_than_voters_must_acknowledge(self) -> None:
         for name in VOTERS:
             self.acknowledgements.add(name, NOW)
         more = RegisteredProcesses(frozenset((*VOTERS, "f")), 7)
-        self.assertFalse(self.acknowledgements.is_over(more, NOW + 0.1))
+        self.assertFalse(self.acknowledgements.is_effective(more, NOW + 0.1))
 
     def test_old_leases_expire_after_majority_acknowledged(self) -> None:
         for name in VOTERS[:3]:
             self.acknowledgements.add(name, NOW + 0.2)
-        self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + LEASE_SECONDS))
-        self.assertTrue(self.acknowledgements.is_over(self.registered, NOW + 0.2 + LEASE_SECONDS))
+        self.assertFalse(self.acknowledgements.is_effective(self.registered, NOW + LEASE_SECONDS))
+        self.assertTrue(
+            self.acknowledgements.is_effective(self.registered, NOW + 0.2 + LEASE_SECONDS)
+        )
 
     def test_old_leases_never_expire_without_majority(self) -> None:
         for name in VOTERS[:2]:
             self.acknowledgements.add(name, NOW)
-        self.assertFalse(self.acknowledgements.is_over(self.registered, NOW + 3600))
+        self.assertFalse(self.acknowledgements.is_effective(self.registered, NOW + 3600))
 
     def test_every_earlier_voter_set_needs_a_majority(self) -> None:
         acknowledgements = ClaimAcknowledgements(
@@ -113,15 +115,15 @@
         )
         for name in (*VOTERS, "x"):
             acknowledgements.add(name, NOW)
-        self.assertFalse(acknowledgements.is_over(RegisteredProcesses(), NOW + 3600))
+        self.assertFalse(acknowledgements.is_effective(RegisteredProcesses(), NOW + 3600))
         acknowledgements.add("y", NOW)
         more = RegisteredProcesses(frozenset(("z",)), 7)
-        self.assertTrue(acknowledgements.is_over(more, NOW + LEASE_SECONDS))
+        self.assertTrue(acknowledgements.is_effective(more, NOW + LEASE_SECONDS))
 
     def test_first_claim_needs_no_majority(self) -> None:
         acknowledgements = ClaimAcknowledgements(claim(7, ""), NOW)
-        self.assertFalse(acknowledgements.is_over(self.registered, NOW + LEASE_SECONDS - 0.01))
-        self.assertTrue(acknowledgements.is_over(self.registered, NOW + LEASE_SECONDS))
+        self.assertFalse(acknowledgements.is_effective(self.registered, NOW + LEASE_SECONDS - 0.01))
+        self.assertTrue(acknowledgements.is_effective(self.registered, NOW + LEASE_SECONDS))
 
     def test_half_is_not_a_majority(self) -> None:
         self.assertFalse(is_majority({"a", "b"}, ("a", "b", "c", "d")))
@@ -149,37 +151,37 @@
         for name, before, still_serves, leader in cases:
             with self.subTest(name):
                 self.lease = PrimaryLease(Fencing.PROCESSES)
-                self.lease.take_claim(claim(7, before))
+                self.lease.apply_claim(claim(7, before))
                 write = replacement_claim(self.lease, VOTERS, "p", still_serves)
                 self.assertEqual(write.leader, leader)
 
     def test_order_claim_names_only_leader(self) -> None:
-        self.lease.take_claim(claim(7, ""))
+        self.lease.apply_claim(claim(7, ""))
         write = order_claim(self.lease, VOTERS, "p", "r")
         self.assertEqual((write.leader, write.ordered, write.expected), ("r", "r", 7))
 
     def test_last_order_is_kept_in_later_claims(self) -> None:
-        self.lease.take_claim(claim(7, "r", ordered="r"))
+        self.lease.apply_claim(claim(7, "r", ordered="r"))
         self.assertEqual(replacement_claim(self.lease, VOTERS, "p", False).ordered, "r")
         self.assertEqual(maintenance_claim(self.lease, VOTERS, False).ordered, "r")
 
     def test_order_of_replaced_database_is_dropped(self) -> None:
-        self.lease.take_claim(claim(7, "r", ordered="r"))
+        self.lease.apply_claim(claim(7, "r", ordered="r"))
         self.assertEqual(replacement_claim(self.lease, VOTERS, "r", False).ordered, "")
 
     def test_withdrawal_claim_names_old_primary_leader(self) -> None:
-        self.lease.take_claim(claim(7, ""))
+        self.lease.apply_claim(claim(7, ""))
         self.assertEqual(withdrawal_claim(self.lease, VOTERS, "p").leader, "p")
 
     def test_maintenance_claim_keeps_leader(self) -> None:
         for leader in (None, "", "p"):
             self.lease = PrimaryLease(Fencing.PROCESSES)
-            self.lease.take_claim(claim(7, leader))
+            self.lease.apply_claim(claim(7, leader))
             write = maintenance_claim(self.lease, VOTERS, False)
             self.assertEqual(write.leader, leader)
 
     def test_earlier_voters_are_kept_until_dropped_explicitly(self) -> None:
-        self.lease.take_claim(claim(7, quorums=(("x", "y"),)))
+        self.lease.apply_claim(claim(7, quorums=(("x", "y"),)))
         first = maintenance_claim(self.lease, ("a", "f"), False)
         self.assertEqual(first.voters, ("a", "f"))
         self.assertEqual(first.quorums, (VOTERS, ("x", "y")))
@@ -191,26 +193,28 @@
     def setUp(self) -> None:
         self.leases = {name: PrimaryLeases(Fencing.PROCESSES) for name in VOTERS}
         for leases in self.leases.values():
-            leases.of("menus").take_claim(claim(7))
+            leases.of("menus").apply_claim(claim(7))
             leases.confirm_all(NOW)
         self.confirmation = QuorumConfirmation("a")
 
     def ask(self, now: float) -> ConfirmationQuestion:
-        inquiry = self.confirmation.ask(self.leases["a"].by_group, now)
+        inquiry = self.confirmation.next_poll(self.leases["a"].by_group, now)
         assert inquiry is not None
         self.assertEqual(inquiry.voters, VOTERS[1:])
         return inquiry.question
 
     def answer(self, voter: str, question: ConfirmationQuestion) -> ConfirmationAnswer:
-        answer = QuorumConfirmation(voter).answer(question, self.leases[voter].by_group, VOTERS)
+        answer = QuorumConfirmation(voter).answer_question(
+            question, self.leases[voter].by_group, VOTERS
+        )
         assert answer is not None
         return answer
 
     def receive(self, answer: ConfirmationAnswer) -> None:
-        self.confirmation.take(answer, self.leases["a"].by_group)
+        self.confirmation.on_answer(answer, self.leases["a"].by_group)
 
     def test_no_question_while_confirmation_is_recent(self) -> None:
-        self.assertIsNone(self.confirmation.ask(self.leases["a"].by_group, NOW + 0.5))
+        self.assertIsNone(self.confirmation.next_poll(self.leases["a"].by_group, NOW + 0.5))
 
     def test_majority_including_asker_renews_lease_from_send_time(self) -> None:
         question = self.ask(NOW + 1.3)
@@ -222,7 +226,7 @@
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW + 1.3)
 
     def test_voter_with_newer_claim_does_not_confirm(self) -> None:
-        self.leases["c"].of("menus").take_claim(claim(9, ""))
+        self.leases["c"].of("menus").apply_claim(claim(9, ""))
         question = self.ask(NOW + 1.3)
         for voter in ("b", "c"):
             self.receive(self.answer(voter, question))
@@ -239,7 +243,7 @@
     def test_answer_for_outdated_claim_is_ignored(self) -> None:
         question = self.ask(NOW + 1.3)
         answers = [self.answer(voter, question) for voter in ("b", "c", "d")]
-        self.leases["a"].of("menus").take_claim(claim(9))
+        self.leases["a"].of("menus").apply_claim(claim(9))
         for answer in answers:
             self.receive(answer)
         self.assertEqual(self.leases["a"].of("menus").confirmed_at, NOW)
@@ -247,7 +251,7 @@
     def test_unregistered_process_gets_no_answer(self) -> None:
         question = ConfirmationQuestion("stranger", 1, {"menus": 7})
         self.assertIsNone(
-            QuorumConfirmation("b").answer(question, self.leases["b"].by_group, VOTERS)
+            QuorumConfirmation("b").answer_question(question, self.leases["b"].by_group, VOTERS)
         )
 
 
--- a/tests/core/pooler/failover/test_reach_limit.py
+++ b/tests/core/pooler/failover/test_reach_limit.py
@@ -5,7 +5,7 @@
 from dewledge.core.pooler.failover.reach_limit import (
     MAX_TIMEOUT_SECONDS,
     MIN_TIMEOUT_SECONDS,
-    ReachLimit,
+    ConnectTimeout,
 )
 
 
@@ -20,9 +20,9 @@
         )
         for name, observed, minimum, maximum in cases:
             with self.subTest(name):
-                limit = ReachLimit()
+                limit = ConnectTimeout()
                 for seconds in observed:
-                    limit.observe(seconds)
+                    limit.record_connect_time(seconds)
                 self.assertLessEqual(minimum, limit.seconds)
                 self.assertLessEqual(limit.seconds, maximum)
 
--- a/tests/core/pooler/failover/test_release.py
+++ b/tests/core/pooler/failover/test_release.py
@@ -6,8 +6,8 @@
 from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     Claim,
-    ClaimKnown,
-    ClaimSeen,
+    ClaimAcknowledged,
+    ClaimReceived,
     DatabaseStatus,
     FailoverEffect,
     FailoverEvent,
@@ -59,14 +59,14 @@
             write.quorums,
             write.ordered,
         )
-        self.handle(ClaimSeen(claim))
+        self.handle(ClaimReceived(claim))
 
     def last_write(self) -> WriteClaim:
         return self.effects_of(WriteClaim)[-1]  # type: ignore[return-value]
 
     def acknowledge(self, *names: str) -> None:
         for name in names:
-            self.handle(ClaimKnown(name, self.token))
+            self.handle(ClaimAcknowledged(name, self.token))
 
     def report_positions(self, **offsets: int) -> None:
         for name, offset in offsets.items():
@@ -108,7 +108,7 @@
         self.assertEqual(len(self.effects_of(Promote)), 1)
 
     def test_last_holder_waits_for_claim_write(self) -> None:
-        self.handle(ClaimSeen(Claim("a", "", 5)))
+        self.handle(ClaimReceived(Claim("a", "", 5)))
         self.lose_primary()
         self.confirm_loss()
         self.advance(1.0)
@@ -207,7 +207,7 @@
     def test_holder_follows_newer_claim(self) -> None:
         self.lose_and_claim()
         self.token += 10
-        self.handle(ClaimSeen(Claim("b", "p", self.token, "")))
+        self.handle(ClaimReceived(Claim("b", "p", self.token, "")))
         self.advance(2.0)
         self.assertEqual(self.failover.phase, Phase.FOLLOWING)
         self.assertEqual(self.effects_of(Promote), [])
@@ -329,7 +329,7 @@
         self.advance(0.5)
         self.handle(ReachTested("p", True))
         self.handle(Ticked())
-        self.assertIsNone(self.failover.doubted)
+        self.assertIsNone(self.failover.suspected)
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/harness.py
+++ b/tests/core/pooler/harness.py
@@ -121,7 +121,7 @@
         self.ran: list[Ran] = []
         self.commits: list[str] = []
         self.transports: list[ModelTransport] = []
-        self.own: list[StatementKind] = []
+        self.proxy_requests: list[StatementKind] = []
         self.positions: dict[str, LogPosition] = {}
         self.lag: dict[str, float | None] = {}
         """Replication lag in seconds by replica, None while replication is stopped. A replica that
@@ -246,7 +246,7 @@
     def _reply(self, statement: Statement, floor: LogPosition | None) -> Reply:
         kind = statement.kind
         if statement.id == "-":
-            self.group.own.append(kind)
+            self.group.proxy_requests.append(kind)
         if kind is StatementKind.DISCARD:
             self.values.clear()
             self.prepared.clear()
@@ -380,7 +380,9 @@
         self.events: list[PoolingEvent] = []
         self.suspected: list[str] = []
         self.services = PoolServices(self.scheduler, self.events.append)
-        self.services.suspect = lambda group, database: self.suspected.append(database)
+        self.services.on_unanswered_statement = lambda group, database: self.suspected.append(
+            database
+        )
         locality = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(GROUP, locality, opener or self.model, self.scheduler.now, 5.0)
         self.group.set_connection_limit(limit)
@@ -396,7 +398,7 @@
         )
         for name in self.model.databases:
             self.announce(name)
-        self.services.wake_if_configured()
+        self.services.notify_if_configured()
 
     def announce(self, name: str, draining: bool = False) -> None:
         self._revision += 1
--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.choice import Candidate, Completion, order
+from dewledge.core.pooler.load.choice import Candidate, Completion, order_candidates
 from dewledge.core.pooler.load.load_table import LoadTable
 from dewledge.core.pooler.load.report import LoadReport
-from dewledge.core.pooler.load.shown_failures import MAX_DATABASES, ShownFailures
+from dewledge.core.pooler.load.shown_failures import MAX_DATABASES, RecentFailures
 
 WORK = 0.01
 NEAR = 0.001
@@ -27,7 +27,7 @@
     """Returns how often each database comes first."""
     source = random.Random(seed)
     candidates = [Candidate(name, completion) for name, completion in completions.items()]
-    return Counter(order(candidates, source.random)[0].database_id for _ in range(count))
+    return Counter(order_candidates(candidates, source.random)[0].database_id for _ in range(count))
 
 
 class ReadOrderTest(unittest.TestCase):
@@ -86,7 +86,7 @@
         candidates = [Candidate(name, Completion(NEAR, wait, WORK)) for name, wait in waits.items()]
         for drawn in (0.0, 0.3, 0.6, 0.99):
             with self.subTest(drawn=drawn):
-                head, *others = order(candidates, lambda drawn=drawn: drawn)  # type: ignore[misc]
+                head, *others = order_candidates(candidates, lambda drawn=drawn: drawn)  # type: ignore[misc]
                 seconds = [other.completion.seconds for other in others]
                 self.assertEqual(seconds, sorted(seconds))
                 self.assertEqual(len({head.database_id, *(each.database_id for each in others)}), 4)
@@ -126,10 +126,10 @@
             for table in tables:
                 candidates = []
                 for name in "abc":
-                    estimate = table.known(name, float(round_))
+                    estimate = table.estimate(name, float(round_))
                     wait = 0.0 if estimate is None else estimate.expected_wait(0, 0).seconds
                     candidates.append(Candidate(name, Completion(NEAR, wait, WORK)))
-                chosen = order(candidates, source.random)[0].database_id
+                chosen = order_candidates(candidates, source.random)[0].database_id
                 sent[chosen] += 1
             total += sent
             for name in "abc":
@@ -138,7 +138,7 @@
             for table in tables:
                 for name in "abc":
                     report = LoadReport(queued[name], 0, 6, 6, 0, 10)
-                    table.take(name, "h", report, float(round_))
+                    table.update(name, "h", report, float(round_))
         self.assertLess(worst / PROCESSES, 0.9)
         for name in "abc":
             self.assertLess(abs(total[name] / (PROCESSES * ROUNDS) - 1 / 3), 0.1)
@@ -146,31 +146,31 @@
 
 class FailuresTest(unittest.TestCase):
     def test_cost_of_failures_decays(self) -> None:
-        failures = ShownFailures()
-        self.assertEqual(failures.detour("d", 0.0), 0.0)
+        failures = RecentFailures()
+        self.assertEqual(failures.expected_cost("d", 0.0), 0.0)
         for number in range(20):
-            failures.note("d", number % 2 == 0, 10.0)
-        cost = failures.detour("d", 10.0)
+            failures.record("d", number % 2 == 0, 10.0)
+        cost = failures.expected_cost("d", 10.0)
         self.assertGreater(cost, 0.03)
-        self.assertLess(failures.detour("d", 20.0), cost / 20)
+        self.assertLess(failures.expected_cost("d", 20.0), cost / 20)
         for _ in range(40):
-            failures.note("d", has_failed=True, now=30.0)
-        self.assertLessEqual(failures.detour("d", 30.0), 0.451)
+            failures.record("d", has_failed=True, now=30.0)
+        self.assertLessEqual(failures.expected_cost("d", 30.0), 0.451)
 
     def test_late_failures_cost_more(self) -> None:
-        early, late = ShownFailures(), ShownFailures()
+        early, late = RecentFailures(), RecentFailures()
         for _ in range(20):
-            early.note("d", has_failed=True, now=1.0, seconds=0.01)
-            late.note("d", has_failed=True, now=1.0, seconds=0.2)
-        self.assertGreater(late.detour("d", 1.0), 3 * early.detour("d", 1.0))
+            early.record("d", has_failed=True, now=1.0, seconds=0.01)
+            late.record("d", has_failed=True, now=1.0, seconds=0.2)
+        self.assertGreater(late.expected_cost("d", 1.0), 3 * early.expected_cost("d", 1.0))
 
     def test_only_failing_databases_are_tracked_up_to_a_bound(self) -> None:
-        failures = ShownFailures()
+        failures = RecentFailures()
         for number in range(1400):
-            failures.note(f"healthy{number}", has_failed=False, now=0.0)
+            failures.record(f"healthy{number}", has_failed=False, now=0.0)
         self.assertEqual(len(failures), 0)
         for number in range(1400):
-            failures.note(f"failing{number}", has_failed=True, now=0.0)
+            failures.record(f"failing{number}", has_failed=True, now=0.0)
         self.assertEqual(len(failures), MAX_DATABASES)
 
 
@@ -189,7 +189,7 @@
         candidates = [
             Candidate(f"d{number}", each) for number, each in enumerate(candidate_completions)
         ]
-        ordered = order(candidates, iter(drawn).__next__)
+        ordered = order_candidates(candidates, iter(drawn).__next__)
         self.assertEqual(sorted(ordered, key=lambda each: each.database_id), candidates)
         for earlier, later in itertools.combinations(ordered, 2):
             self.assertFalse(later.completion.dominates(earlier.completion))
--- a/tests/core/pooler/load/test_failed_login_throttle.py
+++ b/tests/core/pooler/load/test_failed_login_throttle.py
@@ -3,9 +3,9 @@
 import unittest
 
 from dewledge.core.pooler.load.failed_login_throttle import (
+    ANSWER_DELAY_SECONDS,
     ANSWERS_PER_SECOND,
     MAX_DELAYED_REFUSALS,
-    PAUSE_SECONDS,
     FailedLoginThrottle,
 )
 
@@ -27,28 +27,28 @@
         for name, refusals, delayed, closed in rows:
             with self.subTest(name):
                 throttle = FailedLoginThrottle()
-                pauses = [throttle.pause(100.0) for _ in range(refusals)]
-                self.assertEqual(pauses.count(PAUSE_SECONDS), delayed)
+                pauses = [throttle.answer_delay(100.0) for _ in range(refusals)]
+                self.assertEqual(pauses.count(ANSWER_DELAY_SECONDS), delayed)
                 self.assertEqual(pauses.count(None), closed)
                 self.assertEqual(pauses.count(0.0), refusals - delayed - closed)
 
     def test_answered_refusals_free_places_and_bucket_refills(self) -> None:
         throttle = FailedLoginThrottle()
         for _ in range(int(ANSWERS_PER_SECOND) + MAX_DELAYED_REFUSALS):
-            throttle.pause(100.0)
-        self.assertIsNone(throttle.pause(100.0))
-        throttle.told()
-        self.assertEqual(throttle.pause(100.0), PAUSE_SECONDS)
-        self.assertEqual(throttle.pause(100.2), 0.0)
+            throttle.answer_delay(100.0)
+        self.assertIsNone(throttle.answer_delay(100.0))
+        throttle.on_delay_ended()
+        self.assertEqual(throttle.answer_delay(100.0), ANSWER_DELAY_SECONDS)
+        self.assertEqual(throttle.answer_delay(100.2), 0.0)
 
     def test_retry_rate_of_a_client_is_limited_by_the_delay(self) -> None:
         throttle, now, refusals = FailedLoginThrottle(), 100.0, 0
         while now < 200.0:
-            pause = throttle.pause(now)
+            pause = throttle.answer_delay(now)
             refusals += 1
             assert pause is not None
             if pause:
-                throttle.told()
+                throttle.on_delay_ended()
             now += pause + 0.001
         self.assertLess(refusals, 100 * (ANSWERS_PER_SECOND + 2))
 
--- a/tests/core/pooler/load/test_holder_health.py
+++ b/tests/core/pooler/load/test_holder_health.py
@@ -35,12 +35,12 @@
         self.dial()
 
     def dial(self) -> None:
-        self.health.dialled(self.now)
+        self.health.on_dial(self.now)
         self.now += self.round_trip
-        self.health.opened(self.now)
+        self.health.on_opened(self.now)
 
     def send(self) -> None:
-        delay = self.health.sent(self.now)
+        delay = self.health.on_sent(self.now)
         if delay is not None:
             self._check_at = self.now + delay
 
@@ -55,8 +55,8 @@
             self.now = max(min(event_times), self.now)
             if self._pong_at == min(event_times):
                 self._pong_at = None
-                self.health.heard(self.now)
-                self.health.ponged(self.now)
+                self.health.on_received(self.now)
+                self.health.on_pong(self.now)
             else:
                 self._check()
         self.now = end
@@ -66,7 +66,7 @@
         self.now += seconds
 
     def _check(self) -> None:
-        result = self.health.look(self.now)
+        result = self.health.check(self.now)
         self._check_at = None if result.again is None else self.now + result.again
         self.is_lost = self.is_lost or result.is_lost
         if result.sends_ping:
@@ -79,11 +79,11 @@
     def test_state_by_duration_of_silence(self) -> None:
         rows: Sequence[tuple[str, float, float, HolderState, bool]] = (
             ("near, ping in time", 0.02, 0.19, HolderState.USABLE, False),
-            ("near, ping late", 0.02, 0.21, HolderState.DOUBTED, False),
+            ("near, ping late", 0.02, 0.21, HolderState.SUSPECTED, False),
             ("near, ping overdue", 0.02, 0.31, HolderState.SILENT, False),
             ("far, longer timeout", 0.06, 0.27, HolderState.USABLE, False),
-            ("far, ping late", 0.06, 0.29, HolderState.DOUBTED, False),
-            ("very far, timeout at its maximum", 0.15, 0.31, HolderState.DOUBTED, False),
+            ("far, ping late", 0.06, 0.29, HolderState.SUSPECTED, False),
+            ("very far, timeout at its maximum", 0.15, 0.31, HolderState.SUSPECTED, False),
             ("link closed", 0.02, LOST_AFTER_SECONDS + 0.01, HolderState.SILENT, True),
         )  # fmt: skip
         for name, round_trip, after, state, is_lost in rows:
@@ -124,7 +124,7 @@
         holder.send()
         holder.run(0.5)
         self.assertFalse(holder.health.is_usable(holder.now))
-        holder.health.heard(holder.now)
+        holder.health.on_received(holder.now)
         self.assertTrue(holder.health.is_usable(holder.now))
 
     def test_unanswered_ping_counts_after_statements_have_left(self) -> None:
@@ -132,7 +132,7 @@
         holder.is_alive = False
         holder.send()
         holder.run(0.25)
-        holder.health.answered()
+        holder.health.on_replies()
         holder.run(1.5)
         self.assertTrue(holder.is_lost)
 
@@ -162,7 +162,7 @@
 class ProbeTest(unittest.TestCase):
     def test_only_a_probe_makes_a_lost_holder_usable(self) -> None:
         holder = Holder()
-        holder.health.ended(holder.now, is_dial=False)
+        holder.health.on_ended(holder.now, is_dial=False)
         holder.run(3600.0)
         self.assertFalse(holder.health.is_usable(holder.now))
         self.assertTrue(holder.health.may_probe(holder.now))
@@ -171,15 +171,15 @@
 
     def test_failing_probes_back_off_and_continue(self) -> None:
         holder = Holder()
-        holder.health.ended(holder.now, is_dial=False)
+        holder.health.on_ended(holder.now, is_dial=False)
         pauses = []
         for _ in range(8):
             began = holder.now
             while not holder.health.may_probe(holder.now):
                 holder.now += 0.01
             pauses.append(holder.now - began)
-            holder.health.dialled(holder.now)
-            holder.health.ended(holder.now, is_dial=True)
+            holder.health.on_dial(holder.now)
+            holder.health.on_ended(holder.now, is_dial=True)
         expected = [0.0, 0.25, 0.5, 1.0, 2.0, 2.0, 2.0, 2.0]
         for pause, wanted in zip(pauses, expected, strict=True):
             self.assertAlmostEqual(pause, wanted, delta=0.02)
@@ -188,7 +188,7 @@
         pauses = set()
         for jitter in (0.0, 0.25, 0.5, 0.75, 1.0):
             holder = Holder(jitter=jitter)
-            holder.health.ended(holder.now, is_dial=True)
+            holder.health.on_ended(holder.now, is_dial=True)
             begun = holder.now
             while not holder.health.may_probe(holder.now):
                 holder.now += 0.005
@@ -197,7 +197,7 @@
 
     def test_without_probes_lost_holder_is_usable_after_a_pause(self) -> None:
         holder = Holder(WITHOUT_PROBES)
-        holder.health.ended(holder.now, is_dial=True)
+        holder.health.on_ended(holder.now, is_dial=True)
         self.assertFalse(holder.health.is_usable(holder.now))
         self.assertFalse(holder.health.may_probe(holder.now + 0.6))
         self.assertTrue(holder.health.is_usable(holder.now + 0.6))
@@ -227,8 +227,8 @@
             if kind == "send":
                 holder.send()
             elif kind == "answer":
-                holder.health.heard(holder.now)
-                holder.health.answered()
+                holder.health.on_received(holder.now)
+                holder.health.on_replies()
             elif kind == "run":
                 holder.run(seconds)
             else:
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -9,9 +9,9 @@
 from dewledge.core.pooler.load.return_moments import (
     MAX_RETRY_SECONDS,
     MIN_RETRY_SECONDS,
-    ReturnMoments,
+    RetrySchedule,
 )
-from dewledge.core.pooler.load.ticket import Ticket, arrival_of
+from dewledge.core.pooler.load.ticket import Ticket, effective_arrival
 from dewledge.core.pooler.load.wait_counts import WaitRecord
 from dewledge.core.pooler.load.wait_deadlines import (
     QueuePriority,
@@ -92,11 +92,11 @@
     def test_retry_times_are_spaced_until_the_range_is_full(
         self, refusals: list[tuple[float, float]]
     ) -> None:
-        schedule, now, spacing = ReturnMoments(), 0.0, 0.02
+        schedule, now, spacing = RetrySchedule(), 0.0, 0.02
         times: list[float] = []
         for pause, drained_in in refusals:
             now += pause
-            delay = schedule.promise(now, drained_in, spacing)
+            delay = schedule.reserve(now, drained_in, spacing)
             self.assertGreaterEqual(delay, MIN_RETRY_SECONDS - 1e-6)
             self.assertLessEqual(delay, MAX_RETRY_SECONDS + 1e-6)
             times.append(now + delay)
@@ -104,8 +104,8 @@
         self.assertTrue(all(gap >= spacing - 1e-9 for gap in near))
 
     def test_simultaneous_refusals_get_successive_retry_times(self) -> None:
-        schedule = ReturnMoments()
-        delays = [schedule.promise(5.0, 1.0, 0.02) for _ in range(50)]
+        schedule = RetrySchedule()
+        delays = [schedule.reserve(5.0, 1.0, 0.02) for _ in range(50)]
         self.assertEqual(
             [round(each, 3) for each in delays], [round(1 + n * 0.02, 3) for n in range(50)]
         )
@@ -120,10 +120,10 @@
             (12.0, 0, 12.0),
         ):
             with self.subTest(now, priority=priority):
-                self.assertEqual(arrival_of(ticket, priority, now), arrived)
+                self.assertEqual(effective_arrival(ticket, priority, now), arrived)
         expired = Ticket(arrived=0.0, return_at=12.5, priority=1)
-        self.assertEqual(arrival_of(expired, 1, 12.5), 12.5)
-        self.assertEqual(arrival_of(None, 1, 3.0), 3.0)
+        self.assertEqual(effective_arrival(expired, 1, 12.5), 12.5)
+        self.assertEqual(effective_arrival(None, 1, 3.0), 3.0)
 
 
 class WaitRecordTest(unittest.TestCase):
--- a/tests/core/pooler/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -5,7 +5,7 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRole
 from dewledge.core.pooler.sessions.routes import Consistency
-from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
@@ -175,7 +175,7 @@
         if uses_load_reports:
             for number, pooler in enumerate(self.poolers):
                 draw = random.Random(f"{seed} {number}").random
-                pooler.group.choice = ReadChoice(self.scheduler.now, draw)
+                pooler.group.read_choice = CompletionEstimator(self.scheduler.now, draw)
         self.acknowledged: dict[str, float] = {}
         self.statements: dict[str, tuple[RandomClient, SentStatement]] = {}
         self.transactions = 0
@@ -256,7 +256,7 @@
         elif fault == "link":
             self._lose_link()
         elif fault == "doubt":
-            self.random.choice(self.poolers).group.set_doubt(database.id, None)
+            self.random.choice(self.poolers).group.set_suspected(database.id, None)
         else:
             self._promote()
 
@@ -272,7 +272,7 @@
             database.silent = False
             database.applied = position
         for pooler in self.poolers:
-            pooler.group.set_doubt(None, None)
+            pooler.group.set_suspected(None, None)
 
     def _silence(self, database: ModelDatabase) -> None:
         database.silent = True
--- a/tests/core/pooler/rate_limits/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -4,7 +4,7 @@
 import random
 from collections import defaultdict
 
-from dewledge.core.pooler.rate_limits.admission import Refusal, Wish
+from dewledge.core.pooler.rate_limits.admission import AdmissionRequest, Refusal
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
@@ -90,8 +90,8 @@
                 )
 
         target = self.network.target_latency
-        wish = Wish(caller, timeout, redeemed, target_latency=target, urgency=urgency)
-        self.gate.apply(wish, on_decided)
+        wish = AdmissionRequest(caller, timeout, redeemed, target_latency=target, urgency=urgency)
+        self.gate.submit(wish, on_decided)
 
     def _tick(self) -> None:
         self.scheduler.call_later(self.gate.tick(), self._tick)
@@ -101,9 +101,9 @@
 
     def receive(self, sender: str, message: QuotaQuestion | QuotaAnswer) -> None:
         if isinstance(message, QuotaAnswer):
-            self.gate.take_answer(message)
+            self.gate.handle_answer(message)
             return
-        answer = self.grantor.take_question(message, self.scheduler.now())
+        answer = self.grantor.answer_question(message, self.scheduler.now())
         self.network.transmit(self.name, sender, answer)
 
 
--- a/tests/core/pooler/rate_limits/test_candidates.py
+++ b/tests/core/pooler/rate_limits/test_candidates.py
@@ -48,7 +48,7 @@
         # The grantor caches the voters of each slot once it is asked there.
         count = slot_count(processes)
         for index in range(count):
-            process.grantor.take_question(
+            process.grantor.answer_question(
                 QuotaQuestion("x", 1, Slot(count, index), False, None), 1.0
             )
         for change_name, changed in (
@@ -61,7 +61,7 @@
                 process.gate.set_members(names)
                 process.grantor.set_members(names)
                 for index in range(count):
-                    process.grantor.take_question(
+                    process.grantor.answer_question(
                         QuotaQuestion("x", 1, Slot(count, index), False, None), 1.0
                     )
 
--- a/tests/core/pooler/rate_limits/test_grantor.py
+++ b/tests/core/pooler/rate_limits/test_grantor.py
@@ -53,7 +53,7 @@
     ) -> QuotaAnswer:
         wants = (TokenWant("north"),) * wanted
         question = QuotaQuestion(asker, 1, SLOT, votes, echoed_at, wants)
-        return self.grantor.take_question(question, now)
+        return self.grantor.answer_question(question, now)
 
     def test_validity_of_votes(self) -> None:
         cases = (
@@ -80,19 +80,19 @@
         counted = 0
         for name in names:
             question = QuotaQuestion(name, 1, slot, True, 10.0)
-            self.grantor.take_question(question, 10.0)
+            self.grantor.answer_question(question, 10.0)
             counted += name in voters
-            self.assertEqual(self.grantor.take_question(question, 10.0).grants_here, counted > 0)
+            self.assertEqual(self.grantor.answer_question(question, 10.0).grants_here, counted > 0)
         now = 10.0
         while now < 20.0:
             now += 0.1
             for name in names:
-                self.grantor.take_question(QuotaQuestion(name, 1, slot, True, now), now)
+                self.grantor.answer_question(QuotaQuestion(name, 1, slot, True, now), now)
         wants = (TokenWant("north"),) * 500
         question = QuotaQuestion("frontend-0", 1, slot, False, None, wants)
         # All voters' votes are valid, so the bucket has its full size.
         bucket_size = int(POLICY.bucket_size(LIMIT))
-        self.assertEqual(tokens_in(self.grantor.take_question(question, now)), bucket_size)
+        self.assertEqual(tokens_in(self.grantor.answer_question(question, now)), bucket_size)
 
     def test_question_without_a_vote_is_not_counted(self) -> None:
         self.assertFalse(self.ask("b", 10.0, 10.0, votes=False).grants_here)
@@ -105,7 +105,7 @@
     def test_delayed_votes_stay_withdrawn(self) -> None:
         self.ask("b", 10.0, 9.9)
         withdrawal = QuotaQuestion("b", 2, SLOT, False, None, withdraws=True)
-        self.assertFalse(self.grantor.take_question(withdrawal, 10.1).grants_here)
+        self.assertFalse(self.grantor.answer_question(withdrawal, 10.1).grants_here)
         self.assertFalse(self.ask("b", 10.2, 9.95).grants_here)
         self.assertTrue(self.ask("b", 10.3, 10.1).grants_here)
 
@@ -174,12 +174,12 @@
         self.renew_votes(MEMBERS, 10.0, 12.0)
         want = TokenWant("north", place=7)
         question = QuotaQuestion("b", 1, SLOT, True, 12.0, (want,))
-        first = self.grantor.take_question(question, 12.0).grants[0]
-        again = self.grantor.take_question(question, 12.0).grants[0]
+        first = self.grantor.answer_question(question, 12.0).grants[0]
+        again = self.grantor.answer_question(question, 12.0).grants[0]
         self.assertEqual((first.count, again.count), (1, 1))
         bucket_size = int(POLICY.bucket_size(LIMIT))
         self.assertEqual(tokens_in(self.ask("c", 12.0, 12.0, wanted=1000)), bucket_size - 1)
-        late = self.grantor.take_question(question, 12.1).grants[0]
+        late = self.grantor.answer_question(question, 12.1).grants[0]
         self.assertEqual((late.count, late.age_ms), (1, 100))
 
     def test_no_grants_without_votes(self) -> None:
--- a/tests/core/pooler/rate_limits/test_token_wait.py
+++ b/tests/core/pooler/rate_limits/test_token_wait.py
@@ -3,7 +3,11 @@
 import unittest
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.pooler.rate_limits.kept_tokens import MAX_RESERVATIONS, KeptToken, KeptTokens
+from dewledge.core.pooler.rate_limits.kept_tokens import (
+    MAX_RESERVATIONS,
+    KeptToken,
+    TokenReservations,
+)
 from dewledge.core.pooler.rate_limits.retry_times import MIN_RETRY_SECONDS
 from dewledge.core.pooler.rate_limits.token_wait import (
     DEFAULT_SERVING_SECONDS,
@@ -49,9 +53,9 @@
 
 class TokenReservationsTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.reservations = KeptTokens()
+        self.reservations = TokenReservations()
         for number, return_at in ((1, 10.0), (2, 10.3), (3, 12.0)):
-            self.reservations.keep(KeptToken("north", number, return_at))
+            self.reservations.add(KeptToken("north", number, return_at))
 
     def number_at(self, now: float, caller: str = "north") -> int:
         redeemed = self.reservations.redeem(caller, now)
@@ -65,7 +69,7 @@
 
     def test_renewed_reservation_keeps_its_order(self) -> None:
         self.assertEqual(self.number_at(9.9), 1)
-        self.reservations.keep(KeptToken("north", 1, 10.1))
+        self.reservations.add(KeptToken("north", 1, 10.1))
         self.assertEqual(self.number_at(10.1), 1)
 
     def test_reservations_of_other_callers_are_not_redeemed(self) -> None:
@@ -77,7 +81,7 @@
 
     def test_number_of_reservations_is_bounded(self) -> None:
         for number in range(4, 4 + 2 * MAX_RESERVATIONS):
-            self.reservations.keep(KeptToken("north", number, 20.0))
+            self.reservations.add(KeptToken("north", number, 20.0))
         found = [self.number_at(20.0) for _ in range(3 * MAX_RESERVATIONS)]
         self.assertEqual(sum(number > 0 for number in found), MAX_RESERVATIONS)
 
--- a/tests/core/pooler/sharing/model_channels.py
+++ b/tests/core/pooler/sharing/model_channels.py
@@ -13,8 +13,8 @@
     channel_statement,
     decode,
     encode,
-    wait_at_holder,
-    waited_already,
+    holder_wait_seconds,
+    seconds_waited,
 )
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.core.shared.positions import LogPosition
@@ -84,9 +84,9 @@
         now = self.scheduler.now()
         self.sent_at.append(now)
         connection = self.connection
-        wait = wait_at_holder(connection.wait_until, now)
-        in_time = wait_at_holder(connection.in_time_until, now)
-        waited = waited_already(connection.arrived, now)
+        wait = holder_wait_seconds(connection.wait_until, now)
+        in_time = holder_wait_seconds(connection.in_time_until, now)
+        waited = seconds_waited(connection.arrived, now)
         priority = connection.priority
         data = encode(channel_statement(1, statement, floor, priority, wait, in_time, waited))
 
@@ -105,7 +105,9 @@
     def send_reply(self, reply: Reply, proof: ProvenAge | None) -> None:
         report = self.channels.holder.group.load_report(self.connection.database_id)
         load = (
-            None if report is None else self._load_reporter.due_report(report, self.scheduler.now())
+            None
+            if report is None
+            else self._load_reporter.report_to_send(report, self.scheduler.now())
         )
         data = encode(channel_reply(1, reply, proof, load))
 
@@ -122,7 +124,7 @@
             self.channels.pooler.group.record_proof(true_at, message.proof.position)
         if message.load is not None:
             group = self.channels.pooler.group
-            group.take_load(self.connection.database_id, "holder", message.load)
+            group.record_load_report(self.connection.database_id, "holder", message.load)
         self.connection.on_reply(message.reply)
 
     def send_ended(self) -> None:
--- a/tests/core/pooler/sharing/test_channel_session.py
+++ b/tests/core/pooler/sharing/test_channel_session.py
@@ -6,7 +6,7 @@
 
 from dewledge.core.pooler.load.policy import LoadPolicy
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.slot_window import CUT_SPACING_SECONDS
+from dewledge.core.pooler.pool.slot_window import MIN_CUT_INTERVAL_SECONDS
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.statements.statements import (
     Failure,
@@ -105,7 +105,7 @@
             self.scheduler.advance(min(0.1, end - self.scheduler.time))
             if runs_others:
                 pool = self.holder.group.peer_pool("p")
-                pool.note_answer(StatementKind.READ, Reply(TransactionState.IDLE))
+                pool.record_answer(StatementKind.READ, Reply(TransactionState.IDLE))
 
     def test_burst_is_served_within_statement_timeout(self) -> None:
         """24 writes of 50 ms on two connections take 0.65 s; the timeout is 0.8 s."""
@@ -185,8 +185,8 @@
         pool = self.holder.group.peer_pool("p")
         refused = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED))
         for _ in range(20):
-            pool.note_answer(StatementKind.READ, refused)
-            self.scheduler.advance(CUT_SPACING_SECONDS)
+            pool.record_answer(StatementKind.READ, refused)
+            self.scheduler.advance(MIN_CUT_INTERVAL_SECONDS)
         opened: list[DatabaseConnection] = []
         for _ in range(2):
             self.pooler.channels.open("p", "", opened.append, lambda _: None, lambda _: None)
@@ -195,7 +195,7 @@
         opened[0].send(Statement("w", StatementKind.WRITE, argument="t d"), lambda reply: None)
         self.scheduler.advance(0.01)
         replies: list[Reply | None] = []
-        opened[1].send_own(StatementKind.STATUS, replies.append)
+        opened[1].send_internal(StatementKind.STATUS, replies.append)
         self.scheduler.advance(0.05)
         self.assertEqual([reply is None or reply.failure for reply in replies], [None])
 
@@ -208,14 +208,14 @@
         pool = self.holder.group.peer_pool("p")
         refused = Reply(TransactionState.IDLE, failure=Failure(ErrorCode.OVERLOADED))
         for _ in range(20):
-            pool.note_answer(StatementKind.READ, refused)
-            self.scheduler.advance(CUT_SPACING_SECONDS)
+            pool.record_answer(StatementKind.READ, refused)
+            self.scheduler.advance(MIN_CUT_INTERVAL_SECONDS)
         opened: list[DatabaseConnection] = []
         for _ in range(2):
             self.pooler.channels.open("p", "", opened.append, lambda _: None, lambda _: None)
         self.scheduler.advance(0.01)
         replies: list[Reply | None] = []
-        opened[0].send_own(StatementKind.BEGIN, lambda reply: None)
+        opened[0].send_internal(StatementKind.BEGIN, lambda reply: None)
         opened[1].send(Statement("w", StatementKind.WRITE, argument="t d"), replies.append)
         self.scheduler.advance(0.05)
         self.assertEqual([reply is None or reply.failure for reply in replies], [None])
@@ -234,7 +234,7 @@
     def test_primary_read_through_holder_requires_proof_of_role(self) -> None:
         session = self.pooler.session(Consistency.PRIMARY)
         self.assertIsNone(session.read().failure)
-        self.assertIn(StatementKind.BEGIN, self.model.own)
+        self.assertIn(StatementKind.BEGIN, self.model.proxy_requests)
         self.model.promote("r1")
         self.scheduler.advance(0.1)
         self.assertEqual(session.read(wait=1.0).failure.code, ErrorCode.OVERLOADED)
--- a/tests/core/pooler/sharing/test_holders.py
+++ b/tests/core/pooler/sharing/test_holders.py
@@ -3,9 +3,9 @@
 import unittest
 
 from dewledge.core.pooler.sharing.holders import (
-    LEAST_DIRECT_SHARE,
+    MIN_DIRECT_CONNECTIONS,
+    connections_per_process,
     holding_of,
-    share_of_connections,
     usable_connections,
 )
 from dewledge.core.pooler.sharing.members import Member
@@ -81,8 +81,8 @@
         self.assertEqual(len(later - holders), 1)
 
     def test_holders_are_used_below_minimum_of_direct_connections(self) -> None:
-        self.assertGreaterEqual(share_of_connections(36, 11), LEAST_DIRECT_SHARE)
-        self.assertLess(share_of_connections(36, 12), LEAST_DIRECT_SHARE)
+        self.assertGreaterEqual(connections_per_process(36, 11), MIN_DIRECT_CONNECTIONS)
+        self.assertLess(connections_per_process(36, 12), MIN_DIRECT_CONNECTIONS)
         self.assertFalse(
             all(
                 holding_of(n, "d", 36, members(12), distance_from_zone_a).is_direct
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -9,8 +9,8 @@
 from dewledge.core.pooler.sharing.packing import pack_value, unpack_value
 from dewledge.core.pooler.sharing.readers import (
     FOLLOWERS_PER_PROCESS,
-    MOST_READING_ALL,
-    READERS,
+    MAX_PROCESSES_ALL_READING,
+    READER_COUNT,
     ReadingPlan,
     reading_plan,
 )
@@ -57,15 +57,15 @@
                 delta = cache.delta(count, compares_keys=True)
                 self.assertEqual([each.key for each in delta.rows], ["new"])
                 self.assertFalse(delta.is_whole)
-                self.assertTrue(follower.agrees_with(delta))
+                self.assertTrue(follower.matches_keys_of(delta))
 
     def test_key_digest_reveals_forgotten_removal(self) -> None:
         cache, follower = TableCache(), TableCache()
         follower.replace([row("a", 1), row("b", 2)], 2)
         cache.replace([row("b", 4), row("c", 5)], 5)
-        self.assertFalse(follower.agrees_with(cache.delta(2, compares_keys=True)))
+        self.assertFalse(follower.matches_keys_of(cache.delta(2, compares_keys=True)))
         follower.update([row("a", 3, gone=True)], 3)
-        self.assertTrue(follower.agrees_with(cache.delta(3, compares_keys=True)))
+        self.assertTrue(follower.matches_keys_of(cache.delta(3, compares_keys=True)))
         self.assertTrue(cache.delta(-1, compares_keys=True).is_whole)
 
     def test_older_rows_are_ignored(self) -> None:
@@ -111,12 +111,12 @@
         follower: int,
         source: int,
     ) -> None:
-        if not caches[source].is_known:
+        if not caches[source].is_loaded:
             return
         delta = caches[source].delta(caches[follower].version, compares_keys=True)
         if delta.version < caches[follower].version:
             return
-        if not caches[follower].agrees_with(delta):
+        if not caches[follower].matches_keys_of(delta):
             delta = caches[source].delta(-1)
         if delta.is_whole:
             caches[follower].replace(delta.rows, delta.version)
@@ -149,20 +149,20 @@
 
 class ReadingPlanTest(unittest.TestCase):
     def test_few_processes_all_read_the_store(self) -> None:
-        plans = plans_of(MOST_READING_ALL, 3)
+        plans = plans_of(MAX_PROCESSES_ALL_READING, 3)
         self.assertTrue(all(plan.is_reader for plan in plans.values()))
 
     def test_readers_are_in_different_regions(self) -> None:
-        for count in (MOST_READING_ALL + 1, 73, 850):
+        for count in (MAX_PROCESSES_ALL_READING + 1, 73, 850):
             for regions in (1, 2, 3):
                 plans = plans_of(count, regions)
                 readers = {name for name, plan in plans.items() if plan.is_reader}
-                self.assertEqual(len(readers), READERS)
+                self.assertEqual(len(readers), READER_COUNT)
                 regions_of_readers = {int(name[1:]) % regions for name in readers}
-                self.assertEqual(len(regions_of_readers), min(regions, READERS))
+                self.assertEqual(len(regions_of_readers), min(regions, READER_COUNT))
 
     def test_followers_reach_a_reader_in_few_steps(self) -> None:
-        for count, max_steps in ((MOST_READING_ALL + 1, 1), (73, 2), (850, 3)):
+        for count, max_steps in ((MAX_PROCESSES_ALL_READING + 1, 1), (73, 2), (850, 3)):
             plans = plans_of(count, 2)
             readers = {name for name, plan in plans.items() if plan.is_reader}
             for name in plans.keys() - readers:
--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -10,7 +10,12 @@
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.pool.waiter import Waiter
-from dewledge.core.pooler.rate_limits.admission import Application, Decided, Refusal, Wish
+from dewledge.core.pooler.rate_limits.admission import (
+    AdmissionRequest,
+    OnDecided,
+    PendingAdmission,
+    Refusal,
+)
 from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.sharing.holders import Holding
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
@@ -122,10 +127,10 @@
         self.assertEqual(self.pooler.model.commits, [])
 
     def test_idle_transaction_is_rolled_back(self) -> None:
-        self.session.session.end_if_denied()
+        self.session.session.end_transaction_if_unauthorized()
         self.pooler.scheduler.advance(0.1)
-        self.assertEqual(self.pooler.model.own[-1], StatementKind.ROLLBACK)
-        self.assertIsNone(self.session.session.resting_since())
+        self.assertEqual(self.pooler.model.proxy_requests[-1], StatementKind.ROLLBACK)
+        self.assertIsNone(self.session.session.idle_since())
 
 
 class ModelAdmission:
@@ -134,19 +139,19 @@
     def __init__(self) -> None:
         self.refusal: Refusal | None = None
         self.is_late = False
-        self.applications: list[Application] = []
-        self.requests: list[Wish] = []
+        self.applications: list[PendingAdmission] = []
+        self.requests: list[AdmissionRequest] = []
         self.served: list[float] = []
 
-    def apply(self, wish: Wish, decided: Decided) -> Application:
-        self.requests.append(wish)
-        application = Application(wish, 0.0, 1, decided)
+    def submit(self, request: AdmissionRequest, on_decided: OnDecided) -> PendingAdmission:
+        self.requests.append(request)
+        application = PendingAdmission(request, 0.0, 1, on_decided)
         self.applications.append(application)
         if not self.is_late:
             application.decide(self.refusal)
         return application
 
-    def note_served(self, seconds: float) -> None:
+    def record_served(self, seconds: float) -> None:
         self.served.append(seconds)
 
 
--- a/tests/core/pooler/test_client_session.py
+++ b/tests/core/pooler/test_client_session.py
@@ -135,7 +135,7 @@
         probe = self.harness.session()
         probe.ask(StatementKind.BEGIN)
         probe.write()
-        self.assertIsNotNone(probe.session.resting_since())
+        self.assertIsNotNone(probe.session.idle_since())
         probe.session.end_transaction("rested_too_long")
         self.harness.scheduler.advance(0.1)
         self.assertEqual(self.harness.group.pool("p").in_use, 0)
@@ -193,7 +193,7 @@
 class PlannedStopTest(unittest.TestCase):
     def test_idle_session_is_closed_at_once(self) -> None:
         probe = PoolerHarness().session()
-        probe.session.leave()
+        probe.session.close_when_idle()
         self.assertTrue(probe.client.closed)
 
     def test_new_statement_is_refused_near_end_of_planned_stop(self) -> None:
@@ -212,7 +212,7 @@
         harness = PoolerHarness()
         probe = harness.session()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
-        probe.session.leave()
+        probe.session.close_when_idle()
         self.assertFalse(probe.client.closed)
         harness.scheduler.advance(1.0)
         self.assertIsNone(probe.reply(statement_id).failure)
@@ -225,7 +225,7 @@
         probe.ask(StatementKind.BEGIN)
         probe.write()
         probe.session.end_transaction("rested_too_long")
-        probe.session.leave()
+        probe.session.close_when_idle()
         self.assertFalse(probe.client.closed)
         rollback = Statement("r1", StatementKind.ROLLBACK, "ROLLBACK")
         read = Statement("r2", StatementKind.READ, "READ thing", argument="thing")
@@ -239,7 +239,7 @@
         probe = PoolerHarness().session()
         probe.ask(StatementKind.BEGIN)
         probe.write()
-        probe.session.leave()
+        probe.session.close_when_idle()
         self.assertIsNone(probe.ask(StatementKind.COMMIT).failure)
         self.assertTrue(probe.client.closed)
 
--- a/tests/core/pooler/test_coming_back.py
+++ b/tests/core/pooler/test_coming_back.py
@@ -58,7 +58,7 @@
     def test_goodput_recovers_after_burst_and_lost_connections(self) -> None:
         simulation = RetryingClients()
         simulation.send_usual_load(1.0)
-        simulation.pool.renew(SlotWindow(SLOTS))
+        simulation.pool.switch_route(SlotWindow(SLOTS))
         for _ in range(BURST_STATEMENTS):
             simulation.send_with_retries(BURST_WAITED_SECONDS)
         simulation.send_usual_load(4.0)
--- a/tests/core/pooler/test_connection_pool.py
+++ b/tests/core/pooler/test_connection_pool.py
@@ -8,7 +8,7 @@
 from tests.core.pooler.harness import ModelGroup, ModelScheduler
 
 
-class PoolCase(unittest.TestCase):
+class PoolTestCase(unittest.TestCase):
     def setUp(self) -> None:
         self.scheduler = ModelScheduler()
         self.model = ModelGroup(self.scheduler)
@@ -27,7 +27,7 @@
         return waiter
 
 
-class ConnectionPoolTest(PoolCase):
+class ConnectionPoolTest(PoolTestCase):
     def test_open_connections_do_not_exceed_limit(self) -> None:
         for name in "abc":
             self.acquire(name)
@@ -102,7 +102,7 @@
         self.assertEqual(self.model.databases["p"].open_connections, 1)
 
 
-class TrimTest(PoolCase):
+class TrimTest(PoolTestCase):
     def test_trim_closes_all_but_one_idle_connection(self) -> None:
         for name in "ab":
             self.acquire(name)
@@ -122,12 +122,12 @@
         self.assertEqual(self.model.databases["p"].open_connections, 2)
 
 
-class RouteChangeTest(PoolCase):
+class RouteChangeTest(PoolTestCase):
     def test_connections_of_old_route_are_not_reused(self) -> None:
         self.acquire("a")
         self.acquire("b")
         self.pool.release(self.given[0][1])
-        self.pool.renew()
+        self.pool.switch_route()
         self.pool.release(self.given[1][1])
         self.assertEqual(self.model.databases["p"].open_connections, 0)
         self.acquire("c")
@@ -135,7 +135,7 @@
 
     def test_connection_being_opened_by_old_route_is_replaced(self) -> None:
         self.acquire("a", wait=0.0)
-        self.pool.renew()
+        self.pool.switch_route()
         self.scheduler.advance(0.1)
         self.assertEqual([name for name, _ in self.given], ["a"])
         self.assertEqual(self.model.databases["p"].open_connections, 1)
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -13,10 +13,10 @@
 from dewledge.core.pooler.events import CallerHeldToShare, PoolingEvent
 from dewledge.core.pooler.load.verdict import WaitUntil
 from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
-from dewledge.core.pooler.pool.connection_openings import MOST_OPENED_AHEAD
+from dewledge.core.pooler.pool.connection_openings import MAX_OPENED_AHEAD
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_to_share import HeldToShare
+from dewledge.core.pooler.pool.held_to_share import OverFairShare
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
@@ -48,7 +48,7 @@
 class FixedWindow(SlotWindow):
     """A slot window of constant size."""
 
-    def note_served(self, widest: int) -> None:
+    def record_served(self, widest: int) -> None:
         """Keeps the size."""
 
 
@@ -67,8 +67,8 @@
             self.window,
             PoolRules(is_fair=is_fair),
         )
-        self.over_share: list[HeldToShare] = []
-        self.pool.on_held_to_share(self.over_share.append)
+        self.over_share: list[OverFairShare] = []
+        self.pool.on_over_fair_share(self.over_share.append)
         self.sent: list[SentStatement] = []
         self.max_borrowed: Counter[str] = Counter()
         self._borrowed: Counter[str] = Counter()
@@ -100,7 +100,7 @@
     def _reassess_later(self, statement: SentStatement, waiter: Waiter) -> None:
         if statement.outcomes:
             return
-        verdict = self.pool.judge(waiter)
+        verdict = self.pool.recheck(waiter)
         if isinstance(verdict, WaitUntil):
             delay = max(verdict.at - self.scheduler.now(), 0.0)
             self.scheduler.call_later(delay, lambda: self._reassess_later(statement, waiter))
@@ -115,7 +115,7 @@
 
         def finish() -> None:
             self._borrowed[statement.caller] -= 1
-            self.pool.note_answer(StatementKind.READ, SERVED, statement.work, connection)
+            self.pool.record_answer(StatementKind.READ, SERVED, statement.work, connection)
             self.pool.release(connection)
 
         self.scheduler.call_later(statement.work, finish)
@@ -289,7 +289,7 @@
         while database.pool.waiting:
             database.scheduler.advance(0.002)
             max_openings = max(max_openings, database.pool.openings)
-        self.assertEqual(max_openings, MOST_OPENED_AHEAD)
+        self.assertEqual(max_openings, MAX_OPENED_AHEAD)
         self.assertEqual({len(each.outcomes) for each in database.sent}, {1})
 
 
@@ -305,7 +305,7 @@
         is_fair=is_fair,
     )
     events: list[PoolingEvent] = []
-    group.record = events.append
+    group.on_event = events.append
     group.set_connection_limit(1)
     pool = group.pool("p")
 
--- a/tests/core/pooler/test_freshness.py
+++ b/tests/core/pooler/test_freshness.py
@@ -5,7 +5,12 @@
 from dewledge.core.pooler.databases.freshness import FreshnessHistory
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, DatabaseRole, GroupView
 from dewledge.core.pooler.sessions.routes import Consistency
-from dewledge.core.pooler.statements.targets import Proof, ReadNeed, read_floor, read_targets
+from dewledge.core.pooler.statements.targets import (
+    Proof,
+    ReadRequirements,
+    read_floor,
+    targets_by_local_load,
+)
 from dewledge.core.shared.positions import LogPosition
 from tests.core.pooler.harness import GROUP, route
 
@@ -55,7 +60,9 @@
         )
         for consistency, session_floor, expected in cases:
             with self.subTest(consistency=consistency, session_floor=session_floor):
-                floor = read_floor(route(consistency), history, ReadNeed(100.5, session_floor))
+                floor = read_floor(
+                    route(consistency), history, ReadRequirements(100.5, session_floor)
+                )
                 self.assertEqual(floor, expected)
 
 
@@ -114,7 +121,7 @@
             view = view.with_record(each, 0.0)
         for title, distance, load, lacking, expected in cases:
             with self.subTest(title):
-                targets = read_targets(
+                targets = targets_by_local_load(
                     view,
                     LogPosition(1, 1),
                     view.primary,
@@ -125,7 +132,9 @@
                 order = [target.database.id for target in targets[:-1]]
                 self.assertEqual(order[: len(expected)], expected)
                 self.assertEqual({target.proof for target in targets[:-1]}, {Proof.FLOOR})
-                self.assertEqual((targets[-1].database.id, targets[-1].proof), ("p", Proof.LEAD))
+                self.assertEqual(
+                    (targets[-1].database.id, targets[-1].proof), ("p", Proof.PRIMARY_TRANSACTION)
+                )
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/test_proof_seeking.py
+++ b/tests/core/pooler/test_proof_seeking.py
@@ -25,7 +25,7 @@
         self.scheduler.advance(1.0)
         for session, statement_id in started:
             self.assertIsNone(session.reply(statement_id).failure)
-        self.assertEqual(self.model.own.count(StatementKind.BEGIN), 1)
+        self.assertEqual(self.model.proxy_requests.count(StatementKind.BEGIN), 1)
         served = {ran.database for ran in self.model.ran}
         self.assertTrue({"r1", "r2"} <= served)
 
@@ -72,12 +72,12 @@
         writer.write()
         reader = pooler.session(Consistency.BOUNDED_STALENESS)
         reader.read()
-        begun = holder.model.own.count(StatementKind.BEGIN)
+        begun = holder.model.proxy_requests.count(StatementKind.BEGIN)
         for _ in range(5):
             writer.write()
             reader.read()
             holder.scheduler.advance(0.4)
-        self.assertEqual(holder.model.own.count(StatementKind.BEGIN), begun)
+        self.assertEqual(holder.model.proxy_requests.count(StatementKind.BEGIN), begun)
 
     def test_peer_statements_prove_positions_to_holder(self) -> None:
         holder = PoolerHarness(limit=4)
--- a/tests/core/pooler/test_random_days.py
+++ b/tests/core/pooler/test_random_days.py
@@ -15,7 +15,7 @@
 from dewledge.core.pooler.sharing.messages import ProvenAge
 from dewledge.core.pooler.statements import connection_setup, statement_run
 from dewledge.core.pooler.statements.statements import Reply, TransactionState
-from dewledge.core.pooler.statements.targets import Proof, ReadNeed, Target
+from dewledge.core.pooler.statements.targets import Proof, ReadRequirements, Target
 from tests.core.pooler.random_day import RandomDay
 
 DAYS = int(os.environ.get("DEWLEDGE_DAYS", "30"))
@@ -77,7 +77,9 @@
     def test_checker_finds_read_from_replaced_primary(self) -> None:
         original = Group.targets
 
-        def targets(group: Group, route: Route, writes: bool, need: ReadNeed) -> list[Target]:
+        def targets(
+            group: Group, route: Route, writes: bool, need: ReadRequirements
+        ) -> list[Target]:
             found = original(group, route, writes, need)
             return [Target(target.database, Proof.NONE, target.floor) for target in found]
 
@@ -112,7 +114,7 @@
 
     def test_checker_finds_write_executed_twice(self) -> None:
         def lost(run: statement_run.StatementRun) -> None:
-            run._held.drop()
+            run._held.discard()
             run._rerun_read()
 
         self.swap(statement_run.StatementRun, "_lost", lost)
--- a/tests/core/pooler/test_read_choice.py
+++ b/tests/core/pooler/test_read_choice.py
@@ -7,9 +7,9 @@
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.pool.connection_pool import Waiter
 from dewledge.core.pooler.sessions.routes import Consistency
-from dewledge.core.pooler.statements.read_choice import ReadChoice, report_of
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator, load_report_of
 from dewledge.core.pooler.statements.statements import StatementKind
-from dewledge.core.pooler.statements.targets import Proof, expected_targets
+from dewledge.core.pooler.statements.targets import Proof, targets_by_completion
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
 from tests.core.pooler.harness import PoolerHarness
@@ -20,9 +20,9 @@
 FREE = LoadReport(0, 0, 1, 6, 0, 10)
 
 
-def enable_read_choice(harness: PoolerHarness) -> ReadChoice:
-    choice = ReadChoice(harness.scheduler.now, random.Random(3).random)
-    harness.group.choice = choice
+def enable_read_choice(harness: PoolerHarness) -> CompletionEstimator:
+    choice = CompletionEstimator(harness.scheduler.now, random.Random(3).random)
+    harness.group.read_choice = choice
     return choice
 
 
@@ -108,7 +108,7 @@
         self.harness.model.databases["r1"].work = 0.04
         for _ in range(60):
             self.session.read()
-        report = report_of(self.harness.group.pool("r1"))
+        report = load_report_of(self.harness.group.pool("r1"))
         self.assertGreater(report.service_ms, 25, "expected about 42 ms")
         self.assertLess(report.service_ms, 46)
 
@@ -132,7 +132,7 @@
     def test_replies_carry_load_reports(self) -> None:
         session = self.pooler.session()
         session.write()
-        load = self.choice.book.known("p", self.holder.scheduler.now())
+        load = self.choice.load_table.estimate("p", self.holder.scheduler.now())
         assert load is not None
         self.assertEqual(load.window, 2)
         self.assertLess(load.age_seconds, 1.0)
@@ -142,7 +142,7 @@
         self.pooler.session().write()
         now = self.holder.scheduler.now()
         for name, report in (("r1", LOADED), ("r2", FREE), ("p", FREE)):
-            self.pooler.group.take_load(name, "holder", report)
+            self.pooler.group.record_load_report(name, "holder", report)
         self.assertIsNone(session.read(wait=0.05).failure)
         self.assertNotIn("r1", session.answered()[-1].way)
         self.holder.scheduler.advance(30.0 - (self.holder.scheduler.now() - now))
@@ -160,7 +160,7 @@
         harness = PoolerHarness()
         choice = enable_read_choice(harness)
         floor = LogPosition(1, 1)
-        targets = expected_targets(
+        targets = targets_by_completion(
             view,
             floor,
             view.primary,
@@ -171,9 +171,11 @@
         self.assertEqual(
             {(each.proof, each.floor) for each in targets[:-1]}, {(Proof.FLOOR, floor)}
         )
-        self.assertEqual((targets[-1].database.id, targets[-1].proof), ("p", Proof.LEAD))
-        none = expected_targets(view, None, view.primary, None, choice.order)  # type: ignore[arg-type]
-        self.assertEqual([target.proof for target in none], [Proof.LEAD])
+        self.assertEqual(
+            (targets[-1].database.id, targets[-1].proof), ("p", Proof.PRIMARY_TRANSACTION)
+        )
+        none = targets_by_completion(view, None, view.primary, None, choice.order)  # type: ignore[arg-type]
+        self.assertEqual([target.proof for target in none], [Proof.PRIMARY_TRANSACTION])
 
 
 if __name__ == "__main__":
--- a/tests/core/pooler/test_silent_database.py
+++ b/tests/core/pooler/test_silent_database.py
@@ -43,14 +43,14 @@
         )
 
     def begins_in(self, usual: float = 0.0) -> float:
-        return self.silence.begins_at((), usual) - self.scheduler.now()
+        return self.silence.silent_at((), usual) - self.scheduler.now()
 
     def test_no_silence_without_outstanding_requests(self) -> None:
         self.scheduler.advance(100.0)
         self.assertEqual(self.begins_in(), float("inf"))
 
     def test_silence_limit_by_usual_statement_time(self) -> None:
-        self.silence.opening_begins(self.scheduler.now())
+        self.silence.record_opening_started(self.scheduler.now())
         for usual, limit in (
             (0.0, MIN_SILENCE_SECONDS),
             (0.05, MIN_SILENCE_SECONDS),
@@ -62,27 +62,27 @@
 
     def test_each_answer_restarts_the_limit(self) -> None:
         began_at = self.scheduler.now()
-        self.silence.opening_begins(began_at)
+        self.silence.record_opening_started(began_at)
         self.scheduler.advance(0.2)
-        self.silence.note_sign()
+        self.silence.record_answer()
         self.assertAlmostEqual(self.begins_in(), MIN_SILENCE_SECONDS)
-        self.silence.opening_ends(began_at)
+        self.silence.record_opening_ended(began_at)
         self.assertEqual(self.begins_in(), float("inf"))
 
     def test_silence_and_its_end_are_reported_once(self) -> None:
-        self.silence.opening_begins(self.scheduler.now())
+        self.silence.record_opening_started(self.scheduler.now())
         self.scheduler.advance(1.0)
         for _ in range(3):
-            self.assertTrue(self.silence.turns_away(self.silence.begins_at((), 0.0)))
+            self.assertTrue(self.silence.detect_silence(self.silence.silent_at((), 0.0)))
         for _ in range(3):
-            self.silence.note_sign()
-        self.assertFalse(self.silence.turns_away(self.silence.begins_at((), 0.0)))
+            self.silence.record_answer()
+        self.assertFalse(self.silence.detect_silence(self.silence.silent_at((), 0.0)))
         self.assertEqual(self.changes, [True, False])
 
     def test_probes_are_limited_by_interval(self) -> None:
         admitted = 0
         for _ in range(100):
-            admitted += self.silence.may_probe()
+            admitted += self.silence.try_probe()
             self.scheduler.advance(PROBE_INTERVAL_SECONDS / 10)
         self.assertIn(admitted, range(9, 12))
 
@@ -107,7 +107,7 @@
 
     def _on_connection(self, connection: DatabaseConnection) -> None:
         self.connections.append(connection)
-        connection.send_own(StatementKind.READ, lambda reply: None)
+        connection.send_internal(StatementKind.READ, lambda reply: None)
 
     def test_silent_database_denies_queued_and_new_statements(self) -> None:
         for is_judged, is_direct in ((True, True), (False, True), (True, False)):
@@ -120,7 +120,7 @@
                 waiting = self.request_connection(pool)
                 for _ in range(10):
                     self.scheduler.advance(MIN_SILENCE_SECONDS / 5)
-                    pool.judge(waiting)
+                    pool.recheck(waiting)
                 self.request_connection(pool)
                 self.request_connection(pool)
                 self.request_connection(pool)
@@ -135,7 +135,7 @@
         self.model.databases["p"].silent = True
         for _ in range(20):
             self.scheduler.advance(MIN_SILENCE_SECONDS * 0.8)
-            pool.note_answer(StatementKind.READ, BUSY)
+            pool.record_answer(StatementKind.READ, BUSY)
             self.assertFalse(pool.is_silent)
 
     def test_proxys_own_request_is_never_denied(self) -> None:
@@ -144,7 +144,7 @@
         self.scheduler.advance(OPENING_SECONDS)
         self.model.databases["p"].silent = True
         self.scheduler.advance(1.0)
-        self.request_connection(pool, Demand.OWN)
+        self.request_connection(pool, Demand.INTERNAL)
         self.assertEqual(self.denied, [])
 
 
@@ -156,7 +156,7 @@
         locality = Locality("b", {"a": "north", "b": "north", "c": "south"})
         clock = harness.scheduler.now
         group = Group(GROUP, locality, harness.model, clock, 5.0, judges_silence=judges_silence)
-        group.record = harness.events.append
+        group.on_event = harness.events.append
         group.set_connection_limit(LIMIT)
         harness.group = harness.services.groups[GROUP] = group
         harness.configure()
--- a/tests/core/pooler/test_silent_holder.py
+++ b/tests/core/pooler/test_silent_holder.py
@@ -12,7 +12,7 @@
 from dewledge.core.shared.retry_budget import RetryBudget
 from dewledge.errors import ErrorCode
 from tests.core.pooler.harness import PoolerHarness, SessionProbe
-from tests.core.pooler.test_connection_pool import PoolCase
+from tests.core.pooler.test_connection_pool import PoolTestCase
 
 UNANSWERED = "no answer yet"
 
@@ -38,7 +38,7 @@
         for transport in list(self.harness.model.transports):
             if not transport.closed:
                 transport.connection.is_retiring = state is not HolderState.USABLE
-                transport.connection.holder_judged(state)
+                transport.connection.on_holder_state(state)
 
     def outcome(self, probe: SessionProbe, statement_id: str, wait: float = 0.1) -> str:
         self.harness.scheduler.advance(wait)
@@ -52,7 +52,7 @@
 
     def test_running_statement_by_holder_state(self) -> None:
         read, write = StatementKind.READ, StatementKind.WRITE
-        suspected, silent = HolderState.DOUBTED, HolderState.SILENT
+        suspected, silent = HolderState.SUSPECTED, HolderState.SILENT
         rows: Sequence[tuple[str, Consistency, StatementKind, HolderState, str]] = (
             ("setup, suspected", Consistency.PRIMARY, read, suspected, "done"),
             ("setup, silent", Consistency.PRIMARY, read, silent, "done"),
@@ -107,13 +107,13 @@
         self.silence_all()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
         self.harness.scheduler.advance(0.27)
-        self.set_holder_state(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.SUSPECTED)
         self.assertEqual(self.outcome(probe, statement_id), "done")
         self.assertIsNone(probe.ask(StatementKind.COMMIT).failure)
         self.assertEqual(self.ran(statement_id), 1)
 
     def test_second_reads_are_limited_by_budget(self) -> None:
-        self.harness.services.second_reads = RetryBudget(0.0, 2.0)
+        self.harness.services.read_retry_budget = RetryBudget(0.0, 2.0)
         probes = [self.harness.session(Consistency.BOUNDED_STALENESS) for _ in range(3)]
         probes[0].read()
         for probe in probes:
@@ -141,11 +141,11 @@
     def test_connections_of_suspected_holder_are_reused_after_recovery(self) -> None:
         probe = self.probe()
         before = len(self.harness.model.transports)
-        self.set_holder_state(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.SUSPECTED)
         self.set_holder_state(HolderState.USABLE)
         probe.read()
         self.assertEqual(len(self.harness.model.transports), before)
-        self.set_holder_state(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.SUSPECTED)
         probe.read()
         self.assertEqual(len(self.harness.model.transports), before + 1)
 
@@ -153,12 +153,12 @@
         probe = self.probe(Consistency.PRIMARY)
         self.silence_all()
         probe.start(StatementKind.READ, argument="thing")
-        self.set_holder_state(HolderState.DOUBTED)
+        self.set_holder_state(HolderState.SUSPECTED)
         self.harness.scheduler.advance(0.1)
         self.assertIn("holder_silent", probe.answered()[-1].way)
 
 
-class PoolTest(PoolCase):
+class PoolTest(PoolTestCase):
     """The pool of a database whose holders are all silent."""
 
     def in_use(self, name: str) -> DatabaseConnection:
--- a/tests/core/pooler/test_slot_window.py
+++ b/tests/core/pooler/test_slot_window.py
@@ -4,7 +4,7 @@
 
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.slot_window import CUT_SPACING_SECONDS, SlotWindow
+from dewledge.core.pooler.pool.slot_window import MIN_CUT_INTERVAL_SECONDS, SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Waiter
 from dewledge.core.pooler.statements.statements import (
     Failure,
@@ -45,7 +45,7 @@
             window.record_refused(100.0 + 0.01 * step)
         self.assertEqual(reports, [(True, 3, 4)])
         for _ in range(100):
-            window.note_served(4)
+            window.record_served(4)
         self.assertEqual(reports, [(True, 3, 4), (False, 4, 4)])
         window.record_refused(100.5)
         self.assertFalse(window.is_full, "reported a moment ago")
@@ -57,10 +57,10 @@
         for step in range(100):
             window.record_refused(100.0 + step)
         for _ in range(40):
-            window.note_served(8)
+            window.record_served(8)
         self.assertGreaterEqual(window.free_slots(0), 3)
         for _ in range(1000):
-            window.note_served(8)
+            window.record_served(8)
         self.assertEqual(window.free_slots(0), 8)
 
 
@@ -89,8 +89,8 @@
 
     def shrink_window(self) -> None:
         for _ in range(20):
-            self.pool.note_answer(StatementKind.READ, REFUSED)
-            self.scheduler.advance(CUT_SPACING_SECONDS)
+            self.pool.record_answer(StatementKind.READ, REFUSED)
+            self.scheduler.advance(MIN_CUT_INTERVAL_SECONDS)
 
     def test_all_connections_are_assigned_before_any_refusal(self) -> None:
         for name in "abcd":
@@ -130,7 +130,7 @@
         connection = self.assigned[0][1]
         connection.send(
             Statement("1", StatementKind.READ),
-            lambda reply: self.pool.note_answer(StatementKind.READ, reply or SERVED),
+            lambda reply: self.pool.record_answer(StatementKind.READ, reply or SERVED),
         )
         self.pool.acquire(self.waiter("single"), {})
         self.assertEqual(self.names(), ["transaction"])
@@ -150,7 +150,7 @@
     def test_internal_statement_needs_no_slot(self) -> None:
         self.acquire("first")
         self.shrink_window()
-        self.acquire("status", priority=-1, demand=Demand.OWN)
+        self.acquire("status", priority=-1, demand=Demand.INTERNAL)
         self.assertEqual(self.names(), ["first", "status"])
 
     def test_waiting_for_a_slot_opens_no_connections(self) -> None:
@@ -175,7 +175,7 @@
         self.shrink_window()
         self.acquire("next")
         for _ in range(10):
-            self.pool.note_answer(StatementKind.READ, SERVED)
+            self.pool.record_answer(StatementKind.READ, SERVED)
         self.pool.release(self.assigned[0][1])
         self.acquire("another")
         self.assertEqual(self.names(), ["first", "next", "another"])
--- a/tests/core/pooler/test_statement_deadlines.py
+++ b/tests/core/pooler/test_statement_deadlines.py
@@ -13,7 +13,7 @@
     MAX_REPLICA_WAIT_SECONDS,
     MIN_TARGET_WAIT_SECONDS,
     NETWORK_ALLOWANCE_SECONDS,
-    SETUP_LIMIT_SECONDS,
+    SETUP_TIMEOUT_SECONDS,
     FixedDeadlines,
     StatementDeadlines,
 )
@@ -109,10 +109,10 @@
         limits = deadlines()
         direct = limits.setup_deadline(ARRIVED, is_queued_elsewhere=False)
         queued = limits.setup_deadline(ARRIVED, is_queued_elsewhere=True)
-        self.assertEqual(direct, ARRIVED + SETUP_LIMIT_SECONDS)
+        self.assertEqual(direct, ARRIVED + SETUP_TIMEOUT_SECONDS)
         self.assertAlmostEqual(queued, ARRIVED + (2.0 - NETWORK_ALLOWANCE_SECONDS) / 2)
         late = limits.setup_deadline(ARRIVED + 1.8, is_queued_elsewhere=True)
-        self.assertAlmostEqual(late, ARRIVED + 1.8 + SETUP_LIMIT_SECONDS)
+        self.assertAlmostEqual(late, ARRIVED + 1.8 + SETUP_TIMEOUT_SECONDS)
 
     def test_read_attempt_leaves_time_for_rerun(self) -> None:
         limits = deadlines()
--- a/tests/core/pooler/test_statement_run.py
+++ b/tests/core/pooler/test_statement_run.py
@@ -100,7 +100,7 @@
         probe = self.harness.session(Consistency.PRIMARY)
         probe.ask(StatementKind.BEGIN_READ_ONLY)
         probe.read()
-        self.assertIn(StatementKind.BEGIN, self.harness.model.own)
+        self.assertIn(StatementKind.BEGIN, self.harness.model.proxy_requests)
         self.assertEqual(self.ran_on(), "p")
 
     def test_draining_replica_gets_no_reads_and_draining_primary_writes_for_limited_time(
@@ -252,7 +252,7 @@
         end = harness.scheduler.time + seconds
         while harness.scheduler.time < end:
             harness.scheduler.advance(min(0.1, end - harness.scheduler.time))
-            harness.group.pool("p").note_answer(StatementKind.READ, Reply(TransactionState.IDLE))
+            harness.group.pool("p").record_answer(StatementKind.READ, Reply(TransactionState.IDLE))
 
     def test_database_that_serves_nothing_is_given_up_early(self) -> None:
         for is_useful, served_until, refused_by in ((True, 0.3, 0.5), (False, 0.15, 0.3)):
@@ -328,7 +328,7 @@
 
     def test_write_waits_for_new_primary(self) -> None:
         harness = PoolerHarness()
-        harness.group.set_doubt("p", None)
+        harness.group.set_suspected("p", None)
         probe = harness.session()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
         harness.scheduler.advance(0.5)
@@ -340,7 +340,7 @@
 
     def test_failing_relay_delays_statement_no_longer_than_its_time_limit(self) -> None:
         harness = PoolerHarness()
-        harness.group.set_doubt("p", "10.0.0.2:1")
+        harness.group.set_suspected("p", "10.0.0.2:1")
         harness.model.databases["p"].refuse_connections = True
         probe = harness.session()
         statement_id = probe.start(StatementKind.WRITE, argument="thing data")
@@ -353,13 +353,13 @@
         probe.write()
         harness.model.databases["r2"].applied = harness.model.databases["p"].applied
         harness.model.databases["p"].silent = True
-        harness.group.set_doubt("p", None)
+        harness.group.set_suspected("p", None)
         self.assertIsNone(code_of(probe.read(wait=0.1)))
         self.assertEqual(harness.model.ran[-1].database, "r2")
 
     def test_suspected_primary_is_used_through_relay(self) -> None:
         harness = PoolerHarness()
-        harness.group.set_doubt("p", "10.0.0.2:1")
+        harness.group.set_suspected("p", "10.0.0.2:1")
         self.assertEqual(harness.group.relay_to("p"), "10.0.0.2:1")
         self.assertIsNone(harness.group.relay_to("r1"))
         self.assertIsNone(code_of(harness.session().write()))
--- a/tests/core/pooler/test_use_of_primary.py
+++ b/tests/core/pooler/test_use_of_primary.py
@@ -14,14 +14,14 @@
     def setUp(self) -> None:
         self.harness = PoolerHarness()
         self.lease = PrimaryLease(Fencing.PROCESSES)
-        self.harness.group.right = self.lease
+        self.harness.group.primary_lease = self.lease
 
     def confirm(self) -> None:
         self.lease.confirm(self.harness.scheduler.now())
-        self.harness.group.right_confirmed()
+        self.harness.group.on_lease_renewed()
 
     def ban(self, name: str = "p") -> None:
-        self.lease.take_claim(Claim("holder", name, self.lease.fencing_token + 1, "r1"))
+        self.lease.apply_claim(Claim("holder", name, self.lease.fencing_token + 1, "r1"))
 
     def session(self, consistency: Consistency = Consistency.READ_OWN_WRITES) -> SessionProbe:
         return self.harness.session(consistency)
@@ -142,7 +142,7 @@
         self.assertIsNone(session.read().failure)
 
     def proxy_statements(self) -> list[StatementKind]:
-        return self.harness.model.own
+        return self.harness.model.proxy_requests
 
     def test_read_at_confirmed_primary_opens_no_transaction(self) -> None:
         self.confirm()
@@ -165,7 +165,7 @@
                 session = self.session(Consistency.PRIMARY)
                 session.read()
                 self.proxy_statements().clear()
-                self.lease.take_claim(claim)
+                self.lease.apply_claim(claim)
                 session.read()
                 session.read()
                 self.assertEqual(len(self.proxy_statements()), expected)
@@ -175,12 +175,12 @@
         session = self.session(Consistency.PRIMARY)
         session.start(StatementKind.READ, argument="thing")
         self.harness.scheduler.advance(0.006)
-        self.lease.take_claim(Claim("h", "", 5, "p"))
+        self.lease.apply_claim(Claim("h", "", 5, "p"))
         self.harness.scheduler.advance(0.3)
-        self.assertFalse(self.lease.is_proven("p"))
+        self.assertFalse(self.lease.is_leadership_proven("p"))
 
     def test_platform_fencing_needs_no_lease(self) -> None:
-        self.harness.group.right = PrimaryLease(Fencing.PLATFORM)
+        self.harness.group.primary_lease = PrimaryLease(Fencing.PLATFORM)
         self.assertIsNone(self.session().write().failure)
 
 
--- a/tests/core/pooler/test_useful_waits.py
+++ b/tests/core/pooler/test_useful_waits.py
@@ -76,7 +76,7 @@
     def _reassess_later(self, statement: SentStatement) -> None:
         if statement.outcomes or statement.waiter is None:
             return
-        verdict = self.pool.judge(statement.waiter)
+        verdict = self.pool.recheck(statement.waiter)
         if isinstance(verdict, WaitUntil):
             delay = max(verdict.at - self.scheduler.now(), 0.0)
             self.scheduler.call_later(delay, lambda: self._reassess_later(statement))
@@ -95,7 +95,7 @@
         def finish() -> None:
             self.slot_ends.remove(end)
             heapq.heapify(self.slot_ends)
-            self.pool.note_answer(StatementKind.READ, SERVED, WORK)
+            self.pool.record_answer(StatementKind.READ, SERVED, WORK)
             self.pool.release(connection)
 
         self.scheduler.call_later(WORK, finish)
@@ -161,7 +161,7 @@
         for statement in retries:
             simulation.send(statement)
             assert statement.waiter is not None
-            inner = statement.waiter.given
+            inner = statement.waiter.on_assigned
 
             def on_connection(
                 connection: DatabaseConnection,
@@ -171,7 +171,7 @@
                 order.append(statement.arrived)
                 inner(connection)  # type: ignore[operator]
 
-            statement.waiter.given = on_connection
+            statement.waiter.on_assigned = on_connection
         simulation.scheduler.advance(10.0)
         self.assertEqual(order, sorted(order))
         self.assertEqual(len(order), len(retries))
@@ -197,7 +197,7 @@
         burst = [SentStatement(1, 0.0, 0.6, 0.8) for _ in range(200)]
         for statement in burst:
             simulation.send(statement)
-        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_ROOM]]
+        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_SLOT]]
         self.assertIn(len(refused), range(150, 160))
         delays = {
             statement.waiter.refusal.come_back_seconds
@@ -207,7 +207,7 @@
         self.assertGreater(len(delays), 130)
         simulation.scheduler.advance(5.0)
         served = [statement for statement in burst if statement.outcomes == ["served"]]
-        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_ROOM]]
+        refused = [statement for statement in burst if statement.outcomes == [Denial.NO_SLOT]]
         self.assertEqual(len(served) + len(refused), 200)
         self.assertIn(len(served), range(42, 50))
         counts = simulation.pool.wait_counts
@@ -238,7 +238,7 @@
         """Otherwise nothing would detect that the database has become fast again."""
         simulation = QueueSimulation()
         for _ in range(100):
-            simulation.pool.note_answer(StatementKind.READ, SERVED, 5.0)
+            simulation.pool.record_answer(StatementKind.READ, SERVED, 5.0)
         statement = SentStatement(1, 0.0, 0.5, 0.8)
         simulation.send(statement)
         self.assertEqual(statement.outcomes, ["served"])
--- a/tests/core/shared/test_fair_share.py
+++ b/tests/core/shared/test_fair_share.py
@@ -33,7 +33,7 @@
 
     def serve_next(self, cost: float = 1.0) -> str:
         backlogged = [name for name, count in self.waiting.items() if count]
-        caller = min(backlogged, key=lambda name: (self.shares.tag(name), name))
+        caller = min(backlogged, key=lambda name: (self.shares.start_tag(name), name))
         self.shares.serve(caller, cost)
         self.waiting[caller] -= 1
         return caller
@@ -75,7 +75,7 @@
         for _ in range(50):
             caller = backlog.serve_next()
             served[caller] += 1
-            backlog.shares.settle(caller, 3.0 if caller == "long" else 0.0)
+            backlog.shares.adjust_cost(caller, 3.0 if caller == "long" else 0.0)
         self.assertIn(served["long"], (9, 10, 11))
 
     def test_blocked_caller_does_not_accumulate_credit(self) -> None:
@@ -106,7 +106,7 @@
             elif action == "serve" and backlog.waiting.total():
                 backlog.serve_next(cost)
             elif action == "settle":
-                backlog.shares.settle(caller, cost - 2.0)
+                backlog.shares.adjust_cost(caller, cost - 2.0)
             self._check(backlog)
 
     def _check(self, backlog: Backlog) -> None:
@@ -114,8 +114,8 @@
         if not waiting:
             self.assertEqual(len(backlog.shares), 0)
             return
-        newcomer = backlog.shares.tag("nobody")
-        owing = {name for name in CALLERS if backlog.shares.tag(name) > newcomer}
+        newcomer = backlog.shares.start_tag("nobody")
+        owing = {name for name in CALLERS if backlog.shares.start_tag(name) > newcomer}
         self.assertLessEqual(len(backlog.shares), len(waiting | owing))
 
     def test_callers_that_leave_unserved_are_forgotten(self) -> None:
--- a/tests/platform/test_pooler_process.py
+++ b/tests/platform/test_pooler_process.py
@@ -9,7 +9,7 @@
 import unittest
 import urllib.request
 
-from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator
 from dewledge.platform.adapter import build_adapter
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings
 from dewledge.shell.pooler.pooler_process import PoolerProcess
@@ -263,9 +263,9 @@
             self.assertEqual(answer.status, 200)
 
 
-def choices(processes: list[PoolerProcess]) -> list[ReadChoice | None]:
+def choices(processes: list[PoolerProcess]) -> list[CompletionEstimator | None]:
     """Returns by what each process chooses databases for reads."""
-    return [process._services.groups["menus"].choice for process in processes]
+    return [process._services.groups["menus"].read_choice for process in processes]
 
 
 class ChoiceSwitchedOffTest(PoolerCase):
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -11,10 +11,10 @@
 from tests.platform.wire_databases import wait_until
 
 SMALL = (
-    (holders, "LEAST_DIRECT_SHARE", 99),
-    (holders, "LEAST_HOLDERS", 1),
+    (holders, "MIN_DIRECT_CONNECTIONS", 99),
+    (holders, "MIN_HOLDERS", 1),
     (holders, "CONNECTIONS_PER_HOLDER", 99),
-    (readers, "MOST_READING_ALL", 1),
+    (readers, "MAX_PROCESSES_ALL_READING", 1),
     (readers, "READERS", 1),
 )
 """So that four processes share as hundreds would."""
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -26,7 +26,7 @@
     decode,
     encode,
 )
-from dewledge.core.pooler.statements.read_choice import ReadChoice
+from dewledge.core.pooler.statements.read_choice import CompletionEstimator
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 from dewledge.platform.wire_codec import WireDatabaseCodec
 from dewledge.shell.pooler.links.channel_server import ChannelServer
@@ -116,7 +116,7 @@
 
     def test_the_load_comes_with_an_answer_and_not_again_while_it_is_the_same(self) -> None:
         """The load is made to stay the same, and no word to grow old, however slow the machine."""
-        self.group.choice = ReadChoice(self.loop.now, lambda: 0.5)
+        self.group.read_choice = CompletionEstimator(self.loop.now, lambda: 0.5)
         link = self.link()
         link.send(LinkOpened("me"), ChannelOpened(1, "i-north"))
         first = self.load_told(link)
--- a/tests/shell/test_client_listener.py
+++ b/tests/shell/test_client_listener.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from dewledge.core.pooler.events import PoolingEvent, SessionDenied
-from dewledge.core.pooler.load.failed_login_throttle import ANSWERS_PER_SECOND, PAUSE_SECONDS
+from dewledge.core.pooler.load.failed_login_throttle import ANSWER_DELAY_SECONDS, ANSWERS_PER_SECOND
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.platform.wire_codec import WireClientCodec
@@ -80,11 +80,11 @@
             asked = time.monotonic()
             self.assertTrue(self.answer(self.start(KEY)).startswith(b"READY"))
             waits.append(time.monotonic() - asked)
-        self.assertLess(max(waits), PAUSE_SECONDS / 2)
+        self.assertLess(max(waits), ANSWER_DELAY_SECONDS / 2)
         told = [self.read_to_end(sock) for sock in flood]
         answered = [text for text, _ in told if text]
         self.assertEqual(len(set(answered)), 1)
-        early = [text for text, at in told if text and at - began < PAUSE_SECONDS * 0.9]
+        early = [text for text, at in told if text and at - began < ANSWER_DELAY_SECONDS * 0.9]
         self.assertLessEqual(len(early), 3 * ANSWERS_PER_SECOND)
         self.assertLess(len(answered), len(flood))
         time.sleep(1.2)
@@ -107,10 +107,10 @@
         flood = [self.connect() for _ in range(60)]
         for sock in flood:
             sock.sendall(self.start("wrong"))
-        self.await_state("some wait", lambda: self.listener._throttle.held > 0)
+        self.await_state("some wait", lambda: self.listener._throttle.delayed_refusals > 0)
         for sock in flood:
             sock.close()
-        self.await_state("none waits", lambda: self.listener._throttle.held == 0)
+        self.await_state("none waits", lambda: self.listener._throttle.delayed_refusals == 0)
         self.await_state("all are gone", lambda: not self.listener.connections)
 
     def await_state(self, what: str, is_reached: object) -> None:
--- a/tests/shell/test_outgoing_links.py
+++ b/tests/shell/test_outgoing_links.py
@@ -162,7 +162,7 @@
         connection = self.channel(*addresses)
         self.assertTrue(self.serves(self.first, connection))
         judged: list[HolderState] = []
-        connection.holder_judged = judged.append
+        connection.on_holder_state = judged.append
         self.first.is_silent = True
         self.ask(connection)
         took = self.run_until("the holder is doubted", lambda: bool(judged))
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -142,7 +142,7 @@
         self.leases = PrimaryLeases(Fencing.PROCESSES)
         place = Locality("b", {"a": "north", "b": "north", "c": "south"})
         self.group = Group(
-            GROUP, place, self.opener, self.loop.now, 5.0, right=self.leases.of(GROUP)
+            GROUP, place, self.opener, self.loop.now, 5.0, primary_lease=self.leases.of(GROUP)
         )
         self.group.set_connection_limit(4)
         self.services.groups[GROUP] = self.group
@@ -172,7 +172,7 @@
             self.events.append,
         )
         self.keeper = ClaimKeeper(context, members, peers)
-        self.services.suspect = self.driver.doubt
+        self.services.on_unanswered_statement = self.driver.doubt
         self._known_version = 0
         store.changed.append(self._poll_now)
 
@@ -196,7 +196,7 @@
         self.services.routes = RouteTable(
             1, {each.database: each for each in routes}, {GROUP: GroupPolicy(GROUP, 36)}
         )
-        self.services.wake_if_configured()
+        self.services.notify_if_configured()
 
     def kill(self) -> None:
         self.loop.alive = False
@@ -209,7 +209,7 @@
         """The store told of a database."""
         self.group.change_view(self.group.view.with_record(record, self.loop.now()))
         self.driver.look_at(GROUP)
-        self.services.wake_if_configured()
+        self.services.notify_if_configured()
 
     def _poll(self) -> None:
         self._poll_now()
