--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -20,7 +20,7 @@
     SocketOption,
 )
 from dewledge.core.pooler.coordination_store import (
-    CALL_LIMIT_SECONDS,
+    CALL_TIMEOUT_SECONDS,
     FeedAnswer,
     HistoryLost,
     StoreRow,
@@ -89,7 +89,7 @@
         """Sends subsequent calls to another address ("ip:port")."""
         self._calls.change_address(address)
 
-    def read_table(self, table: str, limit: float = CALL_LIMIT_SECONDS) -> TableRows:
+    def read_table(self, table: str, limit: float = CALL_TIMEOUT_SECONDS) -> TableRows:
         """Returns all rows of a table whose part is empty, read page by page.
 
         limit: timeout in seconds of each page's call.
@@ -114,14 +114,14 @@
             "targetVersion": end_key,
             "limit": "1",
         }
-        answer = self._get("/dewledge/rows-get", query, CALL_LIMIT_SECONDS)
+        answer = self._get("/dewledge/rows-get", query, CALL_TIMEOUT_SECONDS)
         rows = [self._store_row(table, row) for row in answer.rows if row.tls_key == key]
         return rows[0] if rows else None
 
     def watch_table(self, table: str, after: int, wait: float) -> FeedAnswer:
         """Returns the rows that changed after a version, waiting up to `wait` seconds for one."""
         query = {"table": table, "after": str(after), "waitMs": str(int(wait * 1000))}
-        answer = self._get("/dewledge/rows-feed", query, wait + CALL_LIMIT_SECONDS)
+        answer = self._get("/dewledge/rows-feed", query, wait + CALL_TIMEOUT_SECONDS)
         return FeedAnswer(tuple(self._store_row(table, row) for row in answer.rows), answer.ver)
 
     def write(self, write: StoreWrite) -> int:
@@ -133,7 +133,7 @@
             "put": [{**address, "value": value}],
             "remove": [],
         }
-        return self._request("POST", "/dewledge/rows-tx", {}, CALL_LIMIT_SECONDS, body).ver
+        return self._request("POST", "/dewledge/rows-tx", {}, CALL_TIMEOUT_SECONDS, body).ver
 
     def _store_row(self, table: str, row: _Row) -> StoreRow:
         value = base64.b64decode(row.value or "")
@@ -184,7 +184,7 @@
         }
         body = json.dumps({"service": group, "id": database_id}).encode()
         try:
-            answer = self._calls.call("POST", "/promote", body, CALL_LIMIT_SECONDS, headers)
+            answer = self._calls.call("POST", "/promote", body, CALL_TIMEOUT_SECONDS, headers)
         except (ServerUnreachable, AnswerMissing, ProtocolError) as error:
             raise StoreOutcomeUnknown(f"no answer: {error}") from error
         if answer.status not in (ACCEPTED_STATUS, FENCED_STATUS):
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
-from dewledge.core.pooler.failover.reach_limit import ReachLimit
+from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.sessions.services import PoolServices
@@ -110,7 +110,7 @@
 
     def __init__(self, base: ProcessBase, peer_access: PeerAccess) -> None:
         settings, services = base.settings, base.services
-        self.reach_limit = ReachLimit()
+        self.reach_limit = ConnectTimeout()
         """Connection timeout, adapted to the connection times that openers and probes observe."""
         direct = DirectOpener(
             base.loop,
@@ -131,7 +131,9 @@
 class Failover:
     """Detection and replacement of lost primaries; the decisions are in `core/pooler/failover`."""
 
-    def __init__(self, base: ProcessBase, peer_access: PeerAccess, reach_limit: ReachLimit) -> None:
+    def __init__(
+        self, base: ProcessBase, peer_access: PeerAccess, reach_limit: ConnectTimeout
+    ) -> None:
         settings, platform = base.settings, base.platform
         self.claim_events = ClaimEvents()
         context = FailoverContext(
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -55,7 +55,7 @@
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
-        self._services.wake_if_configured()
+        self._services.notify_if_configured()
 
     def apply_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies the whole table of databases; databases without a row in it are removed."""
@@ -92,7 +92,7 @@
             draining=record.draining,
             revision=row.version,
         ).info("database_known")
-        self._services.wake_if_configured()
+        self._services.notify_if_configured()
 
     def _remove_database(self, group: Group, database_id: str, revision: int) -> None:
         if database_id in group.view.databases:
--- a/src/dewledge/shell/pooler/failover/claim_events.py
+++ b/src/dewledge/shell/pooler/failover/claim_events.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Sequence
 
-from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
+from dewledge.core.pooler.failover.messages import Claim, ClaimAcknowledged
 from dewledge.shell.pooler.listeners import Listeners
 
 
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self.received: Listeners[[str, Claim]] = Listeners()
         """Another process sent a claim newer than the one known here. Arguments: group, claim."""
-        self.acknowledged: Listeners[[str, ClaimKnown]] = Listeners()
+        self.acknowledged: Listeners[[str, ClaimAcknowledged]] = Listeners()
         """Another process acknowledged a claim. Arguments: group, process and fencing token."""
         self.learned: Listeners[[str, Claim]] = Listeners()
         """A newer claim is about to take effect in this process. Arguments: group, claim."""
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from dewledge.core.pooler.coordination_store import StoreRow, StoreWrite
-from dewledge.core.pooler.failover.messages import Claim, ClaimKnown
+from dewledge.core.pooler.failover.messages import Claim, ClaimAcknowledged
 from dewledge.errors import StoreError
 from dewledge.shell.pooler.failover.failover_context import FailoverContext
 from dewledge.shell.pooler.failover.lease_confirmations import LeaseConfirmations
@@ -76,7 +76,7 @@
             if acknowledgement is not None:
                 self._events.acknowledged.tell(
                     acknowledgement.group,
-                    ClaimKnown(acknowledgement.process, acknowledgement.token),
+                    ClaimAcknowledged(acknowledgement.process, acknowledgement.token),
                 )
 
     def _on_claim_learned(self, group: str, claim: Claim) -> None:
@@ -120,7 +120,7 @@
         self._peers.send(answer, [sender])
 
     def _on_claim_answer(self, answer: ClaimAnswer, _sender: str) -> None:
-        self._events.acknowledged.tell(answer.group, ClaimKnown(answer.sender, answer.token))
+        self._events.acknowledged.tell(answer.group, ClaimAcknowledged(answer.sender, answer.token))
 
     def _acknowledge_through_store(self, group: str, fencing_token: int) -> None:
         if self._stopped or self._acknowledged_tokens.get(group, 0) >= fencing_token:
--- a/src/dewledge/shell/pooler/failover/database_requests.py
+++ b/src/dewledge/shell/pooler/failover/database_requests.py
@@ -82,7 +82,7 @@
                 pool.release(connection)
                 on_status(None if reply is None else self._parse_status(reply))
 
-            connection.send_own(kind, on_reply, argument=argument)
+            connection.send_internal(kind, on_reply, argument=argument)
 
         def on_timeout(connection: DatabaseConnection) -> None:
             connection.close()
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -14,20 +14,20 @@
 from dewledge.core.pooler.coordination_store import PromotionCalls, StoreRow
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.candidates import panel
+from dewledge.core.pooler.failover.candidates import rank_judges
 from dewledge.core.pooler.failover.group_failover import GroupFailover
 from dewledge.core.pooler.failover.messages import (
     AnnounceLeader,
     AskIndirectProbes,
     Claim,
-    ClaimKnown,
-    ClaimSeen,
+    ClaimAcknowledged,
+    ClaimReceived,
     DatabaseStatus,
     FailoverEffect,
     FailoverEvent,
     IndirectProbeReported,
     Phase,
-    PrimaryDoubted,
+    PrimarySuspected,
     Promote,
     ReachTested,
     ReadStatus,
@@ -92,7 +92,7 @@
 
     def doubt(self, group: str, database_id: str) -> None:
         """Reports a suspected database: statement or connection failed, or a process asked."""
-        self._handle(group, PrimaryDoubted(database_id))
+        self._handle(group, PrimarySuspected(database_id))
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
         """Applies the claim rows among rows read from the store."""
@@ -107,11 +107,11 @@
         if claim.fencing_token > self._context.leases.of(group).fencing_token:
             self._context.claim_events.learned.tell(group, claim)
         if group in self._groups and not self._stopped:
-            self._handle(group, ClaimSeen(claim))
+            self._handle(group, ClaimReceived(claim))
         else:
-            self._context.leases.of(group).take_claim(claim)
+            self._context.leases.of(group).apply_claim(claim)
 
-    def on_claim_acknowledged(self, group: str, acknowledgement: ClaimKnown) -> None:
+    def on_claim_acknowledged(self, group: str, acknowledgement: ClaimAcknowledged) -> None:
         """Passes on that another process acknowledged a claim."""
         self._handle(group, acknowledgement)
 
@@ -158,7 +158,7 @@
         failover = self._failovers.get(name)
         if failover is None:
             return True
-        return failover.phase is not Phase.STEADY or failover.doubted is not None
+        return failover.phase is not Phase.STEADY or failover.suspected is not None
 
     def _handle(self, group_name: str, event: FailoverEvent) -> None:
         group = self._groups.get(group_name)
@@ -174,7 +174,7 @@
             event, group.view, judges, self._context.loop.now(), self._registered
         )
         relay = None if failover.reached_by is None else self._addresses().get(failover.reached_by)
-        group.set_doubt(failover.doubted, relay)
+        group.set_suspected(failover.suspected, relay)
         for effect in effects:
             self._carry_out(group, effect)
 
@@ -211,7 +211,7 @@
     def _judges_of(self, group_name: str) -> Sequence[str]:
         judges = self._judges_by_group.get(group_name)
         if judges is None:
-            judges = panel(group_name, self._addresses().keys() | {self._own_name})
+            judges = rank_judges(group_name, self._addresses().keys() | {self._own_name})
             self._judges_by_group[group_name] = judges
         return judges
 
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -146,7 +146,7 @@
     @property
     def at_rest(self) -> bool:
         """Whether no channel has a statement or an open transaction."""
-        return all(session.at_rest for session in self._channels.values())
+        return all(session.is_idle for session in self._channels.values())
 
     def send(self, message: PeerLinkMessage) -> None:
         """Sends a message; see FramedStream.send."""
@@ -207,7 +207,7 @@
             if len(self._reporters) >= MAX_REPORTED_DATABASES:
                 self._reporters.clear()
             reporter = self._reporters[database_id] = LoadReporter()
-        return reporter.due_report(report, self._loop.now())
+        return reporter.report_to_send(report, self._loop.now())
 
     def forget(self, channel: int) -> None:
         """Removes a channel that has ended."""
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -64,7 +64,11 @@
         `FailedLoginThrottle` may delay the answer, or have the connection closed without one.
         """
         self._is_refused = True
-        pause = self._throttle.pause(self._loop.now()) if failure.code in _THROTTLED_CODES else 0.0
+        pause = (
+            self._throttle.answer_delay(self._loop.now())
+            if failure.code in _THROTTLED_CODES
+            else 0.0
+        )
         if pause is None:
             self._stream.close()
             self._on_closed(self)
@@ -87,7 +91,7 @@
         if self._delayed_refusal is not None:
             self._delayed_refusal.cancel()
             self._delayed_refusal = None
-            self._throttle.told()
+            self._throttle.on_delay_ended()
 
     def close(self) -> None:
         """Closes the connection after all buffered bytes are sent."""
@@ -101,7 +105,7 @@
         """
         if not self._is_refused:
             self._stream.read_available()
-        self.session.leave()
+        self.session.close_when_idle()
 
     def _received(self, data: bytes) -> None:
         if self._is_refused:
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -76,7 +76,7 @@
     @property
     def heard_at(self) -> float:
         """When the last sign of life was received (steady clock, seconds)."""
-        return self.health.heard_at
+        return self.health.last_received_at
 
     @property
     def is_usable(self) -> bool:
@@ -114,11 +114,11 @@
     def record_request(self) -> None:
         """Records that a request was sent, and schedules a health check."""
         if self._stream is not None:
-            self._schedule_check(self.health.sent(self._loop.now()))
+            self._schedule_check(self.health.on_sent(self._loop.now()))
 
     def record_replies(self, count: int = 1) -> None:
         """Records replies that arrived or are no longer awaited."""
-        self.health.answered(count)
+        self.health.on_replies(count)
 
     def close(self) -> None:
         """Closes the link without calling `lost`."""
@@ -131,7 +131,7 @@
         self._clear_timer()
 
     def _dial(self) -> None:
-        self._schedule_check(self.health.dialled(self._loop.now()))
+        self._schedule_check(self.health.on_dial(self._loop.now()))
         self._connecting = Connecting(
             self._loop, self.address, CONNECT_TIMEOUT_SECONDS, self._connected, self._on_dial_failed
         )
@@ -140,7 +140,7 @@
         self._connecting = None
         self._is_leaving = False
         self._clear_timer()
-        self.health.opened(self._loop.now())
+        self.health.on_opened(self._loop.now())
         self._stream = FramedStream(self._loop, sock, self._received, self._ended, self._on_bytes)
         self._stream.send(LinkOpened(self._local_name))
         self._report_state(0.0)
@@ -151,9 +151,9 @@
     def _on_dial_failed(self) -> None:
         self._connecting = None
         now = self._loop.now()
-        silence = self.health.silence(now)
+        silence = self.health.silence_seconds(now)
         self._clear_timer()
-        self.health.ended(now, is_dial=True)
+        self.health.on_ended(now, is_dial=True)
         self._report_state(silence)
         self._fail_waiting()
 
@@ -163,8 +163,8 @@
             failed()
 
     def _on_bytes(self) -> None:
-        silence = self.health.silence(self._loop.now())
-        self.health.heard(self._loop.now())
+        silence = self.health.silence_seconds(self._loop.now())
+        self.health.on_received(self._loop.now())
         self._report_state(silence)
 
     def _received(self, message: PeerLinkMessage) -> None:
@@ -174,7 +174,7 @@
             self._watcher.leaving(self)
             return
         if isinstance(message, Pong):
-            self.health.ponged(self._loop.now())
+            self.health.on_pong(self._loop.now())
         self._watcher.received(self, message)
 
     def _ended(self) -> None:
@@ -182,24 +182,26 @@
 
     def _lose(self, reason: str) -> None:
         now = self._loop.now()
-        silence = self.health.silence(now)
-        logger.bind(peer=self.address, reason=reason, due=self.health.due).info("link_lost")
+        silence = self.health.silence_seconds(now)
+        logger.bind(peer=self.address, reason=reason, due=self.health.outstanding_replies).info(
+            "link_lost"
+        )
         self.close()
-        self.health.ended(now, is_dial=False)
+        self.health.on_ended(now, is_dial=False)
         self._report_state(silence)
         self._watcher.lost(self)
 
     def _check_health(self) -> None:
         self._timer = None
         now = self._loop.now()
-        check = self.health.look(now)
+        check = self.health.check(now)
         if check.is_lost and self._stream is not None:
             self._lose("silent")
             return
         if check.sends_ping:
             self.send(Ping())
         self._schedule_check(check.again)
-        self._report_state(self.health.silence(now))
+        self._report_state(self.health.silence_seconds(now))
 
     def _report_state(self, silence: float) -> None:
         """Reports a changed state; fails waiting requests if the holder is not usable."""
--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -9,12 +9,16 @@
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.load.wait_counts import WaitCounts
-from dewledge.core.pooler.load.wait_summaries import SUMMARY_SECONDS, QueueName, WaitSummaries
+from dewledge.core.pooler.load.wait_summaries import (
+    SUMMARY_INTERVAL_SECONDS,
+    QueueName,
+    WaitSummaries,
+)
 from dewledge.core.pooler.scheduling import Scheduler
 
 
 class WaitReporter:
-    """Logs at most one line for each pool of this process every SUMMARY_SECONDS."""
+    """Logs at most one line for each pool of this process every SUMMARY_INTERVAL_SECONDS."""
 
     def __init__(
         self,
@@ -30,7 +34,7 @@
 
     def start(self) -> None:
         """Schedules the next report; each report schedules another."""
-        self._scheduler.call_later(SUMMARY_SECONDS, self._report_and_reschedule)
+        self._scheduler.call_later(SUMMARY_INTERVAL_SECONDS, self._report_and_reschedule)
 
     def tell(self) -> None:
         """Logs the waits counted since the last report."""
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
-from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_SPACING_SECONDS
+from dewledge.core.pooler.rate_limits.slot_voters import SEARCH_INTERVAL_SECONDS
 from dewledge.core.pooler.sessions.routes import RouteTable
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.member_table import MemberTable
@@ -53,21 +53,21 @@
         self._grantor.set_limits(limits)
 
     def _tick(self) -> None:
-        delay = self._gate.tick() if self._members.is_known else SEARCH_SPACING_SECONDS
+        delay = self._gate.tick() if self._members.is_known else SEARCH_INTERVAL_SECONDS
         self._loop.call_later(delay, self._tick)
 
     def send(self, name: str, question: QuotaQuestion) -> None:
         """Sends a request of the gate to the named process, or to the local grantor."""
         if name == self._process_name:
-            answer = self._grantor.take_question(question, self._loop.now())
-            self._loop.call_later(0.0, lambda: self._gate.take_answer(answer))
+            answer = self._grantor.answer_question(question, self._loop.now())
+            self._loop.call_later(0.0, lambda: self._gate.handle_answer(answer))
             return
         member = self._members.members.get(name)
         if member is not None:
             self._peers.send(question, [member.peer_address])
 
     def _handle_question(self, question: QuotaQuestion, sender: str) -> None:
-        self._peers.send(self._grantor.take_question(question, self._loop.now()), [sender])
+        self._peers.send(self._grantor.answer_question(question, self._loop.now()), [sender])
 
     def _handle_answer(self, answer: QuotaAnswer, _sender: str) -> None:
-        self._gate.take_answer(answer)
+        self._gate.handle_answer(answer)
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -10,7 +10,7 @@
 
 from dewledge.core.pooler.coordination_store import StoreRow
 from dewledge.core.pooler.sharing.messages import TableNews
-from dewledge.core.pooler.sharing.packing import LEAST_COMPRESSED_BYTES, pack_value, unpack_value
+from dewledge.core.pooler.sharing.packing import MIN_COMPRESSED_BYTES, pack_value, unpack_value
 from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 
 RowsCallback = Callable[[tuple[StoreRow, ...], int], None]
@@ -70,7 +70,7 @@
     @property
     def is_known(self) -> bool:
         """Whether the table was ever read or received from another process."""
-        return self._cache.is_known
+        return self._cache.is_loaded
 
     @property
     def is_confirmed_by_feed(self) -> bool:
@@ -88,7 +88,7 @@
         """
         if delta.version < self._cache.version:
             return False
-        is_news = bool(delta.rows) or not self._cache.is_known
+        is_news = bool(delta.rows) or not self._cache.is_loaded
         if self._on_confirmed is None or not delta.is_whole:
             # Set before the callbacks run, as they may read the time of the last confirmation.
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
@@ -113,7 +113,7 @@
 
         The table's version alone does not show that: it also rises without a change of its rows.
         """
-        if not self._cache.is_known or self._cache.version <= version:
+        if not self._cache.is_loaded or self._cache.version <= version:
             return False
         return version < self._last_change
 
@@ -121,7 +121,7 @@
         self, after: int, now: float, takes_large: bool, compares_keys: bool = False
     ) -> TableNews:
         """Returns the delta for a follower at version `after`, marked as withheld if too large."""
-        age = now - self.confirmed_at if self._cache.is_known else -1.0
+        age = now - self.confirmed_at if self._cache.is_loaded else -1.0
         delta = self._cache.delta(after, compares_keys)
         rows = tuple(self._pack(row) for row in delta.rows)
         if sum(len(row.value) for row in rows) > LARGE_BYTES and not takes_large:
@@ -135,7 +135,7 @@
         """
         rows = tuple(_with_value(row, unpack_value(row.value)) for row in news.delta.rows)
         delta = msgspec.structs.replace(news.delta, rows=rows)
-        if delta.version >= self._cache.version and not self._cache.agrees_with(delta):
+        if delta.version >= self._cache.version and not self._cache.matches_keys_of(delta):
             self._lacks_removals = True
             logger.bind(table=self.name, after=self.version, version=delta.version).info(
                 "table_lacks_removals"
@@ -148,7 +148,7 @@
         cached = self._packed.get(row.key)
         if cached is None or cached.version != row.version:
             cached = _with_value(row, pack_value(row.value))
-            if len(row.value) >= LEAST_COMPRESSED_BYTES:
+            if len(row.value) >= MIN_COMPRESSED_BYTES:
                 self._packed[row.key] = cached
         return cached
 
