--- a/src/dewledge/core/pooler/databases/answer_watch.py
+++ b/src/dewledge/core/pooler/databases/answer_watch.py
@@ -7,14 +7,14 @@
 keeps waiting.
 
 Related checks: `database_silence` (stops queueing in a pool), `pool/connection_openings` (failed
-openings), `load/shown_failures` (order of databases for reads), `load/holder_health` (processes).
+openings), `load/recent_failures` (order of databases for reads), `load/holder_health` (processes).
 """
 
 from collections.abc import Callable
 
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.scheduling import Scheduler
-from dewledge.core.pooler.statements.held_connection import BorrowedConnection
+from dewledge.core.pooler.statements.borrowed_connection import BorrowedConnection
 from dewledge.core.pooler.statements.statements import Reply, Statement
 from dewledge.errors import ErrorCode
 
--- a/src/dewledge/core/pooler/databases/group.py
+++ b/src/dewledge/core/pooler/databases/group.py
@@ -1,7 +1,7 @@
 """The mutable state of a database group: its view, proven positions, pools and primary.
 
 `Group` combines `group_view` (the registered databases and their roles), `group_pools`,
-`proof_seeking`, `read_order` and `replica_lag`.
+`proof_request`, `read_order` and `replica_lag`.
 
 `usable_primary` and `failover/primary_lease` decide whether this process may use the primary now:
 it must be reachable, directly or through a relay, this process's lease must allow it (`may_lead`),
@@ -14,7 +14,7 @@
 from dewledge.core.pooler.databases.group_pools import GroupPools
 from dewledge.core.pooler.databases.group_view import LONG_AGO, DatabaseRecord, GroupView
 from dewledge.core.pooler.databases.locality import Locality
-from dewledge.core.pooler.databases.proof_seeking import ProofRequest
+from dewledge.core.pooler.databases.proof_request import ProofRequest
 from dewledge.core.pooler.databases.read_order import ReadOptions, ReadOrder
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
 from dewledge.core.pooler.events import PoolingEvent
@@ -27,7 +27,7 @@
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sharing.holders import Holding
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator, load_report_of
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator, load_report_of
 from dewledge.core.pooler.statements.rollback import roll_back_then_release
 from dewledge.core.pooler.statements.targets import Proof, ReadRequirements, Target, read_floor
 from dewledge.core.shared.positions import LogPosition
--- a/src/dewledge/core/pooler/databases/read_order.py
+++ b/src/dewledge/core/pooler/databases/read_order.py
@@ -1,8 +1,8 @@
 """Collects the data by which a group's databases are ordered for one read.
 
 The data are the pools of this process, predicted replica lags, distances and, if enabled, reported
-loads. The order is computed by `load/choice` from expected completion times if load reports are
-enabled, else by `statements/targets` from distances and this process's own statements.
+loads. The order is computed by `load/database_order` from expected completion times if load reports
+are enabled, else by `statements/targets` from distances and this process's own statements.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,8 +13,8 @@
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, GroupView
 from dewledge.core.pooler.databases.locality import Locality
 from dewledge.core.pooler.databases.replica_lag import ReplicaLags
-from dewledge.core.pooler.load.choice import Completion
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator
+from dewledge.core.pooler.load.database_order import Completion
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator
 from dewledge.core.pooler.statements.targets import (
     Proof,
     Target,
--- a/src/dewledge/core/pooler/load/shown_failures.py
+++ b/src/dewledge/core/pooler/load/recent_failures.py
@@ -2,8 +2,8 @@
 
 Each outcome of a statement updates an exponential average of the failure ratio, which decays with
 `HALF_LIFE_SECONDS`. The expected cost is the odds of a failure times the cost of one failure. Reads
-prefer other databases accordingly (`load/choice`): a database that fails statements may still
-report a short queue.
+prefer other databases accordingly (`load/database_order`): a database that fails statements may
+still report a short queue.
 
 The estimate affects only the order of databases for reads. It refuses no statement, triggers no
 health check and is not logged. Whether a database answers at all is judged by
--- a/src/dewledge/core/pooler/load/return_moments.py
+++ b/src/dewledge/core/pooler/load/retry_schedule.py
@@ -7,7 +7,7 @@
 between the earlier ones.
 
 Each pool has a schedule for its queue. Each group has one for statements to which no queue gave a
-retry time, for example without a primary (`statements/come_back`). Retry times of rate limits are
+retry time, for example without a primary (`statements/retry_times`). Retry times of rate limits are
 in `rate_limits/return_times`.
 """
 
--- a/src/dewledge/core/pooler/pool/connection_pool.py
+++ b/src/dewledge/core/pooler/pool/connection_pool.py
@@ -22,7 +22,7 @@
 from dewledge.core.pooler.pool.connection_dispatch import ConnectionDispatch
 from dewledge.core.pooler.pool.connection_openings import ConnectionOpenings, OpeningOutcomes
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_to_share import OverFairShare
+from dewledge.core.pooler.pool.fair_share_watch import OverFairShare
 from dewledge.core.pooler.pool.idle_connections import IdleConnections
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.core.pooler.pool.pool_connections import PoolConnections
--- a/src/dewledge/core/pooler/pool/pool_factory.py
+++ b/src/dewledge/core/pooler/pool/pool_factory.py
@@ -15,7 +15,7 @@
     PoolingEvent,
 )
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
-from dewledge.core.pooler.pool.held_to_share import OverFairShare
+from dewledge.core.pooler.pool.fair_share_watch import OverFairShare
 from dewledge.core.pooler.pool.opener import Opener
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.sharing.holders import Holding
--- a/src/dewledge/core/pooler/pool/pool_waits.py
+++ b/src/dewledge/core/pooler/pool/pool_waits.py
@@ -2,18 +2,18 @@
 
 Each rule is in a module of its own: the order in `load/wait_queue` and `Waiter.rank`, the expected
 wait in `load/wait_estimate`, whether a statement may wait in `load/wait_deadlines`, and the retry
-time after a refusal in `load/return_moments`.
+time after a refusal in `load/retry_schedule`.
 """
 
 from collections.abc import Callable
 
-from dewledge.core.pooler.load.return_moments import RetrySchedule
+from dewledge.core.pooler.load.retry_schedule import RetrySchedule
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, Verdict, WaitUntil
 from dewledge.core.pooler.load.wait_counts import WaitRecord
 from dewledge.core.pooler.load.wait_deadlines import QueuePriority, may_wait, next_check_at
 from dewledge.core.pooler.load.wait_estimate import Capacity, ExpectedWait, SlotRates, WaitEstimate
 from dewledge.core.pooler.load.wait_queue import LEVEL_PARTS, Charge, WaitQueue, single_flow
-from dewledge.core.pooler.pool.held_to_share import FairShareWatch, OverFairShare
+from dewledge.core.pooler.pool.fair_share_watch import FairShareWatch, OverFairShare
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter, caller_of
 
 MIN_COST_SECONDS = 0.001
--- a/src/dewledge/core/pooler/rate_limits/admission.py
+++ b/src/dewledge/core/pooler/rate_limits/admission.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dewledge.core.pooler.load.verdict import RefusalCause
-from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
+from dewledge.core.pooler.rate_limits.token_reservations import KeptToken
 
 
 class AdmissionRequest(msgspec.Struct, frozen=True):
--- a/src/dewledge/core/pooler/rate_limits/gate.py
+++ b/src/dewledge/core/pooler/rate_limits/gate.py
@@ -21,7 +21,6 @@
     PendingAdmission,
     Refusal,
 )
-from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.rate_limits.limits import TOKEN_LIFETIME_SECONDS, QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.local_allowances import LocalAllowances
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, TokenGrant
@@ -32,6 +31,7 @@
     VOTE_INTERVAL_SECONDS,
     SlotVoters,
 )
+from dewledge.core.pooler.rate_limits.token_reservations import KeptToken
 from dewledge.core.pooler.rate_limits.token_wait import (
     FIXED_HOLD_SECONDS,
     HoldTimes,
--- a/src/dewledge/core/pooler/sessions/client_session.py
+++ b/src/dewledge/core/pooler/sessions/client_session.py
@@ -19,7 +19,7 @@
 from dewledge.core.pooler.sessions.session_start import SessionStart
 from dewledge.core.pooler.sessions.session_state import OpenTransaction, SessionState
 from dewledge.core.pooler.sessions.session_transactions import SessionTransactions
-from dewledge.core.pooler.statements.come_back import RETRY_AFTER_STOPPING_MS, refusal
+from dewledge.core.pooler.statements.retry_times import RETRY_AFTER_STOPPING_MS, refusal
 from dewledge.core.pooler.statements.statement_run import StatementRun
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import (
--- a/src/dewledge/core/pooler/sessions/operation_admission.py
+++ b/src/dewledge/core/pooler/sessions/operation_admission.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooler.events import OperationHeld, OperationNotAdmitted
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.rate_limits.admission import AdmissionRequest, PendingAdmission, Refusal
-from dewledge.core.pooler.rate_limits.kept_tokens import TokenReservations
+from dewledge.core.pooler.rate_limits.token_reservations import TokenReservations
 from dewledge.core.pooler.sessions.routes import Route
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
--- a/src/dewledge/core/pooler/sessions/services.py
+++ b/src/dewledge/core/pooler/sessions/services.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooler.databases.group import Group
 from dewledge.core.pooler.events import PoolingEvent
 from dewledge.core.pooler.load.policy import LoadPolicy
-from dewledge.core.pooler.load.return_moments import RetrySchedule
+from dewledge.core.pooler.load.retry_schedule import RetrySchedule
 from dewledge.core.pooler.rate_limits.admission import Admission, AdmitAll
 from dewledge.core.pooler.scheduling import Scheduler
 from dewledge.core.pooler.sessions.denials import DenialLog
--- a/src/dewledge/core/pooler/sessions/session_start.py
+++ b/src/dewledge/core/pooler/sessions/session_start.py
@@ -9,7 +9,7 @@
 from dewledge.core.pooler.sessions.authorization import Authorization
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sessions.session_state import SessionState
-from dewledge.core.pooler.statements.come_back import RETRY_AFTER_STARTING_MS, not_run_text
+from dewledge.core.pooler.statements.retry_times import RETRY_AFTER_STARTING_MS, not_run_text
 from dewledge.core.pooler.statements.statements import Failure, Startup
 from dewledge.core.shared.caller_credentials import credential_digest
 from dewledge.errors import ErrorCode
--- a/src/dewledge/core/pooler/statements/attempt.py
+++ b/src/dewledge/core/pooler/statements/attempt.py
@@ -12,12 +12,12 @@
 
 from dewledge.core.pooler.databases.answer_watch import SUSPECT_AFTER_SECONDS, AnswerWatch
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
+from dewledge.core.pooler.statements.borrowed_connection import BorrowedConnection
 from dewledge.core.pooler.statements.connection_setup import (
     SetupStep,
     send_setup,
     statement_for_database,
 )
-from dewledge.core.pooler.statements.held_connection import BorrowedConnection
 from dewledge.core.pooler.statements.retry_rule import Trouble
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statement_scope import StatementScope
--- a/src/dewledge/core/pooler/statements/read_choice.py
+++ b/src/dewledge/core/pooler/statements/completion_estimate.py
@@ -1,4 +1,6 @@
-"""Estimates when each database of a group would answer a read. load/choice.py orders the databases.
+"""Estimates when each database of a group would answer a read.
+
+`load/database_order` orders the databases by these estimates.
 
 The estimate uses the counters of this process if it holds connections to the database, otherwise
 the load reports of the holders, weighted by their age. The network distance, recent failures,
@@ -9,11 +11,11 @@
 from collections.abc import Callable, Sequence
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.load.choice import Candidate, Completion, order_candidates
+from dewledge.core.pooler.load.database_order import Candidate, Completion, order_candidates
 from dewledge.core.pooler.load.load_reporter import clamped_report
 from dewledge.core.pooler.load.load_table import LoadEstimate, LoadTable
+from dewledge.core.pooler.load.recent_failures import RecentFailures
 from dewledge.core.pooler.load.report import LoadReport
-from dewledge.core.pooler.load.shown_failures import RecentFailures
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.shared.units import MILLISECONDS_PER_SECOND
 
--- a/src/dewledge/core/pooler/statements/database_search.py
+++ b/src/dewledge/core/pooler/statements/database_search.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from dewledge.core.pooler.databases.proof_seeking import PROOF_REQUEST_TIMEOUT_SECONDS
+from dewledge.core.pooler.databases.proof_request import PROOF_REQUEST_TIMEOUT_SECONDS
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.load.verdict import Refuse, WaitUntil
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
--- a/src/dewledge/core/pooler/statements/statement_deadlines.py
+++ b/src/dewledge/core/pooler/statements/statement_deadlines.py
@@ -6,7 +6,7 @@
 
 import math
 
-from dewledge.core.pooler.load.choice import Completion
+from dewledge.core.pooler.load.database_order import Completion
 from dewledge.core.pooler.load.ticket import Ticket, effective_arrival
 from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
--- a/src/dewledge/core/pooler/statements/statement_run.py
+++ b/src/dewledge/core/pooler/statements/statement_run.py
@@ -10,11 +10,10 @@
 from dewledge.core.pooler.load.holder_health import HolderState
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.statements.attempt import Attempt, Setup
+from dewledge.core.pooler.statements.borrowed_connection import BorrowedConnection
 from dewledge.core.pooler.statements.client_reply import ClientReply
-from dewledge.core.pooler.statements.come_back import refusal
 from dewledge.core.pooler.statements.connection_setup import plan_setup
 from dewledge.core.pooler.statements.database_search import DatabaseSearch, SearchCallbacks
-from dewledge.core.pooler.statements.held_connection import BorrowedConnection
 from dewledge.core.pooler.statements.position_recorder import PositionRecorder
 from dewledge.core.pooler.statements.primary_lease_use import PrimaryLeaseUse
 from dewledge.core.pooler.statements.retry_outcomes import (
@@ -34,6 +33,7 @@
     decide_outcome,
     needs_retry_budget,
 )
+from dewledge.core.pooler.statements.retry_times import refusal
 from dewledge.core.pooler.statements.run_record import RunRecord
 from dewledge.core.pooler.statements.run_timers import RunTimers
 from dewledge.core.pooler.statements.statement_scope import StatementScope
--- a/src/dewledge/core/pooler/statements/targets.py
+++ b/src/dewledge/core/pooler/statements/targets.py
@@ -14,7 +14,7 @@
 
 from dewledge.core.pooler.databases.freshness import FreshnessHistory
 from dewledge.core.pooler.databases.group_view import DatabaseRecord, GroupView
-from dewledge.core.pooler.load.choice import Candidate, Completion
+from dewledge.core.pooler.load.database_order import Candidate, Completion
 from dewledge.core.pooler.sessions.routes import NO_CALLER, Consistency, Route
 from dewledge.core.shared.positions import LogPosition
 
--- a/src/dewledge/core/pooler/statements/wait_strategy.py
+++ b/src/dewledge/core/pooler/statements/wait_strategy.py
@@ -10,11 +10,11 @@
 from dewledge.core.pooler.load.verdict import Verdict
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool
 from dewledge.core.pooler.pool.waiter import Waiter
-from dewledge.core.pooler.statements.come_back import (
+from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, IgnoredRefusals
+from dewledge.core.pooler.statements.retry_times import (
     default_retry_seconds,
     retry_seconds_after_search,
 )
-from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, IgnoredRefusals
 from dewledge.core.pooler.statements.statement_deadlines import FixedDeadlines, StatementDeadlines
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.targets import Target
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -8,8 +8,8 @@
 import secrets
 from concurrent.futures import ThreadPoolExecutor
 
+from dewledge.core.pooler.failover.connect_timeout import ConnectTimeout
 from dewledge.core.pooler.failover.primary_lease import Fencing, PrimaryLeases
-from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
 from dewledge.core.pooler.sessions.services import PoolServices
@@ -110,14 +110,14 @@
 
     def __init__(self, base: ProcessBase, peer_access: PeerAccess) -> None:
         settings, services = base.settings, base.services
-        self.reach_limit = ConnectTimeout()
+        self.connect_timeout = ConnectTimeout()
         """Connection timeout, adapted to the connection times that openers and probes observe."""
         direct = DirectOpener(
             base.loop,
             settings.name,
             base.platform.new_database_codec,
             base.databases.find,
-            self.reach_limit,
+            self.connect_timeout,
         )
         routes = RouteFinder(base.databases, peer_access.members)
         opener = SharingOpener(direct, peer_access.channels, routes.find)
@@ -132,7 +132,7 @@
     """Detection and replacement of lost primaries; the decisions are in `core/pooler/failover`."""
 
     def __init__(
-        self, base: ProcessBase, peer_access: PeerAccess, reach_limit: ConnectTimeout
+        self, base: ProcessBase, peer_access: PeerAccess, connect_timeout: ConnectTimeout
     ) -> None:
         settings, platform = base.settings, base.platform
         self.claim_events = ClaimEvents()
@@ -158,7 +158,7 @@
             settings.name,
             peer_access.peers,
             base.databases.find,
-            reach_limit,
+            connect_timeout,
             self.driver,
         )
 
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
+from dewledge.core.pooler.failover.connect_timeout import ConnectTimeout
 from dewledge.shell.pooler.links.byte_stream import Connecting
 from dewledge.shell.pooler.links.peer_messages import (
     IndirectProbeAnswer,
@@ -43,7 +43,7 @@
         own_name: str,
         peers: PeerSocket,
         find: Callable[[str], DatabaseRecord | None],
-        reach_limit: ConnectTimeout,
+        connect_timeout: ConnectTimeout,
         listener: ProbeListener,
     ) -> None:
         """`find`: returns a database by its id, None if no group has it."""
@@ -51,7 +51,7 @@
         self._own_name = own_name
         self._peers = peers
         self._find = find
-        self._reach_limit = reach_limit
+        self._connect_timeout = connect_timeout
         self._listener = listener
         peers.on(IndirectProbeQuestion, self._on_question)
         peers.on(IndirectProbeAnswer, lambda answer, _sender: listener.take_answer(answer))
@@ -67,11 +67,11 @@
 
     def test(self, record: DatabaseRecord, done: Callable[[bool], None]) -> None:
         """Opens a test connection; calls `done` with whether it was accepted within the timeout."""
-        timeout_seconds = self._reach_limit.seconds
+        timeout_seconds = self._connect_timeout.seconds
         started_at = self._loop.now()
 
         def on_connected(sock: socket.socket) -> None:
-            self._reach_limit.record_connect_time(self._loop.now() - started_at)
+            self._connect_timeout.record_connect_time(self._loop.now() - started_at)
             sock.close()
             done(True)
 
--- a/src/dewledge/shell/pooler/group_factory.py
+++ b/src/dewledge/shell/pooler/group_factory.py
@@ -12,7 +12,7 @@
 from dewledge.core.pooler.failover.primary_lease import PrimaryLeases
 from dewledge.core.pooler.sessions.services import PoolServices
 from dewledge.core.pooler.sharing.holders import Holding, connections_per_process, holding_of
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator
 from dewledge.pooler_settings import PoolerSettings
 from dewledge.shell.pooler.links.database_opener import DirectOpener, SharingOpener
 from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from dewledge.core.pooler.databases.group_view import DatabaseRecord
-from dewledge.core.pooler.failover.reach_limit import ConnectTimeout
+from dewledge.core.pooler.failover.connect_timeout import ConnectTimeout
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
 from dewledge.core.pooler.sessions.codec import DatabaseCodec
 from dewledge.core.pooler.sharing.holders import FALLBACK_CONNECTIONS
@@ -38,15 +38,15 @@
         user: str,
         new_codec: Callable[[], DatabaseCodec],
         find: Callable[[str], DatabaseRecord | None],
-        reach_limit: ConnectTimeout | None = None,
+        connect_timeout: ConnectTimeout | None = None,
     ) -> None:
         """`user`: the user name for connections without a caller.
 
         find: returns the record of a database, None if it is unknown.
-        reach_limit: records how long databases take to accept connections.
+        connect_timeout: records how long databases take to accept connections.
         """
         self._loop = loop
-        self._reach_limit = reach_limit or ConnectTimeout()
+        self._connect_timeout = connect_timeout or ConnectTimeout()
         self._user = user
         self._new_codec = new_codec
         self._find = find
@@ -72,7 +72,7 @@
         started_at = self._loop.now()
 
         def connected(sock: socket.socket) -> None:
-            self._reach_limit.record_connect_time(self._loop.now() - started_at)
+            self._connect_timeout.record_connect_time(self._loop.now() - started_at)
             user = request.caller or self._user
             _DatabaseLink(self._loop, sock, database_record, user, self._new_codec(), request)
 
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -59,7 +59,7 @@
         self._pages = StatusPages(self._loop, settings, base.metrics, lambda: self.is_ready)
         self._peer_access = PeerAccess(base)
         access = DatabaseAccess(base, self._peer_access)
-        self._failover = Failover(base, self._peer_access, access.reach_limit)
+        self._failover = Failover(base, self._peer_access, access.connect_timeout)
         self._quota = build_quota(base, self._peer_access)
         self._tables = build_tables(base, self._peer_access, access.directory, self._failover)
         subscribe_listeners(
--- a/tests/core/pooler/failover/test_reach_limit.py
+++ b/tests/core/pooler/failover/test_reach_limit.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from dewledge.core.pooler.failover.reach_limit import (
+from dewledge.core.pooler.failover.connect_timeout import (
     MAX_TIMEOUT_SECONDS,
     MIN_TIMEOUT_SECONDS,
     ConnectTimeout,
--- a/tests/core/pooler/load/test_choice.py
+++ b/tests/core/pooler/load/test_choice.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.choice import Candidate, Completion, order_candidates
+from dewledge.core.pooler.load.database_order import Candidate, Completion, order_candidates
 from dewledge.core.pooler.load.load_table import LoadTable
+from dewledge.core.pooler.load.recent_failures import MAX_DATABASES, RecentFailures
 from dewledge.core.pooler.load.report import LoadReport
-from dewledge.core.pooler.load.shown_failures import MAX_DATABASES, RecentFailures
 
 WORK = 0.01
 NEAR = 0.001
--- a/tests/core/pooler/load/test_wait_deadlines.py
+++ b/tests/core/pooler/load/test_wait_deadlines.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dewledge.core.pooler.load.return_moments import (
+from dewledge.core.pooler.load.retry_schedule import (
     MAX_RETRY_SECONDS,
     MIN_RETRY_SECONDS,
     RetrySchedule,
--- a/tests/core/pooler/random_day.py
+++ b/tests/core/pooler/random_day.py
@@ -5,7 +5,7 @@
 
 from dewledge.core.pooler.databases.group_view import DatabaseRole
 from dewledge.core.pooler.sessions.routes import Consistency
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
 from dewledge.core.shared.positions import LogPosition
 from dewledge.errors import ErrorCode
--- a/tests/core/pooler/rate_limits/model_processes.py
+++ b/tests/core/pooler/rate_limits/model_processes.py
@@ -7,9 +7,9 @@
 from dewledge.core.pooler.rate_limits.admission import AdmissionRequest, Refusal
 from dewledge.core.pooler.rate_limits.gate import QuotaGate
 from dewledge.core.pooler.rate_limits.grantor import Grantor
-from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
 from dewledge.core.pooler.rate_limits.limits import QuotaPolicy, RateLimit
 from dewledge.core.pooler.rate_limits.messages import QuotaAnswer, QuotaQuestion
+from dewledge.core.pooler.rate_limits.token_reservations import KeptToken
 from tests.core.pooler.harness import ModelScheduler, Timer
 
 
--- a/tests/core/pooler/rate_limits/test_token_wait.py
+++ b/tests/core/pooler/rate_limits/test_token_wait.py
@@ -3,12 +3,12 @@
 import unittest
 
 from dewledge.core.pooler.load.verdict import RefusalCause, Refuse, WaitUntil
-from dewledge.core.pooler.rate_limits.kept_tokens import (
+from dewledge.core.pooler.rate_limits.retry_times import MIN_RETRY_SECONDS
+from dewledge.core.pooler.rate_limits.token_reservations import (
     MAX_RESERVATIONS,
     KeptToken,
     TokenReservations,
 )
-from dewledge.core.pooler.rate_limits.retry_times import MIN_RETRY_SECONDS
 from dewledge.core.pooler.rate_limits.token_wait import (
     DEFAULT_SERVING_SECONDS,
     HoldTimes,
--- a/tests/core/pooler/test_callers.py
+++ b/tests/core/pooler/test_callers.py
@@ -16,7 +16,7 @@
     PendingAdmission,
     Refusal,
 )
-from dewledge.core.pooler.rate_limits.kept_tokens import KeptToken
+from dewledge.core.pooler.rate_limits.token_reservations import KeptToken
 from dewledge.core.pooler.sharing.holders import Holding
 from dewledge.core.pooler.statements.statements import StatementKind, TransactionState
 from dewledge.core.shared.caller_credentials import credential_digest
--- a/tests/core/pooler/test_exhausted_databases.py
+++ b/tests/core/pooler/test_exhausted_databases.py
@@ -6,14 +6,14 @@
 from dewledge.core.pooler.load.wait_deadlines import EXHAUSTED_AFTER_SECONDS
 from dewledge.core.pooler.sessions.routes import Consistency
 from dewledge.core.pooler.sessions.session_state import SessionState
-from dewledge.core.pooler.statements.come_back import (
+from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, IgnoredRefusals
+from dewledge.core.pooler.statements.retry_times import (
     RETRY_AFTER_NO_PRIMARY_MS,
     RETRY_AFTER_OVERLOADED_MS,
     default_retry_seconds,
     refusal,
     retry_seconds_after_search,
 )
-from dewledge.core.pooler.statements.exhausted_databases import ExhaustedDatabases, IgnoredRefusals
 from dewledge.core.pooler.statements.statement_scope import StatementScope
 from dewledge.core.pooler.statements.statements import Failure, Statement, StatementKind
 from dewledge.core.pooler.statements.targets import Proof, Target
--- a/tests/core/pooler/test_fair_callers.py
+++ b/tests/core/pooler/test_fair_callers.py
@@ -16,7 +16,7 @@
 from dewledge.core.pooler.pool.connection_openings import MAX_OPENED_AHEAD
 from dewledge.core.pooler.pool.connection_pool import ConnectionPool, PoolRules
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
-from dewledge.core.pooler.pool.held_to_share import OverFairShare
+from dewledge.core.pooler.pool.fair_share_watch import OverFairShare
 from dewledge.core.pooler.pool.slot_window import SlotWindow
 from dewledge.core.pooler.pool.waiter import Demand, Denial, Waiter
 from dewledge.core.pooler.statements.statements import Reply, StatementKind, TransactionState
--- a/tests/core/pooler/test_read_choice.py
+++ b/tests/core/pooler/test_read_choice.py
@@ -7,7 +7,7 @@
 from dewledge.core.pooler.load.report import LoadReport
 from dewledge.core.pooler.pool.connection_pool import Waiter
 from dewledge.core.pooler.sessions.routes import Consistency
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator, load_report_of
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator, load_report_of
 from dewledge.core.pooler.statements.statements import StatementKind
 from dewledge.core.pooler.statements.targets import Proof, targets_by_completion
 from dewledge.core.shared.positions import LogPosition
--- a/tests/core/pooler/test_statement_deadlines.py
+++ b/tests/core/pooler/test_statement_deadlines.py
@@ -3,7 +3,7 @@
 import math
 import unittest
 
-from dewledge.core.pooler.load.choice import Completion
+from dewledge.core.pooler.load.database_order import Completion
 from dewledge.core.pooler.load.ticket import Ticket
 from dewledge.core.pooler.load.wait_deadlines import WaitDeadlines
 from dewledge.core.pooler.pool.database_connection import DatabaseConnection
--- a/tests/platform/test_pooler_process.py
+++ b/tests/platform/test_pooler_process.py
@@ -9,7 +9,7 @@
 import unittest
 import urllib.request
 
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator
 from dewledge.platform.adapter import build_adapter
 from dewledge.pooler_settings import LoadSettings, PoolerSettings, PoolerTimings
 from dewledge.shell.pooler.pooler_process import PoolerProcess
--- a/tests/platform/test_sharing_links.py
+++ b/tests/platform/test_sharing_links.py
@@ -26,7 +26,7 @@
     decode,
     encode,
 )
-from dewledge.core.pooler.statements.read_choice import CompletionEstimator
+from dewledge.core.pooler.statements.completion_estimate import CompletionEstimator
 from dewledge.core.pooler.statements.statements import Statement, StatementKind
 from dewledge.platform.wire_codec import WireDatabaseCodec
 from dewledge.shell.pooler.links.channel_server import ChannelServer
