--- a/src/dewledge/core/pooler/rate_limits/__init__.py
+++ b/src/dewledge/core/pooler/rate_limits/__init__.py
@@ -4,8 +4,8 @@
 with votes is a grantor: it hands out the tokens that operations of the slot's callers need to
 begin. `limits` divides a caller's limit between processes. The other modules, by where they run:
 
-- in the process that receives an operation: `admission`, `gate`, `token_wait`, `token_reservations`;
-  without a grantor also `local_allowances`, `local_allowance`;
+- in the process that receives an operation: `admission`, `gate`, `token_wait`,
+  `token_reservations`; without a grantor also `local_allowances`, `local_allowance`;
 - in every process, to choose which process to ask and vote for: `slots`, `slot_voters`, `voter`,
   `vote_binding`, `candidate_answers`, `grantor_search`, `previous_votes`; the messages are in
   `questions` and `messages`;
