--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -15,7 +15,7 @@
     (holders, "MIN_HOLDERS", 1),
     (holders, "CONNECTIONS_PER_HOLDER", 99),
     (readers, "MAX_PROCESSES_ALL_READING", 1),
-    (readers, "READERS", 1),
+    (readers, "READER_COUNT", 1),
 )
 """So that four processes share as hundreds would."""
 
