--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -1,8 +1,8 @@
 """Sends claims (the lock rows of groups) to other processes and acknowledges claims of others.
 
 Claims and acknowledgements travel as datagrams. If the holder of a claim has not sent it to this
-process directly, the acknowledgement is written to the store as a row instead. What follows from
-acknowledgements is decided in core/pooler/failover/claim_acknowledgements.py; leases are renewed in
+process directly, the acknowledgement is written to the store as a row instead. The rules for
+acknowledgements are in core/pooler/failover/claim_acknowledgements.py; leases are renewed in
 lease_confirmations.py. All methods run on the loop's thread, except `_write_acknowledgement`, which
 runs on the executor.
 """
@@ -43,7 +43,7 @@
         self._events = context.claim_events
         self._confirmations = LeaseConfirmations(context, members, peers, self._send_claim)
         self._acknowledged_tokens: dict[str, int] = {}
-        """Fencing token of the claim last acknowledged to its holder by datagram, by group."""
+        """For each group, the fencing token last acknowledged to the claim's holder by datagram."""
         self._acknowledgement_versions: dict[str, int] = {}
         """Versions of this process's acknowledgement rows in the store, by key; 0 if removed."""
         self._stopped = False
@@ -62,7 +62,10 @@
         self._confirmations.stop()
 
     def store_confirmed(self, at: float) -> None:
-        """Confirms all leases: at time `at`, the store held no claim unknown to this process."""
+        """Confirms all leases if this process is registered in the member table.
+
+        `at`: time at which the store held no claim unknown to this process.
+        """
         self._confirmations.store_confirmed(at)
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -96,7 +96,10 @@
         self._context.loop.post(report)
 
     def _promote(self, group: str, effect: Promote) -> None:
-        """Calls the promotion API; produces no event if the call is too late or gets no answer."""
+        """Calls the promotion API and reports its answer as an event.
+
+        Sends no call after the effect's deadline (`not_after`), and no event without an answer.
+        """
         if self._promotions is None:
             return
         if self._context.loop.now() >= effect.not_after:
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -1,9 +1,10 @@
 """Runs the failover state machines of all groups: passes in events and carries out the effects.
 
 Also selects the judges of each group: the processes that decide whether its primary is lost.
-FailoverCalls serves the effects on store and platform, DatabaseRequests the requests to databases,
-IndirectProbes the test connections, ClaimEvents the exchange of claims. All methods run on the
-loop's thread.
+FailoverCalls carries out the effects that need the store or the platform, DatabaseRequests the
+requests to databases, IndirectProbes the test connections. Claims are exchanged with other
+processes through ClaimEvents, to which ClaimKeeper subscribes. All methods run on the loop's
+thread.
 """
 
 from collections.abc import Callable, Sequence
@@ -50,7 +51,7 @@
 TICK_INTERVAL_SECONDS = 0.05
 """Seconds between ticks of a group whose failover is active or whose primary is suspected."""
 STEADY_TICKS = 20
-"""Ticks of the driver for each tick of a group whose primary is not suspected."""
+"""Ticks of the driver for each tick of a group without an active failover or suspected primary."""
 
 
 class FailoverDriver:
@@ -91,7 +92,10 @@
         self._stopped = True
 
     def doubt(self, group: str, database_id: str) -> None:
-        """Reports a suspected database: statement or connection failed, or a process asked."""
+        """Handles a report that a database may be unreachable.
+
+        Sent after a failed statement or connection, or when another process asks for a probe.
+        """
         self._handle(group, PrimarySuspected(database_id))
 
     def take_rows(self, rows: Sequence[StoreRow]) -> None:
@@ -116,7 +120,7 @@
         self._handle(group, acknowledgement)
 
     def take_registered(self, registered: RegisteredProcesses) -> None:
-        """Stores the names of the processes that have rows in the store."""
+        """Remembers which processes have rows in the member table, as last read from the store."""
         self._registered = registered
 
     def take_answer(self, answer: IndirectProbeAnswer) -> None:
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -1,8 +1,8 @@
 """Opens test connections to databases, for this process and on request of other processes.
 
 An indirect probe is a test by another process. It distinguishes a network partition between this
-process and a database from the loss of the database. Requests and answers are single datagrams and
-are not repeated here. ReachLimit adapts the timeout to observed connection times.
+process and a database from the loss of the database. Each request and each answer is one datagram,
+which this module never resends. ConnectTimeout adapts the timeout to observed connection times.
 """
 
 import socket
--- a/src/dewledge/shell/pooler/failover/lease_confirmations.py
+++ b/src/dewledge/shell/pooler/failover/lease_confirmations.py
@@ -2,7 +2,7 @@
 
 Sends and answers the confirmation requests and logs expired leases;
 core/pooler/failover/quorum_confirmation.py decides what answers confirm. A confirmation by the
-store counts only while this process has a row in the members' table, because holders of claims wait
+store counts only while this process has a row in the member table, because holders of claims wait
 only for processes with a row. All methods run on the loop's thread.
 """
 
@@ -21,7 +21,7 @@
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
 TICK_INTERVAL_SECONDS = 0.1
-"""Seconds between checks of the age of confirmations."""
+"""Seconds between checks whether leases need a confirmation or have expired."""
 
 
 class LeaseConfirmations:
@@ -57,7 +57,10 @@
         self._stopped = True
 
     def store_confirmed(self, at: float) -> None:
-        """Confirms all leases: at time `at`, the store held no claim unknown to this process."""
+        """Confirms all leases if this process is registered in the member table.
+
+        `at`: time at which the store held no claim unknown to this process.
+        """
         if self._members.is_registered:
             self._leases.confirm_all(at)
             for group in self._groups.values():
--- a/src/dewledge/shell/pooler/observing/event_log.py
+++ b/src/dewledge/shell/pooler/observing/event_log.py
@@ -1,6 +1,7 @@
 """Writes typed events as log lines and counts them in the metrics.
 
-The name of an event in the log is derived from its class name. LogWriter bounds the lines.
+The name of an event in the log is derived from its class name. LogWriter limits the number of
+lines.
 """
 
 import sys
@@ -18,6 +19,7 @@
     from loguru import Message
 
 PLAIN_EVENTS = frozenset({"statement_answered", "wait_refused", "waits_counted"})
+"""Names of frequent events, whose lines LogWriter limits more strictly than others."""
 
 
 class EventLog:
@@ -50,7 +52,10 @@
 
 
 def send_log_to(level: str, stream: TextIO | None = None) -> LogWriter:
-    """Logs from `level` up to a stream, by default standard output, through a started LogWriter."""
+    """Sends log lines of `level` and higher to a stream, by default standard output.
+
+    Returns the LogWriter that buffers the lines; its thread is already running.
+    """
     writer = LogWriter(stream or sys.stdout)
 
     def write(message: "Message") -> None:
--- a/src/dewledge/shell/pooler/observing/log_writer.py
+++ b/src/dewledge/shell/pooler/observing/log_writer.py
@@ -12,11 +12,11 @@
 from typing import TextIO
 
 MAX_BUFFERED_LINES = 4000
-"""Lines in the buffer from which every new line is dropped."""
+"""Lines: when the buffer holds this many, every new line is dropped."""
 MAX_BUFFERED_PLAIN_LINES = 2000
-"""Lines in the buffer from which new plain lines are dropped."""
+"""Lines: when the buffer holds this many, new plain lines are dropped."""
 PLAIN_LINES_PER_SECOND = 400
-"""Lines: rate limit of plain lines."""
+"""Lines: plain lines accepted in one second; further ones are dropped."""
 WRITE_INTERVAL_SECONDS = 0.2
 """Seconds between writes to the stream."""
 
--- a/src/dewledge/shell/pooler/observing/pooler_metrics.py
+++ b/src/dewledge/shell/pooler/observing/pooler_metrics.py
@@ -25,9 +25,9 @@
 """Media type of the result of `PoolerMetrics.render`."""
 
 WITHIN_QUARTER_FACTOR = 1.25
-"""Factor between expected and actual duration up to which they count as within a quarter."""
+"""Factor: largest ratio of the longer to the shorter duration for Accuracy.WITHIN_QUARTER."""
 WITHIN_TWICE_FACTOR = 2.0
-"""Factor between expected and actual duration up to which they count as within twice."""
+"""Factor: largest ratio of the longer to the shorter duration for Accuracy.WITHIN_TWICE."""
 MIN_COMPARED_MS = 5
 """Milliseconds to which shorter durations are raised before they are compared, because rounding
 alone makes such durations differ by large factors."""
@@ -36,7 +36,8 @@
 class Accuracy(StrEnum):
     """Difference between the expected and the actual duration of a statement.
 
-    WITHIN_QUARTER: at most a quarter of the shorter one. WITHIN_TWICE: at most a factor of two.
+    WITHIN_QUARTER: the longer duration is at most 1.25 times the shorter. WITHIN_TWICE: at most
+    twice the shorter. BEYOND: more than twice.
     """
 
     WITHIN_QUARTER = "within_quarter"
@@ -107,7 +108,10 @@
         self._gauges.append(_Gauge(f"dewledge_{name}", description, read))
 
     def observe_statement(self, event: StatementAnswered) -> None:
-        """Counts an answered statement, its duration and its attempts."""
+        """Counts an answered statement, its duration and its attempts.
+
+        If it was done at the first attempt, also counts the accuracy of its expected duration.
+        """
         self._statements[StatementLabels(event.kind, event.consistency, event.outcome)] += 1
         labels = DurationLabels(event.kind, event.consistency)
         durations = self._durations.setdefault(labels, _Durations())
--- a/src/dewledge/shell/pooler/observing/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -27,7 +27,7 @@
 
 
 Gauge = tuple[str, str, Callable[[MeasuredParts], float]]
-"""Name, description and function that returns the value."""
+"""Definition of a gauge: its name, its description and a function that returns its value."""
 
 
 def _sum_of_pools(parts: MeasuredParts, read: Callable[[ConnectionPool], int]) -> int:
--- a/src/dewledge/shell/pooler/observing/status_pages.py
+++ b/src/dewledge/shell/pooler/observing/status_pages.py
@@ -1,4 +1,4 @@
-"""Serves readiness and metrics of a process over HTTP, on an address each."""
+"""Serves readiness and metrics of a process over HTTP, each at its own address."""
 
 from collections.abc import Callable
 
--- a/src/dewledge/shell/pooler/observing/wait_gauges.py
+++ b/src/dewledge/shell/pooler/observing/wait_gauges.py
@@ -1,6 +1,6 @@
 """Gauges about waits for databases and the use of their slots, summed over all pools of a process.
 
-Their number is fixed, independent of the number of databases. Sums are computed at each scrape.
+The number of gauges does not depend on the number of databases. Sums are computed at each scrape.
 """
 
 from collections.abc import Callable, Mapping
