--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -13,7 +13,7 @@
 from dewledge.shell.shared.sockets import KeepAlive, family_of, parse_address, tune_link
 
 READ_BYTES = 64 * 1024
-"""Bytes read from a connection in one turn of the loop."""
+"""Bytes read from a connection in one iteration of the event loop."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
 """Bytes buffered for one connection; beyond them the peer reads too slowly and is disconnected."""
 CLOSE_LINGER_SECONDS = 1.0
@@ -132,7 +132,8 @@
 
 
 class Connecting:
-    """An attempt to connect within `limit` seconds; calls `connected` or `failed` once."""
+    """An attempt to connect within `limit` seconds. Calls `connected` or `failed` once, unless
+    cancelled."""
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -1,8 +1,9 @@
 """Opens channels: connections to databases through the processes that hold them.
 
 Channels are multiplexed on the links of `outgoing_links` and numbered within this process. A
-channel ends with its link. When the health of a holder changes, its channels are marked as retiring
-or usable again, so that new statements avoid a holder that does not reply.
+channel ends with its link. The channels of a holder that does not reply are marked as retiring, so
+that new statements are not sent on them. If holders are probed, the mark is removed once the holder
+is usable again.
 """
 
 import itertools
@@ -36,8 +37,8 @@
     """Receives the positions and load reports that holders attach to replies."""
 
     def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
-        """Records a position proven for a database's group at the time `true_at` (steady clock,
-        seconds)."""
+        """Records that the group of a database had reached `position` at the time `true_at` (steady
+        clock, seconds)."""
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
         """Records the load of a database, as reported by the holder at this address."""
@@ -61,9 +62,9 @@
             links.watch_health(self._retire_silent)
 
     def open(self, request: OpenRequest, addresses: Sequence[str]) -> None:
-        """Opens a channel through the first usable process.
+        """Opens a channel through the first usable holder of `addresses`.
 
-        Unusable processes are skipped; those whose probe is due are dialled in the background.
+        Unusable holders are skipped; a probe is started to those for which one is due.
         """
         usable = [address for address in addresses if self._is_usable(address)]
         if not usable:
@@ -90,7 +91,7 @@
         return link.is_usable
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """Handles replies and the ends of channels."""
+        """Handles a reply on a channel, or the notice that the holder has ended a channel."""
         channels = self._channels.get(link, {})
         if isinstance(message, ChannelReply):
             channel = channels.get(message.channel)
@@ -129,7 +130,8 @@
             channel.connection.is_retiring = True
 
     def _on_health_changed(self, link: OutgoingLink) -> None:
-        """Informs the connections on a link that the state of its holder has changed."""
+        """Updates the retiring mark of the connections on a link and reports the holder's state to
+        them."""
         for channel in list(self._channels.get(link, {}).values()):
             channel.connection.is_retiring = not link.is_usable
             channel.connection.on_holder_state(link.health.state)
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -1,7 +1,8 @@
 """Lends database connections of this process to other processes, over links that they dial.
 
 Each link carries numbered channels. A `ChannelSession` of `core/pooler/sharing` executes the
-statements of a channel. Requests to follow the store's tables are passed to a callback.
+statements of a channel. Requests of other processes for changes of the store's tables are passed to
+a callback.
 """
 
 import socket
@@ -34,9 +35,9 @@
 from dewledge.shell.shared.sockets import listen_tcp
 
 ACCEPT_BATCH = 32
-"""Links accepted in one turn of the loop."""
+"""Links accepted in one iteration of the event loop."""
 MAX_CHANNELS = 2048
-"""Channels open on one link; further ones are refused."""
+"""Channels open on one link; requests for further ones are refused."""
 MAX_REPORTED_DATABASES = 256
 """Databases per link whose last load report is remembered. Beyond them, all are forgotten, and the
 load of each database is reported again with its next reply."""
@@ -75,7 +76,7 @@
 
     @property
     def at_rest(self) -> bool:
-        """Whether no other process has a statement or an open transaction here."""
+        """Whether no channel has a waiting or running statement or an open transaction."""
         return all(link.at_rest for link in self._links)
 
     def start(self) -> None:
@@ -83,7 +84,7 @@
         self._loop.watch(self._listener, READABLE, self._accept)
 
     def leave(self) -> None:
-        """Asks the processes at the other ends to start no new work on their links."""
+        """Asks the connected processes to start no new work on their links."""
         for link in self._links:
             link.send(Leaving())
 
@@ -145,7 +146,8 @@
 
     @property
     def at_rest(self) -> bool:
-        """Whether no channel has a statement or an open transaction."""
+        """Whether no channel of this link has a waiting or running statement or an open
+        transaction."""
         return all(session.is_idle for session in self._channels.values())
 
     def send(self, message: PeerLinkMessage) -> None:
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -1,7 +1,7 @@
 """Accepts the connections of clients and creates a session for each.
 
-A connection is the transport of its `ClientSession`. Refused logins are answered after a delay that
-`FailedLoginThrottle` decides, so that clients without a valid key cannot overload the process.
+A connection is the transport of its `ClientSession`. `FailedLoginThrottle` limits the rate at which
+refused logins are answered, so that clients without a valid key cannot overload the process.
 """
 
 import contextlib
@@ -23,10 +23,10 @@
 from dewledge.shell.shared.sockets import accept_waiting, bound_address
 
 ACCEPT_BATCH = 64
-"""Connections accepted in one turn of the loop."""
+"""Connections accepted in one iteration of the event loop."""
 
 _THROTTLED_CODES = frozenset({ErrorCode.UNAUTHENTICATED, ErrorCode.UNKNOWN_GROUP})
-"""Refusals that an immediate retry would only repeat; `FailedLoginThrottle` delays them."""
+"""Error codes whose refusals `FailedLoginThrottle` delays; an immediate retry would fail again."""
 
 
 class ClientConnection:
--- a/src/dewledge/shell/pooler/links/database_opener.py
+++ b/src/dewledge/shell/pooler/links/database_opener.py
@@ -1,7 +1,7 @@
 """Opens connections to databases, directly or through processes that hold connections.
 
 `DirectOpener` dials databases itself. `SharingOpener` opens channels through holders; if no holder
-can be reached, it keeps at most `FALLBACK_CONNECTIONS` direct connections to each database.
+can be reached, it opens direct connections, at most `FALLBACK_CONNECTIONS` to each database.
 """
 
 import socket
@@ -24,9 +24,9 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 CONNECT_TIMEOUT_SECONDS = 0.6
-"""Time limit for a database to accept a connection."""
+"""Seconds that a database may take to accept a connection."""
 STARTUP_TIMEOUT_SECONDS = 1.5
-"""Time limit from an accepted connection to the reply to its startup message."""
+"""Seconds from an accepted connection to the reply to its startup message."""
 
 
 class DirectOpener:
@@ -121,7 +121,10 @@
         self._channels.open(through_holders, addresses)
 
     def _dial_without_holders(self, request: OpenRequest) -> None:
-        """Dials directly because no holder can be reached; fails at `FALLBACK_CONNECTIONS`."""
+        """Opens a direct connection because no holder can be reached.
+
+        Fails if `FALLBACK_CONNECTIONS` to the database are already open or being opened.
+        """
         database_id = request.database_id
         if self._fallbacks[database_id] >= FALLBACK_CONNECTIONS:
             request.failed(ErrorCode.CONNECTION_LIMIT)
--- a/src/dewledge/shell/pooler/links/open_request.py
+++ b/src/dewledge/shell/pooler/links/open_request.py
@@ -1,4 +1,4 @@
-"""The request of a pool for a database connection, as passed between openers."""
+"""A pool's request to open a database connection, passed from one opener to the next."""
 
 from collections.abc import Callable
 
--- a/src/dewledge/shell/pooler/links/outgoing_link.py
+++ b/src/dewledge/shell/pooler/links/outgoing_link.py
@@ -1,8 +1,9 @@
 """A link that this process dials to another process, usually a connection holder.
 
 The link reports its traffic to `HolderHealth`, which judges whether the holder is alive. When the
-holder is suspected or silent, requests that wait for the link fail immediately, so that they can go
-to another holder. A link that stays silent is closed; it is dialled again on demand or by a probe.
+holder is suspected or silent (see `HolderState`), requests that wait for the link to open fail
+immediately, so that they can be sent to another holder. A link that stays silent is closed. A probe
+dials it again; under `WITHOUT_PROBES`, the next request after a pause does.
 """
 
 import socket
@@ -18,7 +19,7 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 CONNECT_TIMEOUT_SECONDS = 0.4
-"""Time limit for another process to accept a connection."""
+"""Seconds that another process may take to accept a connection."""
 
 
 class LinkWatcher(Protocol):
@@ -28,7 +29,7 @@
         """Handles a message from the link."""
 
     def lost(self, link: "OutgoingLink") -> None:
-        """Handles the loss of the link; the results of its unanswered statements are unknown."""
+        """Handles the loss of the link. The results of its unanswered statements are unknown."""
 
     def leaving(self, link: "OutgoingLink") -> None:
         """Handles the announcement that the process at the other end will stop: no new work may
@@ -37,13 +38,13 @@
     def judged(self, link: "OutgoingLink", silence: float, lasted: float) -> None:
         """Handles a change of the health state.
 
-        silence: seconds that the holder was silent. lasted: seconds that the previous state
-        lasted.
+        silence: seconds without a sign of life from the holder while a reply was awaited.
+        lasted: seconds that the previous state lasted.
         """
 
 
 class OutgoingLink:
-    """The link to the process at an address, dialled on demand and again after a loss."""
+    """The link to the process at one address, dialled on first use and again after a loss."""
 
     def __init__(
         self,
@@ -80,7 +81,11 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether new work may start on the link."""
+        """Whether new statements may be sent on the link; see HolderHealth.is_usable.
+
+        False from the announcement of the other process that it will stop until the next dial
+        succeeds.
+        """
         return not self._is_leaving and self.health.is_usable(self._loop.now())
 
     def probe(self) -> None:
@@ -91,9 +96,10 @@
                 self._dial()
 
     def when_open(self, opened: Callable[[], None], failed: Callable[[], None]) -> None:
-        """Calls `opened` once the link is connected or `failed` if it is unusable; may dial.
+        """Calls `opened` when the link is connected, or `failed` if the link is not usable.
 
-        `failed` is called as soon as the holder is suspected, even while the dial is in progress.
+        Dials a link that is not connected; if it is not usable, only when a probe is due. `failed`
+        is called as soon as the holder is suspected, even while the dial is in progress.
         """
         if self._stream is not None:
             self._loop.call_later(0.0, opened if self.is_usable else failed)
--- a/src/dewledge/shell/pooler/links/outgoing_links.py
+++ b/src/dewledge/shell/pooler/links/outgoing_links.py
@@ -1,6 +1,7 @@
 """The links that this process dials, by address.
 
-Messages and the loss of links are passed to all users, in the order in which they were added.
+Messages, losses and planned stops of links are passed to all registered `LinkUser` objects, in the
+order in which they were added.
 """
 
 from collections.abc import Callable
@@ -16,7 +17,8 @@
 
 
 class LinkUser(Protocol):
-    """Receives the events of all links; ignores messages of kinds that it does not handle."""
+    """Is notified of the messages, losses and planned stops of all links; ignores messages of types
+    that it does not handle."""
 
     def link_received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
         """Handles a message from a link."""
@@ -29,7 +31,7 @@
 
 
 class OutgoingLinks:
-    """All links that this process has dialled."""
+    """The links from this process to others, one per address. A link is created on first use."""
 
     def __init__(
         self,
@@ -40,7 +42,8 @@
     ) -> None:
         """`record`: called with an event when the state of a holder changes.
 
-        is_judged: whether to probe silent holders and report their state; see LoadPolicy.
+        is_judged: whether a lost holder must answer a probe before it receives statements; False
+        applies `WITHOUT_PROBES`. See `LoadPolicy.silent_holders`.
         """
         self._loop = loop
         self._local_name = local_name
@@ -54,15 +57,15 @@
 
     @property
     def open_count(self) -> int:
-        """The number of connected links."""
+        """The number of links that are connected now."""
         return sum(link.is_open for link in self._links.values())
 
     def count(self, state: HolderState) -> int:
-        """Returns the number of links whose holder is in a state."""
+        """Returns the number of links whose holder has the given state."""
         return sum(link.health.state is state for link in self._links.values())
 
     def add_user(self, user: LinkUser) -> None:
-        """Registers a user that receives the events of all links."""
+        """Registers an object that is notified of the events of all links; see LinkUser."""
         self._users.append(user)
 
     def watch_health(self, judged: Callable[[OutgoingLink], None]) -> None:
@@ -70,7 +73,7 @@
         self._health_watchers.append(judged)
 
     def to(self, address: str) -> OutgoingLink:
-        """Returns the link to an address, which is dialled on first use."""
+        """Returns the link to an address; creates it if there is none, without dialling."""
         link = self._links.get(address)
         if link is None:
             link = OutgoingLink(
@@ -85,22 +88,22 @@
             link.close()
 
     def received(self, link: OutgoingLink, message: PeerLinkMessage) -> None:
-        """See LinkWatcher."""
+        """Passes the message on to all `LinkUser` objects."""
         for user in self._users:
             user.link_received(link, message)
 
     def lost(self, link: OutgoingLink) -> None:
-        """See LinkWatcher."""
+        """Informs all `LinkUser` objects that the link is lost."""
         for user in self._users:
             user.link_lost(link)
 
     def leaving(self, link: OutgoingLink) -> None:
-        """See LinkWatcher."""
+        """Informs all `LinkUser` objects that no new work may start on the link."""
         for user in self._users:
             user.link_retiring(link)
 
     def judged(self, link: OutgoingLink, silence: float, lasted: float) -> None:
-        """See LinkWatcher."""
+        """Records the new health state of the holder as an event and calls the health callbacks."""
         health = link.health
         event = HolderJudged(
             peer=link.address,
--- a/src/dewledge/shell/pooler/links/peer_messages.py
+++ b/src/dewledge/shell/pooler/links/peer_messages.py
@@ -1,7 +1,7 @@
 """Messages between poolers over UDP, in CBOR: probes, claims, confirmations and rate limits.
 
 Fields are encoded by position, so their order must not change. Decoding a message of an unknown
-kind raises ProtocolError.
+type raises ProtocolError.
 """
 
 import cbor2
@@ -42,7 +42,7 @@
 
 
 class ClaimNotice(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Announces the newest claim on a group; the receiver confirms it with a ClaimAnswer."""
+    """Announces the newest claim on a group; the receiver replies with a ClaimAnswer."""
 
     sender: str
     group: str
@@ -50,7 +50,7 @@
 
 
 class ClaimAnswer(msgspec.Struct, frozen=True, array_like=True, tag="known"):
-    """Reports the fencing token of the newest claim on a group that the sender knows."""
+    """Reports the fencing token of the newest claim that the sender has recorded for a group."""
 
     sender: str
     group: str
--- a/src/dewledge/shell/pooler/links/peer_socket.py
+++ b/src/dewledge/shell/pooler/links/peer_socket.py
@@ -1,4 +1,4 @@
-"""A UDP socket for messages between poolers, with one handler per kind of message.
+"""A UDP socket for messages between poolers, with one handler per message type.
 
 Datagrams that cannot be sent or decoded are dropped; senders that need an answer must retry.
 """
@@ -15,10 +15,10 @@
 from dewledge.shell.shared.sockets import bind_udp, format_address, parse_address
 
 READ_BATCH = 64
-"""Datagrams received in one turn of the loop."""
+"""Datagrams received in one iteration of the event loop."""
 
 MessageHandler = Callable[[Any, str], None]
-"""Handles a message of the kind it is registered for; the second argument is the address
+"""Handles a message of the type that it is registered for. The second argument is the address
 ("ip:port") of the sender."""
 
 
@@ -35,7 +35,7 @@
         self._socket, self.address = bind_udp(address)
 
     def on(self, kind: type[msgspec.Struct], handler: MessageHandler) -> None:
-        """Registers the handler for messages of a kind."""
+        """Registers the handler for messages of one type."""
         self._handlers[kind] = handler
 
     def start(self) -> None:
