--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -54,7 +54,7 @@
         self._loop = loop
         self._links = links
         self._channels: dict[OutgoingLink, dict[int, _Channel]] = {}
-        self._numbers = itertools.count(1)
+        self._channel_numbers = itertools.count(1)
         links.add_user(self)
         if links.is_judged:
             links.watch_health(self._on_health_changed)
@@ -78,7 +78,7 @@
         link.when_open(lambda: self._open_channel(link, request), try_next)
 
     def _open_channel(self, link: OutgoingLink, request: OpenRequest) -> None:
-        number = next(self._numbers)
+        number = next(self._channel_numbers)
         channel = _Channel(link, number, request, self._forget, self._loop.now)
         self._channels.setdefault(link, {})[number] = channel
         link.send(ChannelOpened(number, request.database_id, request.caller))
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -137,7 +137,7 @@
         self._max_connections = max_connections
         self._listener = listener
         self.address = bound_address(listener)
-        self._names = itertools.count(1)
+        self._session_numbers = itertools.count(1)
         self._throttle = FailedLoginThrottle()
         self.connections: set[ClientConnection] = set()
 
@@ -161,7 +161,7 @@
                 sock.close()
             logger.bind(open=len(self.connections)).warning("client_turned_away")
             return
-        name = f"s{next(self._names)}"
+        name = f"s{next(self._session_numbers)}"
         connection = ClientConnection(
             self._loop,
             sock,
