--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -60,7 +60,7 @@
         """Binds `address`. Raises OSError on failure.
 
         find: returns the group of a database, None if it is unknown.
-        followed: called with a link whose process asks to follow the store's tables.
+        followed: called with a link whose process asks for changes of the store's tables.
         """
         self._loop = loop
         self._services = services
--- a/src/dewledge/shell/pooler/links/open_request.py
+++ b/src/dewledge/shell/pooler/links/open_request.py
@@ -9,7 +9,7 @@
 
 
 class OpenRequest(msgspec.Struct, frozen=True):
-    """A requested connection and the callbacks that report its progress.
+    """A requested connection and the callbacks that report its result and its end.
 
     Exactly one of `opened` and `failed` is called; after `opened`, `closed` is called when the
     connection ends. caller: the caller whose statements the connection carries, empty for
