--- a/src/dewledge/platform/__init__.py
+++ b/src/dewledge/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter for the users' platform: its wire protocol, row formats and HTTP calls."""
+"""Adapter for the platform that the pooler runs on: wire protocol, row formats, HTTP calls."""
--- a/src/dewledge/platform/adapter.py
+++ b/src/dewledge/platform/adapter.py
@@ -1,4 +1,4 @@
-"""Builds the `PlatformAdapter` for the users' platform.
+"""Builds the `PlatformAdapter` for the platform that the pooler runs on.
 
 Only this module names the store's tables and keys for the configuration and the databases.
 """
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -1,7 +1,7 @@
 """Blocking HTTP clients for the platform's store and its promotion endpoint.
 
 Methods may be called from any thread; `HttpCalls` pools the connections. HTTP statuses are
-converted to StoreError and its subclasses. Calls are not retried here.
+converted to StoreError and its subclasses. Failed calls are not retried here.
 """
 
 import base64
@@ -40,9 +40,8 @@
 RETRY_AFTER_SECONDS = 0.5
 """Seconds to wait after status 429, whose response has no retry time."""
 MAX_ANSWER_SECONDS = 6.0
-"""Seconds for a response whose data keeps arriving. A configuration of 1,400 routes has about
-350 KB, which takes 0.6 s on an idle link of 5 Mbit/s and several times that on a busy one; a
-shorter limit would abort such a transfer, and the next call would start it again."""
+"""Seconds from the start of a read to the end of its response, if data keeps arriving. This may
+exceed the call's timeout, so that a slow link can transfer a large configuration."""
 PAGE_ROWS = 500
 """Rows of a table requested per call."""
 ACCEPTED_STATUS = 200
@@ -90,7 +89,7 @@
         self._calls.change_address(address)
 
     def read_table(self, table: str, limit: float = CALL_TIMEOUT_SECONDS) -> TableRows:
-        """Returns all rows of a table whose part is empty, read page by page.
+        """Returns all rows of a table that have an empty `part` field, read page by page.
 
         limit: timeout in seconds of each page's call.
         """
@@ -105,7 +104,7 @@
             start = answer.rows[-1].tls_key + "\0"
 
     def read_row(self, table: str, key: str) -> StoreRow | None:
-        """Returns one row of a table whose part is empty, None if it does not exist."""
+        """Returns the row with this key and an empty `part` field, None if it does not exist."""
         end_key = key + "\0"
         query = {
             "table": table,
@@ -125,7 +124,10 @@
         return FeedAnswer(tuple(self._store_row(table, row) for row in answer.rows), answer.ver)
 
     def write(self, write: StoreWrite) -> int:
-        """Writes one row if it still has the expected version; returns the new version."""
+        """Writes one row if it still has the expected version; returns the new version.
+
+        Raises StoreConditionFailed if the row has another version.
+        """
         address = {"table": write.table, "part": "", "tlsKey": write.key}
         value = base64.b64encode(write.value).decode()
         body = {
@@ -176,7 +178,10 @@
         self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, options)
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
-        """Requests a promotion; returns False if it was fenced off. Raises StoreError."""
+        """Requests a promotion. Raises StoreError.
+
+        Returns False if the token is outdated or the database is not running.
+        """
         headers = {
             **_JSON,
             "Dewledge-Lease-Holder": holder,
--- a/src/dewledge/platform/wire_codec.py
+++ b/src/dewledge/platform/wire_codec.py
@@ -95,7 +95,10 @@
         return _line("STARTUP", group, user, database_id)
 
     def statement(self, statement: Statement, floor: LogPosition | None) -> bytes:
-        """Returns a QUERY message; `floor` is the log position required of the database."""
+        """Returns a QUERY message.
+
+        floor: minimum log position that the database must have applied first; None for any.
+        """
         text = format_text(statement)
         if floor is not None:
             text = f"AFTER {floor.term}.{floor.offset} {text}"
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -45,12 +45,12 @@
 from dewledge.shell.shared.event_loop import EventLoop
 
 EXECUTOR_THREADS = 8
-"""Number of threads for blocking calls: one for each of three tables that are watched, the others
-for writes to the store and promotions."""
+"""Number of threads for blocking calls: one for each of the three watched tables, the others for
+writes to the store and promotions."""
 
 
 class LoopScheduler:
-    """Clock and timers of the event loop, in the form that `core` expects."""
+    """Provides the clock and timers of the event loop as a `Scheduler` of `core`."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.now = loop.now
@@ -193,7 +193,8 @@
     if peer_access.fencing is Fencing.PLATFORM:
         tables.add(TABLE, coordination.apply_snapshot, coordination.apply_rows)
         return tables
-    # A claim's holder waits for every process with a row in the table, so it must read their rows.
+    # After writing a claim, the holder waits for acknowledgements from all registered processes,
+    # so it reads the table at once to learn which processes are registered.
     failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
     confirmed = failover.claims.store_confirmed
     tables.add(
--- a/src/dewledge/shell/pooler/coordination_table.py
+++ b/src/dewledge/shell/pooler/coordination_table.py
@@ -32,11 +32,11 @@
         self._claims = claims
 
     def apply_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Applies the whole table; members without a row in it are removed."""
+        """Applies the whole table; other processes without a row in it are removed."""
         self._apply(rows, version, self._members.take_snapshot(rows))
 
     def apply_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Applies rows that changed."""
+        """Applies changed or deleted rows of the table."""
         self._apply(rows, version, self._members.take_rows(rows))
 
     def _apply(self, rows: tuple[StoreRow, ...], version: int, members_changed: bool) -> None:
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -34,7 +34,7 @@
         self._now = services.scheduler.now
 
     def apply_configuration_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
-        """Applies changed rows of the operators' table, and all rows of a snapshot."""
+        """Applies rows of the configuration table: either changed rows or a whole snapshot."""
         for row in rows:
             if row.key == self._platform.configuration_key and not row.gone:
                 self._apply_configuration(row)
@@ -58,7 +58,7 @@
         self._services.notify_if_configured()
 
     def apply_database_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
-        """Applies the whole table of databases; databases without a row in it are removed."""
+        """Applies the whole table of databases; databases without a row are set to draining."""
         present = {row.key for row in rows}
         for group in self._services.groups.values():
             for database_id in list(group.view.databases):
@@ -67,7 +67,7 @@
         self.apply_database_rows(rows, version)
 
     def apply_database_rows(self, rows: tuple[StoreRow, ...], _version: int) -> None:
-        """Applies rows of databases that changed."""
+        """Applies changed or deleted rows of the database table."""
         for row in rows:
             if row.gone:
                 for group in self._services.groups.values():
--- a/src/dewledge/shell/pooler/group_factory.py
+++ b/src/dewledge/shell/pooler/group_factory.py
@@ -18,7 +18,7 @@
 from dewledge.shell.pooler.tables.member_table import ASSUMED_MEMBERS, MemberTable
 
 DRAIN_MARGIN_SECONDS = 2.0
-"""Seconds subtracted from the configured time after which a draining database gets no new work."""
+"""Seconds before the end of `timings.drain_bound` at which a draining database gets no new work."""
 MIN_DRAIN_SECONDS = 1.0
 """Seconds: lower bound of the drain time after the margin is subtracted."""
 
@@ -34,7 +34,10 @@
         opener: SharingOpener,
         direct: DirectOpener,
     ) -> None:
-        """`opener`: for this process's statements; `direct`: for all processes' statements."""
+        """`opener`: opens connections, or channels through holders, for this process's clients.
+
+        direct: opens connections to databases for statements of other processes.
+        """
         self._services = services
         self._leases = leases
         self._opener = opener
@@ -70,7 +73,7 @@
 
 
 class HoldingsUpdater:
-    """Decides for each database whether to hold connections, and how many, or to use holders."""
+    """Determines whether this process holds connections to a database, or which processes do."""
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/known_databases.py
+++ b/src/dewledge/shell/pooler/known_databases.py
@@ -1,4 +1,4 @@
-"""Looks up databases by id across all groups, and finds the route to a database.
+"""Finds databases by id in all groups, and the processes through which a database is reached.
 
 The groups come from the process's map of groups, which `directory` fills from the store's rows.
 """
@@ -39,7 +39,7 @@
             group.record_proof(true_at, position)
 
     def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
-        """Passes a load report from a connection holder to the group; see Group.take_load."""
+        """Passes a connection holder's load report to the group; see Group.record_load_report."""
         group = self.group_of(database_id)
         if group is not None:
             group.record_load_report(database_id, holder, report)
--- a/src/dewledge/shell/pooler/notices.py
+++ b/src/dewledge/shell/pooler/notices.py
@@ -17,10 +17,10 @@
         self.configuration_changed: Listeners[[RouteTable]] = Listeners()
         """A new configuration was applied. Argument: its route table."""
         self.group_changed: Listeners[[str]] = Listeners()
-        """A group's view of its databases changed. Argument: the group's name."""
+        """A database's row was applied to its group. Argument: the group's name."""
         self.members_changed: Listeners[[]] = Listeners()
-        """The set of member processes or one of their addresses changed."""
+        """The members, their addresses or zones changed, or the member table was first read."""
         self.database_suspected: Listeners[[str, str]] = Listeners()
-        """A database did not answer a statement. Arguments: group name, database id."""
+        """A database is unreachable or did not reply. Arguments: group name, database id."""
         self.quota_asked: Listeners[[str, QuotaQuestion]] = Listeners()
-        """The gate requests tokens. Arguments: the grantor's process name, the request."""
+        """The gate sends a request for tokens or a vote. Arguments: receiving process, request."""
--- a/src/dewledge/shell/pooler/planned_stop.py
+++ b/src/dewledge/shell/pooler/planned_stop.py
@@ -20,13 +20,13 @@
 REFUSE_WORK_RATIO = 0.55
 """Ratio of the limit after which new work is refused: it might not finish before the end."""
 END_TRANSACTIONS_RATIO = 0.5
-"""Ratio of the limit that clients have to end their open transactions."""
+"""Ratio of the limit after which idle open transactions are rolled back."""
 END_PROCESS_RATIO = 0.9
 """Ratio of the limit after which the process ends; the rest is for closing its resources."""
 
 
 class Readiness:
-    """Whether this process should receive new connections."""
+    """Records whether a planned stop has begun, and determines whether the process is ready."""
 
     def __init__(self, services: PoolServices) -> None:
         self._services = services
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -34,7 +34,7 @@
 
 
 class PoolerProcess:
-    """A pooler process.
+    """Owns the components of a pooler process, from binding its addresses to a planned stop.
 
     Methods other than `leave` and `reload` must be called on the event loop's thread.
     """
@@ -49,7 +49,7 @@
         """Binds all addresses. Raises OSError if one cannot be bound.
 
         settings_file: reloaded when it changes and by `reload`.
-        client_listener: socket that listens for clients already; created here if None.
+        client_listener: a socket already listening for clients; created here if None.
         """
         self._settings = CurrentSettings(settings, settings_file, platform.store)
         base = ProcessBase(settings, platform)
--- a/src/dewledge/shell/pooler/quota_driver.py
+++ b/src/dewledge/shell/pooler/quota_driver.py
@@ -15,7 +15,10 @@
 
 
 class QuotaDriver:
-    """Drives the gate and the grantor of this process. Call only from the event loop's thread."""
+    """Runs the gate's timer and exchanges requests and answers with the grantors of all processes.
+
+    Call only from the event loop's thread.
+    """
 
     def __init__(
         self,
--- a/src/dewledge/shell/pooler/settings_file.py
+++ b/src/dewledge/shell/pooler/settings_file.py
@@ -32,11 +32,11 @@
         self._loaded_stamp = self._read_stamp()
 
     def has_changed(self) -> bool:
-        """Returns whether the file changed since it was last read."""
+        """Returns whether the file was modified since it was last read."""
         return self._path is not None and self._read_stamp() != self._loaded_stamp
 
     def read(self, current: PoolerSettings) -> PoolerSettings | None:
-        """Returns the new settings, None if no setting changed or the file is invalid."""
+        """Returns the new settings; None if there is no file, it is invalid or nothing changed."""
         if self._path is None:
             return None
         self._loaded_stamp = self._read_stamp()
@@ -71,7 +71,7 @@
     def __init__(
         self, settings: PoolerSettings, path: Path | None, store: AddressableStore
     ) -> None:
-        """`store`: gets the address in the settings after each change of settings."""
+        """`store`: its address is set from the settings after each reload that changed any."""
         self.current = settings
         self._file = SettingsFile(path)
         self._store = store
@@ -84,7 +84,7 @@
             self._store.change_address(changed.store_address)
 
     def reload_if_changed(self) -> None:
-        """Loads the file and applies its changes if it changed since it was last read."""
+        """Calls `reload` if the file was modified since it was last read."""
         if self._file.has_changed():
             self.reload()
 
