--- a/src/dewledge/platform/statement_texts.py
+++ b/src/dewledge/platform/statement_texts.py
@@ -3,7 +3,7 @@
 from dewledge.core.pooler.statements.statements import MalformedInput, Statement, StatementKind
 from dewledge.platform.wire_words import FIXED_TEXTS, READ_KEYWORD, STEP_DOWN_KEYWORD, WRITE_KEYWORD
 
-_ACCESS = {READ_KEYWORD: False, WRITE_KEYWORD: True}
+_IS_WRITE_BY_KEYWORD = {READ_KEYWORD: False, WRITE_KEYWORD: True}
 
 
 def parse_text(statement_id: str, text: str) -> Statement | MalformedInput:
@@ -64,12 +64,12 @@
 
 def _parse_prepare(statement_id: str, arguments: str) -> Statement | None:
     parts = arguments.split(" ", 2)
-    if len(parts) != 3 or parts[1] not in _ACCESS or not parts[0]:
+    if len(parts) != 3 or parts[1] not in _IS_WRITE_BY_KEYWORD or not parts[0]:
         return None
     return Statement(
         statement_id,
         StatementKind.PREPARE,
         name=parts[0],
         argument=parts[2],
-        writes=_ACCESS[parts[1]],
+        writes=_IS_WRITE_BY_KEYWORD[parts[1]],
     )
--- a/src/dewledge/platform/store_client.py
+++ b/src/dewledge/platform/store_client.py
@@ -46,8 +46,8 @@
 """Rows of a table requested per call."""
 ACCEPTED_STATUS = 200
 FENCED_STATUS = 409
-_JSON = {"Content-Type": "application/json"}
-_KEEPALIVE: list[SocketOption] = [
+_JSON_HEADERS = {"Content-Type": "application/json"}
+_KEEPALIVE_OPTIONS: list[SocketOption] = [
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
@@ -81,7 +81,7 @@
         self, address: str, sanitizers: Mapping[str, Callable[[bytes], bytes]] | None = None
     ) -> None:
         """`sanitizers`: by table, a function that removes secrets from each value read."""
-        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, _KEEPALIVE)
+        self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, _KEEPALIVE_OPTIONS)
         self._sanitizers = sanitizers or {}
 
     def change_address(self, address: str) -> None:
@@ -154,7 +154,7 @@
         content = b"" if body is None else json.dumps(body).encode()
         try:
             max_seconds = MAX_ANSWER_SECONDS if method == "GET" else None
-            answer = self._calls.call(method, target, content, timeout, _JSON, max_seconds)
+            answer = self._calls.call(method, target, content, timeout, _JSON_HEADERS, max_seconds)
         except ServerUnreachable as error:
             raise StoreError(f"cannot reach the store: {error}") from error
         except (AnswerMissing, ProtocolError) as error:
@@ -174,7 +174,7 @@
     """
 
     def __init__(self, address: str) -> None:
-        options = [*_KEEPALIVE, (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)]
+        options = [*_KEEPALIVE_OPTIONS, (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)]
         self._calls = HttpCalls(address, CONNECT_TIMEOUT_SECONDS, options)
 
     def promote(self, group: str, database_id: str, holder: str, fencing_token: int) -> bool:
@@ -183,7 +183,7 @@
         Returns False if the token is outdated or the database is not running.
         """
         headers = {
-            **_JSON,
+            **_JSON_HEADERS,
             "Dewledge-Lease-Holder": holder,
             "Dewledge-Fencing-Token": str(fencing_token),
         }
--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -96,9 +96,9 @@
         self.fencing = Fencing.PLATFORM if settings.promotions_fenced else Fencing.PROCESSES
         # With fencing by processes, a restart must change this process's row.
         start = secrets.token_hex(4) if self.fencing is Fencing.PROCESSES else ""
-        own_member = Member(settings.peer_address, settings.zone, start)
+        local_member = Member(settings.peer_address, settings.zone, start)
         self.leases = PrimaryLeases(self.fencing)
-        self.members = MemberTable(settings.name, own_member, base.platform.store)
+        self.members = MemberTable(settings.name, local_member, base.platform.store)
         detects_silent_holders = settings.load.policy.silent_holders
         self.links = OutgoingLinks(loop, settings.name, base.log.record, detects_silent_holders)
         self.channels = ChannelClient(loop, self.links, base.databases)
