--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -1,6 +1,6 @@
-"""One cached table of the store: its rows, when it was last confirmed current, and its deltas.
+"""A cached table of the store, and the time at which it was last confirmed to match the store.
 
-`table_cache` holds the rows and computes the delta that a follower lacks.
+`core/pooler/sharing/table_cache` holds the rows and computes the delta that a follower lacks.
 """
 
 from collections.abc import Callable
@@ -19,8 +19,8 @@
 NEVER = -1e9
 """Seconds of the monotonic clock, earlier than any reading of it."""
 FOLLOWED_SLACK_SECONDS = 0.7
-"""Added to the wait before a confirmation is too old. Covers the hops from the reader to the last
-follower, which pass a confirmation on at once."""
+"""Added to `wait_seconds` for the maximum age of a confirmation. Covers the links from the reader
+to the last follower; each process on the way forwards a confirmation at once."""
 LARGE_BYTES = 128 * 1024
 """Maximum compressed size of a change that is sent to followers unless they ask for large ones.
 Larger changes are read from the store: sending them to all followers would saturate the link."""
@@ -51,7 +51,7 @@
         self._cache = TableCache()
         self._last_change = -1
         self._lacks_removals = False
-        """Whether cached rows were removed from the store and it is not known which."""
+        """Whether the cache holds rows that were removed from the store, without knowing which."""
         self._packed: dict[str, StoreRow] = {}
         self._on_confirmed = confirmed
         self._on_snapshot = snapshot
@@ -84,7 +84,8 @@
     def take(self, delta: TableDelta, confirmed_at: float) -> bool:
         """Applies a delta from the store or a source.
 
-        Returns whether it had rows or was the first one; an older version than cached is ignored.
+        Ignores an older version than the cached one. Returns whether the delta had rows or was the
+        first to be applied.
         """
         if delta.version < self._cache.version:
             return False
@@ -131,7 +132,7 @@
     def take_news(self, news: TableNews, answered_at: float) -> bool:
         """Applies a source's answer, sent at `answered_at` or later.
 
-        Returns as `take`. Raises ProtocolError if a value cannot be unpacked.
+        Result as in `take`. Raises ProtocolError if a value cannot be unpacked.
         """
         rows = tuple(_with_value(row, unpack_value(row.value)) for row in news.delta.rows)
         delta = msgspec.structs.replace(news.delta, rows=rows)
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -32,7 +32,8 @@
 class _WriteOutcome(Enum):
     """Outcome of one attempt to write this process's row.
 
-    REFUSED: the row was not written. IN_DOUBT: it may have been, so it must be read back.
+    REFUSED: the row was not written. IN_DOUBT: the row may have been written, or the stored row has
+    another version than expected; the row must be read before the next attempt.
     """
 
     DONE = auto()
@@ -71,7 +72,7 @@
         return len(self.members) if self.is_known else ASSUMED_MEMBERS
 
     def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
-        """Applies the whole table, removing processes without a row. Returns as `take_rows`."""
+        """Applies the whole table, removing processes without a row. Result as in `take_rows`."""
         before = self._localities()
         self.members = {self._local_name: self._local_member}
         self._local_row = None
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -1,8 +1,8 @@
 """Long-polls another process (the source) for changes of the store's tables.
 
-One request is in flight at a time. Each answer carries the age of the source's last confirmation
-that a table was current; this process adds no more than the time since it sent the request. If the
-source does not answer, or its confirmation is too old, the follower switches to the next source.
+At most one request is in flight. An answer states, for each table, the time since the source last
+confirmed that its copy matches the store; the follower adds the network round trip to that age. If
+the source does not answer, or its confirmation is too old, the follower switches to the next one.
 While a table's confirmation is too old, this process also reads the store itself.
 """
 
@@ -27,27 +27,30 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 ANSWER_TIMEOUT_SECONDS = 1.1
-"""Without an answer; longer than a source holds a request (HOLD_SECONDS of the publisher)."""
+"""Maximum wait for an answer before the next source is asked. Must be longer than a source holds a
+request (HOLD_SECONDS in `table_publisher`)."""
 MAX_ANSWER_GAP_SECONDS = 0.5
-"""Between two received pieces of one answer; a longer gap counts as no answer."""
+"""Maximum pause in the data received on the link while an overdue answer is still awaited."""
 MAX_ANSWER_SECONDS = 4.0
-"""For an answer that is still being received. Large enough for a slow link that several followers
-share: asking another source during the transfer would send the same large change twice."""
+"""Maximum wait for an answer while the link still receives data. Large enough for a slow link that
+several followers share: asking another source during the transfer would send the same large change
+twice."""
 MAX_SWITCH_PAUSE_SECONDS = 0.3
 """Maximum pause before the next source is asked; randomised."""
 MAX_WITHHELD_DELAY_SECONDS = 0.2
 """Maximum random delay before a large change is read from the store, to spread the reads."""
 WITHHELD_PAUSE_SECONDS = 0.5
-"""Before the source is asked again after it withheld a large change."""
+"""Pause before the source is asked again after it withheld a large change."""
 LARGE_CHANGE_TIMEOUT_SECONDS = 1.5
-"""After this, a large change that could not be read from the store is requested from the source."""
+"""Time after the source first withheld a large change until the follower requests that change from
+the source, if it could not be read from the store before."""
 CONFIRMATION_CHECK_INTERVAL_SECONDS = 0.2
-"""Between two checks of the age of the confirmations."""
+"""Interval between two checks of the age of the confirmations."""
 MIN_STORE_READ_INTERVAL_SECONDS = 0.5
-"""Minimum mean interval between two reads of the store by this process while a table's confirmation
-is too old."""
+"""Minimum mean interval between two rounds of reads from the store by this process. A round reads
+every table whose confirmation is too old."""
 MAX_STORE_READS_PER_SECOND = 100.0
-"""Upper bound on reads of one table by all processes together."""
+"""Maximum mean rate at which all processes together read a table whose confirmation is too old."""
 
 
 class TableFollower:
--- a/src/dewledge/shell/pooler/tables/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -16,12 +16,12 @@
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
 HOLD_SECONDS = 0.9
-"""Longest hold of a request before an answer without changes; must be below the time a follower
+"""Maximum time before a request is answered without changes; must be below the time a follower
 waits for an answer (ANSWER_TIMEOUT_SECONDS in `table_follower`)."""
 
 
 class HeldRequest(msgspec.Struct, frozen=True):
-    """A follower's request without an answer and when it arrived (monotonic clock, seconds)."""
+    """A follower's unanswered request and when it arrived (monotonic clock, seconds)."""
 
     question: FollowTables
     came_at: float
@@ -39,7 +39,7 @@
         """When each table was confirmed, as of the last answer on a link (monotonic, seconds)."""
 
     def handle_request(self, link: IncomingLink, request: FollowTables) -> None:
-        """Answers at once if a table changed or was confirmed since the last answer, else later."""
+        """Answers the request if the follower lacks rows or a newer confirmation, else holds it."""
         held = HeldRequest(request, self._loop.now())
         if self._has_news(request) or self._has_newer_confirmation(link, request):
             self._answer(link, held)
@@ -84,8 +84,8 @@
     def _has_newer_confirmation(self, link: IncomingLink, request: FollowTables) -> bool:
         """Returns whether a table was confirmed after the last answer on this link.
 
-        If the follower had to wait for the next confirmation, the one it has would be too old by
-        then.
+        Such a confirmation is sent at once: the previous one, which the follower has, could become
+        too old before the next.
         """
         answered = self._answered_confirmations.get(link)
         if answered is None:
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -36,13 +36,14 @@
 """Ratio of a store call's wait to the configuration's propagation bound; the rest leaves time to
 detect a call that the store never answers."""
 URGENT_WAIT_SECONDS = 1.0
-"""For tables whose followers need a shorter wait: their data is older by one request."""
+"""Wait for a change of a table that must be confirmed more often than by default; a follower's copy
+is older than the reader's by one request."""
 START_SECONDS = 1.0
-"""Processes that start together are expected to register within this. Until then a process in a
+"""Time in which processes that start together are expected to register. Until then a process in a
 small cluster watches only the members table and reads the other tables once, since it may turn out
 to be a follower."""
 LEASE_WAIT_SECONDS = 0.9
-"""For a call that waits for a change of a table whose confirmations primary leases depend on."""
+"""Wait for a change of the table whose confirmations primary leases depend on."""
 
 
 class StoreCalls(msgspec.Struct, frozen=True):
@@ -163,7 +164,7 @@
             self.members_changed()
 
     def read_soon(self, table: str) -> None:
-        """Schedules an immediate read of a table, when its followed copy may lag behind."""
+        """Schedules an immediate read of a table whose cached copy may be older than the store."""
         self._read_store(table)
 
     def _region_of(self, zone: str) -> str:
--- a/src/dewledge/shell/pooler/tables/table_watcher.py
+++ b/src/dewledge/shell/pooler/tables/table_watcher.py
@@ -27,13 +27,13 @@
 MAX_RETRY_PAUSE_SECONDS = 1.5
 """Upper limit of the pause after failed calls."""
 STALE_READ_PAUSE_SECONDS = 0.2
-"""After a read that returned an older version than is already known."""
+"""Pause after a read that returned an older version than one already seen."""
 FIRST_READ_TIMEOUT_SECONDS = 0.5
 """Timeout of a read of the whole table before any version of it is known."""
 FIRST_READ_PAUSE_SECONDS = 0.15
 """Maximum pause after a failed first read; short, as a process cannot serve without the table."""
 FEED_PAUSE_SECONDS = 0.1
-"""Between two calls of the change feed after one that returned rows, to batch changes."""
+"""Pause after a call of the change feed that returned rows, to batch further changes."""
 
 DeltaCallback = Callable[[TableDelta, float], None]
 """Receives a delta and a time at which it was known to be current (monotonic clock, seconds)."""
