--- a/src/dewledge/shell/shared/event_loop.py
+++ b/src/dewledge/shell/shared/event_loop.py
@@ -37,7 +37,7 @@
         return self.due < other.due
 
     def cancel(self) -> None:
-        """Keeps the callback from being called."""
+        """Prevents the callback from being called."""
         self.callback = None
 
 
--- a/src/dewledge/shell/shared/frames.py
+++ b/src/dewledge/shell/shared/frames.py
@@ -11,7 +11,7 @@
 _LENGTH = struct.Struct(">I")
 HEARTBEAT_FRAME = _LENGTH.pack(0)
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Maximum size of one encoded message."""
+"""Maximum size of the encoded message in a frame."""
 
 
 def frame_of(body: bytes) -> bytes:
--- a/src/dewledge/shell/shared/http_connection.py
+++ b/src/dewledge/shell/shared/http_connection.py
@@ -1,8 +1,8 @@
-"""One caller's HTTP/1.1 connection, persistent and with pipelined requests answered in order.
+"""A persistent HTTP/1.1 connection of a caller; pipelined requests are answered in order.
 
-After a malformed or oversized request the connection answers the earlier requests, then refuses
-that one and closes. It shuts down its writing side first and closes the socket after a delay, so
-that a TCP reset does not destroy an answer that the caller has not read.
+After a malformed or oversized request the connection answers the earlier requests, then sends an
+error response and closes. It shuts down its writing side first and closes the socket after a delay,
+so that a TCP reset does not destroy an answer that the caller has not read.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 from dewledge.shell.shared.http_parser import RequestParser
 
 RECEIVE_BYTES = 32 * 1024
-"""Maximum size of one read from the socket."""
+"""Maximum size of a read from the socket."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 REQUEST_TIMEOUT = 408
 NO_REQUEST = HttpRequest(method="GET", path="", keep_alive=False)
@@ -97,9 +97,9 @@
     # Called by the server.
 
     def close_after_next_answer(self) -> None:
-        """Closes the connection with the next answer that no further request follows.
+        """Closes the connection after the next answer that leaves no further request pending.
 
-        An idle connection stays open until then.
+        An idle connection stays open until it has answered another request.
         """
         self._closes_after_next_answer = True
 
@@ -130,7 +130,7 @@
             self.close_idle()
 
     def close(self) -> None:
-        """Closes at once and calls `on_gone` of each request without an answer."""
+        """Closes the connection at once and calls `on_gone` of each unanswered request."""
         if self.state is ConnectionState.CLOSED:
             return
         self.state = ConnectionState.CLOSED
@@ -176,7 +176,10 @@
             self._plan_flush()
 
     def _dispatch_requests(self) -> None:
-        """Passes requests to the handler up to the in-flight limit, then refuses a faulty one."""
+        """Passes requests to the handler up to the in-flight limit.
+
+        If parsing failed, sends the error response after the last complete request.
+        """
         waiting = self._parser.requests
         while waiting and self._can_accept_request():
             request = waiting.popleft()
--- a/src/dewledge/shell/shared/http_messages.py
+++ b/src/dewledge/shell/shared/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests, responses and JSON refusals; `http_connection` receives and sends them."""
+"""HTTP requests, responses and JSON error bodies; `http_connection` receives and sends them."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -19,7 +19,7 @@
     max_in_flight: pipelined requests of one connection that are handled at the same time;
         reading pauses beyond that.
     max_connections: open connections of the server; further ones are refused.
-    receive_seconds: from the first byte of a request to its last.
+    receive_seconds: maximum time from the first byte of a request to its last.
     idle_seconds: how long a connection may stay open without a request.
     write_stall_seconds: how long sending may make no progress because the caller does not read.
     linger_seconds: how long a closing connection is still read, so that no TCP reset destroys the
@@ -57,7 +57,7 @@
 
 
 class FindingBody(msgspec.Struct, frozen=True):
-    """One finding in a JSON response."""
+    """The JSON form of a Finding, which describes an error in an input."""
 
     place: str
     code: ErrorCode
@@ -102,10 +102,10 @@
 
 
 class Exchange:
-    """One request and the slot of its response in the connection's order.
+    """A request and its response, which the connection sends in the order of the requests.
 
     The handler calls `respond` on the loop's thread; calls after the first do nothing. `on_gone` is
-    called if the connection closes before that.
+    called if the connection closes before `respond` is called.
     """
 
     __slots__ = ("_on_response", "on_gone", "request", "response")
--- a/src/dewledge/shell/shared/http_parser.py
+++ b/src/dewledge/shell/shared/http_parser.py
@@ -1,7 +1,7 @@
 """Parses the byte stream of one connection into HTTP requests and enforces size limits.
 
-Uses httptools. Complete requests are queued in `requests`. The first malformed or oversized request
-sets `fault` and stops parsing, since the start of the next request is unknown.
+httptools does the parsing. Complete requests are queued in `requests`. A malformed or oversized
+request sets `fault` and ends parsing, since the start of the next request is unknown.
 """
 
 from collections import deque
@@ -26,8 +26,8 @@
 class RequestParser:
     """Parses the requests of one connection.
 
-    requests: complete requests not yet removed by the connection, oldest first.
-    fault: the refusal to send before the connection closes, None without an error.
+    requests: complete requests that the connection has not yet removed, in order of arrival.
+    fault: the error response to send before the connection closes, None without an error.
     receiving: whether a request is partially received.
     wants_continue: whether the caller waits for "100 Continue" before it sends the body.
     """
@@ -113,7 +113,7 @@
     # The callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
+        """Resets the state of the parser for the next request."""
         self._start()
 
     def on_url(self, data: bytes) -> None:
@@ -122,7 +122,7 @@
         self._count_header(len(data))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Checks a complete header line, or a trailer line after a chunked body."""
+        """Processes a complete header line, or a trailer line after a chunked body."""
         self._count_header(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES)
         lowered = name.lower()
         if lowered == b"authorization":
--- a/src/dewledge/shell/shared/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -15,11 +15,11 @@
 from dewledge.shell.shared.sockets import accept_waiting, listen_tcp
 
 SWEEP_SECONDS = 1.0
-"""Between two checks of the timeouts of all connections."""
+"""Interval between two checks of the timeouts of all connections."""
 ACCEPT_BATCH = 64
 """Connections accepted at most per event of the listener."""
 ACCEPT_PAUSE_SECONDS = 0.1
-"""After a failed accept, for instance when file descriptors are exhausted."""
+"""Pause after a failed accept, for instance when file descriptors are exhausted."""
 SERVICE_UNAVAILABLE = 503
 
 
@@ -53,7 +53,7 @@
         self._sweep_timer = self._loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def leave(self) -> None:
-        """Closes each connection with its next answer; still accepts new connections."""
+        """Closes each connection after its next answer; still accepts new connections."""
         self._leaving = True
         for connection in self._connections:
             connection.close_after_next_answer()
--- a/src/dewledge/shell/shared/log.py
+++ b/src/dewledge/shell/shared/log.py
@@ -22,7 +22,7 @@
 
 
 def format_line(record: "Record") -> str:
-    """Returns the log line of one event without a newline."""
+    """Returns the key=value line of a log record, without a newline."""
     fields: dict[str, object] = {
         "time": record["time"].strftime("%Y-%m-%dT%H:%M:%S.%f%z"),
         "level": record["level"].name.lower(),
--- a/src/dewledge/shell/shared/sockets.py
+++ b/src/dewledge/shell/shared/sockets.py
@@ -7,7 +7,7 @@
 import msgspec
 
 LISTEN_BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Connections that may be queued by the kernel until they are accepted."""
 
 
 class KeepAlive(msgspec.Struct, frozen=True):
@@ -23,7 +23,7 @@
 
 
 BETWEEN_PROXIES = KeepAlive(idle_seconds=5, interval_seconds=2, probes=3)
-"""Detects a dead peer after 11 s: idle time plus three probe intervals."""
+"""Detects a dead peer proxy after 11 s: idle time plus three probe intervals."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
