--- a/tests/platform/test_member_table.py
+++ b/tests/platform/test_member_table.py
@@ -1,4 +1,4 @@
-"""Members as the store's rows tell, and the own registration under each fault."""
+"""The member table follows the rows of the store; registration survives failures of the store."""
 
 import threading
 import unittest
--- a/tests/platform/test_table_publisher.py
+++ b/tests/platform/test_table_publisher.py
@@ -1,4 +1,4 @@
-"""Word on the store's tables goes on at once, and is no older for having waited for it."""
+"""Followers switch sources and read the store in time; new confirmations are sent at once."""
 
 import unittest
 from typing import Any
@@ -54,7 +54,7 @@
 
 class DoubtTest(unittest.TestCase):
     def reads(self, members: int, seconds: float, is_known: bool = True) -> list[float]:
-        """Returns when a follower reads the store whose source never has younger word.
+        """Returns the times of store reads by a follower whose source never confirms the table.
 
         is_known: whether the table was read once, at the start.
         """
@@ -86,12 +86,12 @@
         self.assertLess(len(self.reads(850, 60.0)), 12)
 
     def test_a_table_whose_first_read_is_under_way_is_not_read_beside_it(self) -> None:
-        """The watcher repeats a first read that fails; a second one would only be paid for."""
+        """The watcher retries a failed first read, so the follower need not read the table."""
         self.assertEqual(self.reads(9, 5.0, is_known=False), [])
 
 
 class LongAnswerTest(unittest.TestCase):
-    """What all followers lack at once goes over one link of a small machine, some seconds long."""
+    """A large answer takes seconds on a slow link that several followers share."""
 
     def setUp(self) -> None:
         self.scheduler = ModelScheduler()
--- a/tests/platform/test_table_reading.py
+++ b/tests/platform/test_table_reading.py
@@ -1,4 +1,4 @@
-"""Which tables a process reads itself around its start."""
+"""Which tables a process reads from the store during and after its start."""
 
 import unittest
 from concurrent.futures import Executor
@@ -10,14 +10,14 @@
 
 
 class Watchers:
-    """Notes what is started and never runs it."""
+    """An executor that ignores the submitted calls."""
 
     def submit(self, *_: Any) -> None:
         pass
 
 
 class Members:
-    """The processes known."""
+    """A member table with fixed members."""
 
     is_known = True
 
@@ -27,7 +27,7 @@
 
 
 class Settings:
-    """What a reading needs of the settings."""
+    """The settings that TableReading uses."""
 
     name = "a"
     zones: dict[str, str] = {}
@@ -38,7 +38,7 @@
 
 class StartTest(unittest.TestCase):
     def readers(self, names: list[str], seconds: float) -> list[str]:
-        """Returns the tables that the process `a` goes on reading some time after its start."""
+        """Returns the tables that process `a` polls in the store, `seconds` after its start."""
         scheduler = ModelScheduler()
         loop: Any = scheduler
         loop.post = lambda callback: callback()
--- a/tests/shell/test_event_loop_and_log.py
+++ b/tests/shell/test_event_loop_and_log.py
@@ -1,4 +1,4 @@
-"""The loop's timers, posts and faults; the form of a log line."""
+"""Order of timers and posted callbacks, exceptions in callbacks, and the format of log lines."""
 
 import io
 import threading
--- a/tests/shell/test_http_connection.py
+++ b/tests/shell/test_http_connection.py
@@ -1,4 +1,4 @@
-"""What a caller's connection does with good, bad and slow bytes."""
+"""A connection answers valid requests in order, and refuses malformed, oversized and slow ones."""
 
 import json
 import threading
