--- a/src/dewledge/shell/pooler/composition.py
+++ b/src/dewledge/shell/pooler/composition.py
@@ -37,8 +37,8 @@
 from dewledge.shell.pooler.tables.coordination_rows import TABLE
 from dewledge.shell.pooler.tables.member_table import MemberTable
 from dewledge.shell.pooler.tables.table_reading import (
+    CONFIGURATION_WAIT_SECONDS,
     LEASE_WAIT_SECONDS,
-    URGENT_WAIT_SECONDS,
     StoreCalls,
     TableReading,
 )
@@ -72,7 +72,7 @@
             scheduler,
             settings.name,
             settings.quota.policy,
-            self.notices.quota_asked.tell,
+            self.notices.quota_asked.notify,
             scheduler.now(),
         )
         self.services = PoolServices(
@@ -80,7 +80,7 @@
             self.log.record,
             settings.load.policy,
             self.gate,
-            self.notices.database_suspected.tell,
+            self.notices.database_suspected.notify,
         )
         self.databases = KnownDatabases(self.services.groups)
         self.readiness = Readiness(self.services)
@@ -179,13 +179,15 @@
     calls = StoreCalls(platform.store, base.executor)
     tables = TableReading(base.loop, base.settings, calls, peer_access.links, members, TABLE)
     configuration = directory.apply_configuration_rows
-    tables.add(platform.configuration_table, configuration, configuration, URGENT_WAIT_SECONDS)
+    tables.add(
+        platform.configuration_table, configuration, configuration, CONFIGURATION_WAIT_SECONDS
+    )
     tables.add(
         platform.database_table, directory.apply_database_snapshot, directory.apply_database_rows
     )
     coordination = CoordinationTable(
         members,
-        base.notices.members_changed.tell,
+        base.notices.members_changed.notify,
         lambda: members.register_if_missing(base.executor, lambda: base.readiness.is_leaving),
         failover.driver,
         failover.claims,
@@ -195,7 +197,7 @@
         return tables
     # After writing a claim, the holder waits for acknowledgements from all registered processes,
     # so it reads the table at once to learn which processes are registered.
-    failover.claim_events.written.add(lambda: tables.read_soon(TABLE))
+    failover.claim_events.written.add(lambda: tables.read_now(TABLE))
     confirmed = failover.claims.store_confirmed
     tables.add(
         TABLE, coordination.apply_snapshot, coordination.apply_rows, LEASE_WAIT_SECONDS, confirmed
@@ -213,9 +215,9 @@
     """Subscribes the listeners of each notice; they are called in the order of these lines."""
     notices.configuration_changed.add(quota.on_configuration_changed)
     notices.quota_asked.add(quota.send)
-    notices.group_changed.add(failover.look_at)
-    notices.database_suspected.add(failover.doubt)
-    notices.members_changed.add(failover.members_changed)
+    notices.group_changed.add(failover.on_group_changed)
+    notices.database_suspected.add(failover.suspect)
+    notices.members_changed.add(failover.on_members_changed)
     notices.members_changed.add(quota.on_members_changed)
     notices.members_changed.add(holdings_updater.update_holdings)
-    notices.members_changed.add(tables.members_changed)
+    notices.members_changed.add(tables.on_members_changed)
--- a/src/dewledge/shell/pooler/coordination_table.py
+++ b/src/dewledge/shell/pooler/coordination_table.py
@@ -33,17 +33,17 @@
 
     def apply_snapshot(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies the whole table; other processes without a row in it are removed."""
-        self._apply(rows, version, self._members.take_snapshot(rows))
+        self._apply(rows, version, self._members.apply_snapshot(rows))
 
     def apply_rows(self, rows: tuple[StoreRow, ...], version: int) -> None:
         """Applies changed or deleted rows of the table."""
-        self._apply(rows, version, self._members.take_rows(rows))
+        self._apply(rows, version, self._members.apply_rows(rows))
 
     def _apply(self, rows: tuple[StoreRow, ...], version: int, members_changed: bool) -> None:
         if members_changed:
             self._members_changed()
         self._register()
         names = frozenset(self._members.members)
-        self._failover.take_registered(RegisteredProcesses(names, version))
-        self._failover.take_rows(rows)
-        self._claims.take_rows(rows)
+        self._failover.update_registered(RegisteredProcesses(names, version))
+        self._failover.apply_rows(rows)
+        self._claims.apply_rows(rows)
--- a/src/dewledge/shell/pooler/directory.py
+++ b/src/dewledge/shell/pooler/directory.py
@@ -51,7 +51,7 @@
         for name in table.groups:
             self._groups.get_or_create(name)
         self._holdings_updater.update_holdings()
-        self._notices.configuration_changed.tell(table)
+        self._notices.configuration_changed.notify(table)
         logger.bind(version=table.version, revision=row.version, routes=len(table.routes)).info(
             "configuration_taken"
         )
@@ -83,7 +83,7 @@
             return
         group = self._groups.get_or_create(record.group)
         group.change_view(group.view.with_record(record, self._now()))
-        self._notices.group_changed.tell(record.group)
+        self._notices.group_changed.notify(record.group)
         logger.bind(
             database=record.id,
             group=record.group,
--- a/src/dewledge/shell/pooler/failover/claim_keeper.py
+++ b/src/dewledge/shell/pooler/failover/claim_keeper.py
@@ -19,11 +19,11 @@
 from dewledge.shell.pooler.links.peer_messages import ClaimAnswer, ClaimNotice
 from dewledge.shell.pooler.links.peer_socket import PeerSocket
 from dewledge.shell.pooler.tables.coordination_rows import (
-    KNOWN_PREFIX,
+    ACKNOWLEDGEMENT_PREFIX,
     TABLE,
-    KnownValue,
+    AcknowledgementValue,
     encode_value,
-    read_known,
+    read_acknowledgement,
 )
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
@@ -68,16 +68,16 @@
         """
         self._confirmations.store_confirmed(at)
 
-    def take_rows(self, rows: Sequence[StoreRow]) -> None:
+    def apply_rows(self, rows: Sequence[StoreRow]) -> None:
         """Applies acknowledgements read from the store."""
         for row in rows:
-            if not row.key.startswith(KNOWN_PREFIX):
+            if not row.key.startswith(ACKNOWLEDGEMENT_PREFIX):
                 continue
             if row.key.endswith(f"/{self._own_name}"):
                 self._acknowledgement_versions[row.key] = 0 if row.gone else row.version
-            acknowledgement = None if row.gone else read_known(row)
+            acknowledgement = None if row.gone else read_acknowledgement(row)
             if acknowledgement is not None:
-                self._events.acknowledged.tell(
+                self._events.acknowledged.notify(
                     acknowledgement.group,
                     ClaimAcknowledged(acknowledgement.process, acknowledgement.token),
                 )
@@ -116,22 +116,24 @@
             logger.bind(group=notice.group, token=fencing_token, sender=notice.sender).info(
                 "claim_told"
             )
-            self._events.received.tell(notice.group, notice.claim)
+            self._events.received.notify(notice.group, notice.claim)
         if lease.claim is not None and notice.sender == lease.claim.holder:
             self._acknowledged_tokens[notice.group] = lease.fencing_token
         answer = ClaimAnswer(self._own_name, notice.group, lease.fencing_token)
         self._peers.send(answer, [sender])
 
     def _on_claim_answer(self, answer: ClaimAnswer, _sender: str) -> None:
-        self._events.acknowledged.tell(answer.group, ClaimAcknowledged(answer.sender, answer.token))
+        self._events.acknowledged.notify(
+            answer.group, ClaimAcknowledged(answer.sender, answer.token)
+        )
 
     def _acknowledge_through_store(self, group: str, fencing_token: int) -> None:
         if self._stopped or self._acknowledged_tokens.get(group, 0) >= fencing_token:
             return
         if self._leases.of(group).fencing_token != fencing_token:
             return
-        key = f"{KNOWN_PREFIX}{group}/{self._own_name}"
-        value = encode_value(KnownValue(self._own_name, group, fencing_token))
+        key = f"{ACKNOWLEDGEMENT_PREFIX}{group}/{self._own_name}"
+        value = encode_value(AcknowledgementValue(self._own_name, group, fencing_token))
         write = StoreWrite(TABLE, key, value, self._acknowledgement_versions.get(key, 0))
         self._context.executor.submit(self._write_acknowledgement, write)
 
--- a/src/dewledge/shell/pooler/failover/failover_calls.py
+++ b/src/dewledge/shell/pooler/failover/failover_calls.py
@@ -78,7 +78,7 @@
 
         def report() -> None:
             self._apply_rows([row])
-            self._context.claim_events.written.tell()
+            self._context.claim_events.written.notify()
 
         self._context.loop.post(report)
 
--- a/src/dewledge/shell/pooler/failover/failover_driver.py
+++ b/src/dewledge/shell/pooler/failover/failover_driver.py
@@ -77,7 +77,7 @@
         self._ticks = 0
         self._judges_by_group: dict[str, Sequence[str]] = {}
         self._registered = RegisteredProcesses()
-        self._calls = FailoverCalls(context, promotions, self.take_rows, self._handle)
+        self._calls = FailoverCalls(context, promotions, self.apply_rows, self._handle)
         self._requests = DatabaseRequests(context.loop, parse_status, self._handle)
         context.claim_events.received.add(self.apply_claim)
         context.claim_events.acknowledged.add(self.on_claim_acknowledged)
@@ -91,14 +91,14 @@
         """Stops all state machines: a process that shuts down must not start a failover."""
         self._stopped = True
 
-    def doubt(self, group: str, database_id: str) -> None:
+    def suspect(self, group: str, database_id: str) -> None:
         """Handles a report that a database may be unreachable.
 
         Sent after a failed statement or connection, or when another process asks for a probe.
         """
         self._handle(group, PrimarySuspected(database_id))
 
-    def take_rows(self, rows: Sequence[StoreRow]) -> None:
+    def apply_rows(self, rows: Sequence[StoreRow]) -> None:
         """Applies the claim rows among rows read from the store."""
         for row in rows:
             if row.key.startswith(CLAIM_PREFIX) and not row.gone:
@@ -109,7 +109,7 @@
     def apply_claim(self, group: str, claim: Claim) -> None:
         """Applies a claim; without a configured group, the claim is recorded in its lease only."""
         if claim.fencing_token > self._context.leases.of(group).fencing_token:
-            self._context.claim_events.learned.tell(group, claim)
+            self._context.claim_events.learned.notify(group, claim)
         if group in self._groups and not self._stopped:
             self._handle(group, ClaimReceived(claim))
         else:
@@ -119,18 +119,18 @@
         """Passes on that another process acknowledged a claim."""
         self._handle(group, acknowledgement)
 
-    def take_registered(self, registered: RegisteredProcesses) -> None:
+    def update_registered(self, registered: RegisteredProcesses) -> None:
         """Remembers which processes have rows in the member table, as last read from the store."""
         self._registered = registered
 
-    def take_answer(self, answer: IndirectProbeAnswer) -> None:
+    def on_probe_answer(self, answer: IndirectProbeAnswer) -> None:
         """Passes on another process's answer to an indirect probe."""
         record = self._find_database(answer.database)
         if record is not None:
             event = IndirectProbeReported(answer.witness, answer.database, answer.reachable)
             self._handle(record.group, event)
 
-    def take_leader(self, notice: LeaderNotice) -> None:
+    def on_leader_notice(self, notice: LeaderNotice) -> None:
         """Uses a database as primary; only a hint, since each statement still requires proof."""
         record = self._find_database(notice.database)
         if record is None:
@@ -144,7 +144,7 @@
             group.change_view(view)
             self._handle(record.group, Ticked())
 
-    def look_at(self, group_name: str) -> None:
+    def on_group_changed(self, group_name: str) -> None:
         """Runs a group's state machine after its view changed."""
         self._handle(group_name, Ticked())
 
@@ -192,9 +192,9 @@
         elif isinstance(effect, ReadStatus):
             self._requests.read_status(group, effect.database)
         elif isinstance(effect, SendClaim):
-            self._context.claim_events.to_send.tell(group.view.name, effect.processes)
+            self._context.claim_events.to_send.notify(group.view.name, effect.processes)
         elif isinstance(effect, TryLeader):
-            self.take_leader(LeaderNotice(self._own_name, effect.database))
+            self.on_leader_notice(LeaderNotice(self._own_name, effect.database))
         elif isinstance(effect, StepDown):
             self._requests.step_down(group, effect)
         elif isinstance(effect, WriteClaim):
@@ -219,7 +219,7 @@
             self._judges_by_group[group_name] = judges
         return judges
 
-    def members_changed(self) -> None:
+    def on_members_changed(self) -> None:
         """Discards the selected judges, so that they are selected from the current processes."""
         self._judges_by_group.clear()
 
@@ -230,8 +230,8 @@
 
     def _announce_leader(self, database_id: str) -> None:
         if self._probes is not None:
-            self._probes.tell_leader(self._other_addresses(), database_id)
-        self.take_leader(LeaderNotice(self._own_name, database_id))
+            self._probes.announce_leader(self._other_addresses(), database_id)
+        self.on_leader_notice(LeaderNotice(self._own_name, database_id))
 
     def _other_addresses(self) -> list[str]:
         members = self._addresses().items()
--- a/src/dewledge/shell/pooler/failover/indirect_probes.py
+++ b/src/dewledge/shell/pooler/failover/indirect_probes.py
@@ -24,13 +24,13 @@
 class ProbeListener(Protocol):
     """Receives reports about databases from other processes."""
 
-    def doubt(self, group: str, database_id: str) -> None:
+    def suspect(self, group: str, database_id: str) -> None:
         """Called when another process suspects that a database is unreachable."""
 
-    def take_answer(self, answer: IndirectProbeAnswer) -> None:
+    def on_probe_answer(self, answer: IndirectProbeAnswer) -> None:
         """Called when another process answers whether it can reach a database."""
 
-    def take_leader(self, notice: LeaderNotice) -> None:
+    def on_leader_notice(self, notice: LeaderNotice) -> None:
         """Called when another process reports that a database is primary."""
 
 
@@ -54,14 +54,14 @@
         self._connect_timeout = connect_timeout
         self._listener = listener
         peers.on(IndirectProbeQuestion, self._on_question)
-        peers.on(IndirectProbeAnswer, lambda answer, _sender: listener.take_answer(answer))
-        peers.on(LeaderNotice, lambda notice, _sender: listener.take_leader(notice))
+        peers.on(IndirectProbeAnswer, lambda answer, _sender: listener.on_probe_answer(answer))
+        peers.on(LeaderNotice, lambda notice, _sender: listener.on_leader_notice(notice))
 
     def ask(self, addresses: Sequence[str], database_id: str) -> None:
         """Asks the processes at `addresses` whether they can reach a database."""
         self._peers.send(IndirectProbeQuestion(self._own_name, database_id), addresses)
 
-    def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
+    def announce_leader(self, addresses: Sequence[str], database_id: str) -> None:
         """Notifies the processes at `addresses` that a database is primary."""
         self._peers.send(LeaderNotice(self._own_name, database_id), addresses)
 
@@ -81,7 +81,7 @@
         record = self._find(question.database)
         if record is None:
             return
-        self._listener.doubt(record.group, record.id)
+        self._listener.suspect(record.group, record.id)
 
         def send_answer(reachable: bool) -> None:
             answer = IndirectProbeAnswer(self._own_name, question.database, reachable)
--- a/src/dewledge/shell/pooler/known_databases.py
+++ b/src/dewledge/shell/pooler/known_databases.py
@@ -32,13 +32,13 @@
         record = self.find(database_id)
         return None if record is None else self._groups[record.group]
 
-    def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
+    def record_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
         """Passes a commit position reported by a holder to the group; see Group.record_proof."""
         group = self.group_of(database_id)
         if group is not None:
             group.record_proof(true_at, position)
 
-    def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
+    def record_load_report(self, database_id: str, holder: str, report: LoadReport) -> None:
         """Passes a connection holder's load report to the group; see Group.record_load_report."""
         group = self.group_of(database_id)
         if group is not None:
--- a/src/dewledge/shell/pooler/links/byte_stream.py
+++ b/src/dewledge/shell/pooler/links/byte_stream.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from dewledge.shell.shared.event_loop import READABLE, WRITABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import KeepAlive, family_of, parse_address, tune_link
+from dewledge.shell.shared.sockets import KeepAlive, configure_link, family_of, parse_address
 
 READ_BYTES = 64 * 1024
 """Bytes read from a connection in one iteration of the event loop."""
@@ -43,7 +43,7 @@
         self._closing = False
         self.closed = False
         sock.setblocking(False)
-        tune_link(sock, KEEP_ALIVE_PROBES)
+        configure_link(sock, KEEP_ALIVE_PROBES)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         loop.watch(sock, READABLE, self._on_ready)
--- a/src/dewledge/shell/pooler/links/channel_client.py
+++ b/src/dewledge/shell/pooler/links/channel_client.py
@@ -36,11 +36,11 @@
 class HolderReportReceiver(Protocol):
     """Receives the positions and load reports that holders attach to replies."""
 
-    def take_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
+    def record_proof(self, database_id: str, true_at: float, position: LogPosition) -> None:
         """Records that the group of a database had reached `position` at the time `true_at` (steady
         clock, seconds)."""
 
-    def take_load(self, database_id: str, holder: str, report: LoadReport) -> None:
+    def record_load_report(self, database_id: str, holder: str, report: LoadReport) -> None:
         """Records the load of a database, as reported by the holder at this address."""
 
 
@@ -111,11 +111,11 @@
         """
         if message.proof is not None and channel.sent_at:
             true_at = channel.sent_at[0] - message.proof.age_seconds
-            self._report_receiver.take_proof(
+            self._report_receiver.record_proof(
                 channel.connection.database_id, true_at, message.proof.position
             )
         if message.load is not None:
-            self._report_receiver.take_load(
+            self._report_receiver.record_load_report(
                 channel.connection.database_id, channel.holder, message.load
             )
 
--- a/src/dewledge/shell/pooler/links/channel_server.py
+++ b/src/dewledge/shell/pooler/links/channel_server.py
@@ -75,9 +75,9 @@
         return sum(link.channel_count for link in self._links)
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no channel has a waiting or running statement or an open transaction."""
-        return all(link.at_rest for link in self._links)
+        return all(link.is_idle for link in self._links)
 
     def start(self) -> None:
         """Starts to accept links."""
@@ -145,7 +145,7 @@
         return len(self._channels)
 
     @property
-    def at_rest(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no channel of this link has a waiting or running statement or an open
         transaction."""
         return all(session.is_idle for session in self._channels.values())
--- a/src/dewledge/shell/pooler/links/client_listener.py
+++ b/src/dewledge/shell/pooler/links/client_listener.py
@@ -20,7 +20,7 @@
 from dewledge.errors import ErrorCode
 from dewledge.shell.pooler.links.byte_stream import ByteStream
 from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import accept_waiting, bound_address
+from dewledge.shell.shared.sockets import accept_pending, bound_address
 
 ACCEPT_BATCH = 64
 """Connections accepted in one iteration of the event loop."""
@@ -151,7 +151,7 @@
         self._listener.close()
 
     def _accept(self, _events: int) -> None:
-        error = accept_waiting(self._listener, ACCEPT_BATCH, self._add)
+        error = accept_pending(self._listener, ACCEPT_BATCH, self._add)
         if error is not None:
             logger.bind(error=str(error)).warning("accept_failed")
 
--- a/src/dewledge/shell/pooler/listeners.py
+++ b/src/dewledge/shell/pooler/listeners.py
@@ -16,7 +16,7 @@
         """Adds a callback; it cannot be removed."""
         self._calls.append(call)
 
-    def tell(self, *args: P.args, **kwargs: P.kwargs) -> None:
+    def notify(self, *args: P.args, **kwargs: P.kwargs) -> None:
         """Calls each callback with the event's arguments."""
         for call in self._calls:
             call(*args, **kwargs)
--- a/src/dewledge/shell/pooler/observing/process_gauges.py
+++ b/src/dewledge/shell/pooler/observing/process_gauges.py
@@ -15,7 +15,7 @@
 from dewledge.shell.pooler.tables.member_table import MemberTable
 
 
-class MeasuredParts(msgspec.Struct, frozen=True):
+class GaugeSources(msgspec.Struct, frozen=True):
     """Objects of a process from which gauges read their values."""
 
     services: PoolServices
@@ -26,11 +26,11 @@
     is_ready: Callable[[], bool]
 
 
-Gauge = tuple[str, str, Callable[[MeasuredParts], float]]
+Gauge = tuple[str, str, Callable[[GaugeSources], float]]
 """Definition of a gauge: its name, its description and a function that returns its value."""
 
 
-def _sum_of_pools(parts: MeasuredParts, read: Callable[[ConnectionPool], int]) -> int:
+def _sum_of_pools(parts: GaugeSources, read: Callable[[ConnectionPool], int]) -> int:
     groups = parts.services.groups.values()
     return sum(read(pool) for group in groups for pool in group.all_pools())
 
@@ -78,10 +78,10 @@
 )
 
 
-def add_process_gauges(metrics: PoolerMetrics, parts: MeasuredParts) -> None:
+def add_process_gauges(metrics: PoolerMetrics, parts: GaugeSources) -> None:
     """Adds all gauges of a process, including those about waits, to its metrics."""
 
-    def reader(read: Callable[[MeasuredParts], float]) -> Callable[[], float]:
+    def reader(read: Callable[[GaugeSources], float]) -> Callable[[], float]:
         return lambda: read(parts)
 
     for name, description, read in _GAUGES:
--- a/src/dewledge/shell/pooler/observing/wait_reporter.py
+++ b/src/dewledge/shell/pooler/observing/wait_reporter.py
@@ -36,13 +36,13 @@
         """Schedules the next report; each report schedules another."""
         self._scheduler.call_later(SUMMARY_INTERVAL_SECONDS, self._report_and_reschedule)
 
-    def tell(self) -> None:
+    def report(self) -> None:
         """Logs the waits counted since the last report."""
         for summary in self._summaries.collect(self._counts()):
             self._record(summary)
 
     def _report_and_reschedule(self) -> None:
-        self.tell()
+        self.report()
         self.start()
 
     def _counts(self) -> Mapping[QueueName, WaitCounts]:
--- a/src/dewledge/shell/pooler/planned_stop.py
+++ b/src/dewledge/shell/pooler/planned_stop.py
@@ -95,7 +95,7 @@
             if elapsed > bound * END_TRANSACTIONS_RATIO:
                 connection.session.end_transaction("planned_stop")
             connection.leave()
-        is_done = not self._clients.connections and self._channel_server.at_rest
+        is_done = not self._clients.connections and self._channel_server.is_idle
         if (
             elapsed > bound * END_TRANSACTIONS_RATIO and is_done
         ) or elapsed > bound * END_PROCESS_RATIO:
--- a/src/dewledge/shell/pooler/pooler_process.py
+++ b/src/dewledge/shell/pooler/pooler_process.py
@@ -20,7 +20,7 @@
 )
 from dewledge.shell.pooler.links.channel_server import ChannelServer
 from dewledge.shell.pooler.links.client_listener import ClientListener
-from dewledge.shell.pooler.observing.process_gauges import MeasuredParts, add_process_gauges
+from dewledge.shell.pooler.observing.process_gauges import GaugeSources, add_process_gauges
 from dewledge.shell.pooler.observing.stall_watch import StallWatch
 from dewledge.shell.pooler.observing.status_pages import StatusPages
 from dewledge.shell.pooler.observing.wait_reporter import WaitReporter
@@ -87,7 +87,7 @@
             base.settings.peer_address,
             base.services,
             base.databases.group_of,
-            self._tables.take_question,
+            self._tables.handle_request,
         )
 
     def _build_stop(self) -> PlannedStop:
@@ -101,7 +101,7 @@
         )
 
     def _add_gauges(self, base: ProcessBase) -> None:
-        parts = MeasuredParts(
+        parts = GaugeSources(
             base.services,
             self._clients,
             self._peer_access.members,
@@ -181,7 +181,7 @@
 
     def _finish(self) -> None:
         self._failover.driver.stop()
-        self._waits.tell()
+        self._waits.report()
         logger.bind(unfinished=len(self._clients.connections)).info("pooler_stopped")
         self._tables.stop()
         self._clients.close()
--- a/src/dewledge/shell/pooler/tables/coordination_rows.py
+++ b/src/dewledge/shell/pooler/tables/coordination_rows.py
@@ -16,7 +16,7 @@
 TABLE = "dewledge"
 MEMBER_PREFIX = "member/"
 CLAIM_PREFIX = "claim/"
-KNOWN_PREFIX = "known/"
+ACKNOWLEDGEMENT_PREFIX = "known/"
 
 Value = TypeVar("Value")
 
@@ -32,7 +32,7 @@
     ordered: str = ""
 
 
-class KnownValue(msgspec.Struct, frozen=True):
+class AcknowledgementValue(msgspec.Struct, frozen=True):
     """The stored value of a process's acknowledgement of a claim on a group.
 
     token: the fencing token of the acknowledged claim.
@@ -69,9 +69,9 @@
     )
 
 
-def read_known(row: StoreRow) -> KnownValue | None:
+def read_acknowledgement(row: StoreRow) -> AcknowledgementValue | None:
     """Returns the acknowledgement that a row describes, None if it cannot be decoded."""
-    return _decode(row, KnownValue)
+    return _decode(row, AcknowledgementValue)
 
 
 def _decode(row: StoreRow, kind: type[Value]) -> Value | None:
--- a/src/dewledge/shell/pooler/tables/followed_table.py
+++ b/src/dewledge/shell/pooler/tables/followed_table.py
@@ -18,10 +18,10 @@
 
 NEVER = -1e9
 """Seconds of the monotonic clock, earlier than any reading of it."""
-FOLLOWED_SLACK_SECONDS = 0.7
+CONFIRMATION_SLACK_SECONDS = 0.7
 """Added to `wait_seconds` for the maximum age of a confirmation. Covers the links from the reader
 to the last follower; each process on the way forwards a confirmation at once."""
-LARGE_BYTES = 128 * 1024
+MAX_SENT_CHANGE_BYTES = 128 * 1024
 """Maximum compressed size of a change that is sent to followers unless they ask for large ones.
 Larger changes are read from the store: sending them to all followers would saturate the link."""
 
@@ -63,7 +63,7 @@
         return self._cache.version
 
     @property
-    def asked_after(self) -> int:
+    def request_after_version(self) -> int:
         """The version after which changes are requested from a source, -1 for the whole table."""
         return -1 if self._lacks_removals else self.version
 
@@ -79,9 +79,9 @@
 
     def is_stale(self, now: float) -> bool:
         """Returns whether the last confirmation is too old: a change may have been missed."""
-        return now > self.confirmed_at + self.wait_seconds + FOLLOWED_SLACK_SECONDS
+        return now > self.confirmed_at + self.wait_seconds + CONFIRMATION_SLACK_SECONDS
 
-    def take(self, delta: TableDelta, confirmed_at: float) -> bool:
+    def apply(self, delta: TableDelta, confirmed_at: float) -> bool:
         """Applies a delta from the store or a source.
 
         Ignores an older version than the cached one. Returns whether the delta had rows or was the
@@ -125,11 +125,11 @@
         age = now - self.confirmed_at if self._cache.is_loaded else -1.0
         delta = self._cache.delta(after, compares_keys)
         rows = tuple(self._pack(row) for row in delta.rows)
-        if sum(len(row.value) for row in rows) > LARGE_BYTES and not takes_large:
+        if sum(len(row.value) for row in rows) > MAX_SENT_CHANGE_BYTES and not takes_large:
             return TableNews(self.name, TableDelta((), after, False), age, is_withheld=True)
         return TableNews(self.name, msgspec.structs.replace(delta, rows=rows), age)
 
-    def take_news(self, news: TableNews, answered_at: float) -> bool:
+    def apply_news(self, news: TableNews, answered_at: float) -> bool:
         """Applies a source's answer, sent at `answered_at` or later.
 
         Result as in `take`. Raises ProtocolError if a value cannot be unpacked.
@@ -142,7 +142,7 @@
                 "table_lacks_removals"
             )
             return False
-        return self.take(delta, answered_at - news.age_seconds)
+        return self.apply(delta, answered_at - news.age_seconds)
 
     def _pack(self, row: StoreRow) -> StoreRow:
         """Returns a row as sent to followers; a large value is compressed once and cached."""
--- a/src/dewledge/shell/pooler/tables/member_table.py
+++ b/src/dewledge/shell/pooler/tables/member_table.py
@@ -71,14 +71,14 @@
         """The number of processes that share the databases."""
         return len(self.members) if self.is_known else ASSUMED_MEMBERS
 
-    def take_snapshot(self, rows: Sequence[StoreRow]) -> bool:
-        """Applies the whole table, removing processes without a row. Result as in `take_rows`."""
+    def apply_snapshot(self, rows: Sequence[StoreRow]) -> bool:
+        """Applies the whole table, removing processes without a row. Result as in `apply_rows`."""
         before = self._localities()
         self.members = {self._local_name: self._local_member}
         self._local_row = None
         return self._apply_rows(rows, before)
 
-    def take_rows(self, rows: Sequence[StoreRow]) -> bool:
+    def apply_rows(self, rows: Sequence[StoreRow]) -> bool:
         """Applies changed rows; returns whether an address or zone changed, or the first was read.
 
         A process that restarts with the same address and zone does not count as a change.
--- a/src/dewledge/shell/pooler/tables/table_follower.py
+++ b/src/dewledge/shell/pooler/tables/table_follower.py
@@ -171,7 +171,9 @@
         link.when_open(send, fail)
 
     def _positions(self) -> tuple[TablePosition, ...]:
-        return tuple(TablePosition(name, table.asked_after) for name, table in self._tables.items())
+        return tuple(
+            TablePosition(name, table.request_after_version) for name, table in self._tables.items()
+        )
 
     def _apply_answer(self, answer: TablesAnswered) -> None:
         before = self._confirmation_times()
@@ -202,7 +204,7 @@
 
     def _apply_news(self, table: FollowedTable, news: TableNews, answered_at: float) -> bool:
         try:
-            return table.take_news(news, answered_at)
+            return table.apply_news(news, answered_at)
         except ProtocolError as error:
             logger.bind(source=self.source, table=table.name, error=error.message).warning(
                 "table_news_refused"
--- a/src/dewledge/shell/pooler/tables/table_publisher.py
+++ b/src/dewledge/shell/pooler/tables/table_publisher.py
@@ -15,7 +15,7 @@
 from dewledge.shell.pooler.tables.followed_table import FollowedTable
 from dewledge.shell.shared.event_loop import EventLoop, Timer
 
-HOLD_SECONDS = 0.9
+MAX_HOLD_SECONDS = 0.9
 """Maximum time before a request is answered without changes; must be below the time a follower
 waits for an answer (ANSWER_TIMEOUT_SECONDS in `table_follower`)."""
 
@@ -49,7 +49,7 @@
         if timer is not None:
             timer.cancel()
         self._timers[link] = self._loop.call_later(
-            HOLD_SECONDS, lambda: self._on_hold_timeout(link)
+            MAX_HOLD_SECONDS, lambda: self._on_hold_timeout(link)
         )
 
     def answer_held_requests(self) -> None:
--- a/src/dewledge/shell/pooler/tables/table_reading.py
+++ b/src/dewledge/shell/pooler/tables/table_reading.py
@@ -35,10 +35,10 @@
 WAIT_TO_BOUND_RATIO = 0.4
 """Ratio of a store call's wait to the configuration's propagation bound; the rest leaves time to
 detect a call that the store never answers."""
-URGENT_WAIT_SECONDS = 1.0
+CONFIGURATION_WAIT_SECONDS = 1.0
 """Wait for a change of a table that must be confirmed more often than by default; a follower's copy
 is older than the reader's by one request."""
-START_SECONDS = 1.0
+STARTUP_PERIOD_SECONDS = 1.0
 """Time in which processes that start together are expected to register. Until then a process in a
 small cluster watches only the members table and reads the other tables once, since it may turn out
 to be a follower."""
@@ -103,7 +103,7 @@
 
         def on_delta(delta: TableDelta, confirmed_at: float) -> None:
             before = table.confirmed_at
-            if table.take(delta, confirmed_at) or table.confirmed_at > before:
+            if table.apply(delta, confirmed_at) or table.confirmed_at > before:
                 self._publisher.answer_held_requests()
 
         self._tables[name] = table
@@ -118,8 +118,8 @@
 
     def start(self) -> None:
         """Starts to read the store: until the members are known there is no source to follow."""
-        self._startup_ends_at = self._loop.now() + START_SECONDS
-        self._loop.call_later(START_SECONDS, self._on_startup_ended)
+        self._startup_ends_at = self._loop.now() + STARTUP_PERIOD_SECONDS
+        self._loop.call_later(STARTUP_PERIOD_SECONDS, self._on_startup_ended)
         for watcher in self._watchers.values():
             self._calls.executor.submit(watcher.run)
 
@@ -129,11 +129,11 @@
         for watcher in self._watchers.values():
             watcher.stop()
 
-    def take_question(self, link: IncomingLink, question: FollowTables) -> None:
+    def handle_request(self, link: IncomingLink, question: FollowTables) -> None:
         """Answers a process that follows this one."""
         self._publisher.handle_request(link, question)
 
-    def members_changed(self) -> None:
+    def on_members_changed(self) -> None:
         """Recomputes whether this process reads the store or which sources it follows."""
         members = self._members.members
         plan = reading_plan(self._local_name, members, self._region_of)
@@ -161,9 +161,9 @@
     def _on_startup_ended(self) -> None:
         self._startup_ends_at = self._loop.now()
         if self._members.is_known:
-            self.members_changed()
+            self.on_members_changed()
 
-    def read_soon(self, table: str) -> None:
+    def read_now(self, table: str) -> None:
         """Schedules an immediate read of a table whose cached copy may be older than the store."""
         self._read_store(table)
 
--- a/src/dewledge/shell/proxy/outbound_peer.py
+++ b/src/dewledge/shell/proxy/outbound_peer.py
@@ -26,7 +26,7 @@
 )
 from dewledge.shell.proxy.peer_link import LinkClosed, PeerLink
 from dewledge.shell.shared.event_loop import WRITABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import family_of, parse_address, tune_link
+from dewledge.shell.shared.sockets import configure_link, family_of, parse_address
 
 DIAL_SECONDS = 1.0
 HEARTBEAT_AFTER_SECONDS = 0.3
@@ -189,7 +189,7 @@
         host, port = parse_address(self.address)
         sock = socket.socket(family_of(host), socket.SOCK_STREAM)
         sock.setblocking(False)
-        tune_link(sock)
+        configure_link(sock)
         self._dialling = sock
         self._dial_timer = self._loop.call_later(DIAL_SECONDS, self._dial_timed_out)
         code = sock.connect_ex((host, port))
--- a/src/dewledge/shell/proxy/peer_links.py
+++ b/src/dewledge/shell/proxy/peer_links.py
@@ -22,7 +22,7 @@
 )
 from dewledge.shell.proxy.peer_link import LinkClosed, PeerLink
 from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
-from dewledge.shell.shared.sockets import listen_tcp, tune_link
+from dewledge.shell.shared.sockets import configure_link, listen_tcp
 
 CHECK_SECONDS = 0.1
 LATE_CHECK_SECONDS = 0.5
@@ -177,7 +177,7 @@
 
     def _add_inbound(self, sock: socket.socket) -> None:
         sock.setblocking(False)
-        tune_link(sock)
+        configure_link(sock)
         link = PeerLink(self._loop, sock, True, self._take_inbound, self._inbound_closed)
         self._ungreeted[link] = self._loop.now()
 
--- a/src/dewledge/shell/shared/http_server.py
+++ b/src/dewledge/shell/shared/http_server.py
@@ -12,7 +12,7 @@
 from dewledge.shell.shared.event_loop import READABLE, EventLoop, Timer
 from dewledge.shell.shared.http_connection import Handler, HttpConnection
 from dewledge.shell.shared.http_messages import HttpLimits, refusal
-from dewledge.shell.shared.sockets import accept_waiting, listen_tcp
+from dewledge.shell.shared.sockets import accept_pending, listen_tcp
 
 SWEEP_SECONDS = 1.0
 """Interval between two checks of the timeouts of all connections."""
@@ -74,7 +74,7 @@
             self._sweep_timer.cancel()
 
     def _accept(self, _events: int) -> None:
-        error = accept_waiting(self._listener, ACCEPT_BATCH, self._add)
+        error = accept_pending(self._listener, ACCEPT_BATCH, self._add)
         if error is not None:
             logger.bind(error=str(error)).warning("accept_failed")
             self._pause_accepting()
--- a/src/dewledge/shell/shared/sockets.py
+++ b/src/dewledge/shell/shared/sockets.py
@@ -87,7 +87,7 @@
     return sock, bound_address(sock)
 
 
-def accept_waiting(
+def accept_pending(
     listener: socket.socket, max_count: int, on_accepted: Callable[[socket.socket], None]
 ) -> OSError | None:
     """Accepts up to `max_count` pending connections and calls `on_accepted` with each.
@@ -105,7 +105,7 @@
     return None
 
 
-def tune_link(sock: socket.socket, keepalive: KeepAlive = BETWEEN_PROXIES) -> None:
+def configure_link(sock: socket.socket, keepalive: KeepAlive = BETWEEN_PROXIES) -> None:
     """Disables Nagle's algorithm and enables TCP keep-alive; ignores unsupported options."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/tests/core/pooler/sharing/test_tables.py
+++ b/tests/core/pooler/sharing/test_tables.py
@@ -17,11 +17,11 @@
 from dewledge.core.pooler.sharing.table_cache import TableCache, TableDelta
 from dewledge.errors import ProtocolError
 from dewledge.shell.pooler.tables.followed_table import (
-    FOLLOWED_SLACK_SECONDS,
-    LARGE_BYTES,
+    CONFIRMATION_SLACK_SECONDS,
+    MAX_SENT_CHANGE_BYTES,
     FollowedTable,
 )
-from dewledge.shell.pooler.tables.table_publisher import HOLD_SECONDS
+from dewledge.shell.pooler.tables.table_publisher import MAX_HOLD_SECONDS
 
 
 def row(key: str, version: int, gone: bool = False) -> StoreRow:
@@ -176,8 +176,8 @@
 
     def test_slack_covers_delay_of_last_follower(self) -> None:
         transmission_seconds = 3 * 0.1
-        self.assertLess(transmission_seconds + 0.1, FOLLOWED_SLACK_SECONDS)
-        self.assertLess(HOLD_SECONDS, 1.0)
+        self.assertLess(transmission_seconds + 0.1, CONFIRMATION_SLACK_SECONDS)
+        self.assertLess(MAX_HOLD_SECONDS, 1.0)
 
     def test_only_one_follower_per_region_without_reader_is_remote(self) -> None:
         plans = plans_of(73, 3)
@@ -200,17 +200,17 @@
         self.source = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
         self.snapshot_keys: list[str] = []
         self.follower = FollowedTable("op", 1.0, self._snapshot, lambda *_: None)
-        self.follower.take(TableDelta((row("a", 1), row("b", 2)), 2, True), 10.0)
+        self.follower.apply(TableDelta((row("a", 1), row("b", 2)), 2, True), 10.0)
 
     def _snapshot(self, rows: tuple[StoreRow, ...], _version: int) -> None:
         self.snapshot_keys = [each.key for each in rows]
 
     def ask(self) -> bool:
-        asked = self.follower.asked_after
-        return self.follower.take_news(self.source.news(asked, 11.0, False, True), 11.0)
+        asked = self.follower.request_after_version
+        return self.follower.apply_news(self.source.news(asked, 11.0, False, True), 11.0)
 
     def test_restarted_source_sends_only_changes(self) -> None:
-        self.source.take(TableDelta((row("a", 1), row("b", 4)), 5, True), 11.0)
+        self.source.apply(TableDelta((row("a", 1), row("b", 4)), 5, True), 11.0)
         news = self.source.news(2, 11.0, False, True)
         self.assertEqual([each.key for each in news.delta.rows], ["b"])
         self.assertTrue(self.ask())
@@ -218,24 +218,24 @@
         self.assertEqual(self.follower.confirmed_at, 11.0)
 
     def test_missed_removal_leads_to_request_of_whole_table(self) -> None:
-        self.source.take(TableDelta((row("b", 4),), 5, True), 11.0)
+        self.source.apply(TableDelta((row("b", 4),), 5, True), 11.0)
         self.assertFalse(self.ask())
         self.assertEqual((self.follower.version, self.follower.confirmed_at), (2, 10.0))
         self.assertTrue(self.ask())
         self.assertEqual((self.snapshot_keys, self.follower.version), (["b"], 5))
-        self.assertEqual(self.follower.asked_after, 5)
+        self.assertEqual(self.follower.request_after_version, 5)
 
     def test_follower_without_key_comparison_gets_whole_table(self) -> None:
-        self.source.take(TableDelta((row("b", 4),), 5, True), 11.0)
+        self.source.apply(TableDelta((row("b", 4),), 5, True), 11.0)
         self.assertTrue(self.source.news(2, 11.0, False, False).delta.is_whole)
 
 
 class LargeChangeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.table = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
-        large = random.Random(1).randbytes(LARGE_BYTES + 1)
+        large = random.Random(1).randbytes(MAX_SENT_CHANGE_BYTES + 1)
         rows = (StoreRow("config", large, 5),)
-        self.table.take(TableDelta(rows, 5, True), 10.0)
+        self.table.apply(TableDelta(rows, 5, True), 10.0)
 
     def test_large_change_is_announced_only(self) -> None:
         news = self.table.news(3, 11.0, takes_large=False)
@@ -248,12 +248,12 @@
         self.assertEqual(news.delta.version, 5)
 
     def test_well_compressed_change_is_sent(self) -> None:
-        value = b'{"name": "route"}' * LARGE_BYTES
-        self.table.take(TableDelta((StoreRow("config", value, 7),), 7, False), 11.0)
+        value = b'{"name": "route"}' * MAX_SENT_CHANGE_BYTES
+        self.table.apply(TableDelta((StoreRow("config", value, 7),), 7, False), 11.0)
         news = self.table.news(5, 11.0, takes_large=False)
         self.assertLess(len(news.delta.rows[0].value), len(value) // 10)
         follower = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
-        self.assertTrue(follower.take_news(self.table.news(-1, 11.0, True), 20.0))
+        self.assertTrue(follower.apply_news(self.table.news(-1, 11.0, True), 20.0))
         self.assertEqual(follower.news(-1, 20.0, True).delta, self.table.news(-1, 20.0, True).delta)
 
     def test_invalid_packed_values_are_rejected(self) -> None:
@@ -265,7 +265,7 @@
             self.assertEqual(unpack_value(pack_value(value)), value)
 
     def test_follower_with_large_change_gets_later_rows(self) -> None:
-        self.table.take(TableDelta((row("small", 6),), 6, False), 11.0)
+        self.table.apply(TableDelta((row("small", 6),), 6, False), 11.0)
         news = self.table.news(5, 11.0, takes_large=False)
         self.assertEqual([each.key for each in news.delta.rows], ["small"])
 
--- a/tests/outside_forms/roots.py
+++ b/tests/outside_forms/roots.py
@@ -98,7 +98,7 @@
 ROWS: tuple[tuple[str, Any, Any], ...] = (
     ("pooler_row member", Member, coordination_rows.encode_value),
     ("pooler_row claim", coordination_rows.ClaimValue, coordination_rows.encode_value),
-    ("pooler_row known", coordination_rows.KnownValue, coordination_rows.encode_value),
+    ("pooler_row known", coordination_rows.AcknowledgementValue, coordination_rows.encode_value),
     ("proxy_row change", ChangeSet, configuration_codec.encode_change),
     ("proxy_row head", configuration_store.HeadRow, configuration_codec.encode_content),
     ("proxy_object snapshot", configuration_codec._Snapshot, configuration_codec.encode_content),
@@ -151,7 +151,7 @@
     "pooler table": coordination_rows.TABLE,
     "member": coordination_rows.MEMBER_PREFIX,
     "claim": coordination_rows.CLAIM_PREFIX,
-    "known": coordination_rows.KNOWN_PREFIX,
+    "known": coordination_rows.ACKNOWLEDGEMENT_PREFIX,
     "table path": platform_protocol.TABLE_PATH,
     "transact path": platform_protocol.TRANSACT_PATH,
     "objects path": platform_protocol.OBJECTS_PATH,
--- a/tests/platform/test_member_table.py
+++ b/tests/platform/test_member_table.py
@@ -26,17 +26,17 @@
 
     def test_before_the_table_is_known_many_are_assumed(self) -> None:
         self.assertEqual(self.members.count, ASSUMED_MEMBERS)
-        self.members.take_rows([row("a", "10.0.0.1:1"), row("b", "10.0.0.2:1")])
+        self.members.apply_rows([row("a", "10.0.0.1:1"), row("b", "10.0.0.2:1")])
         self.assertEqual(self.members.count, 2)
 
     def test_rows_come_change_and_go(self) -> None:
-        self.members.take_rows([row("b", "10.0.0.2:1"), row("c", "10.0.0.3:1")])
-        self.members.take_rows([row("b", "10.0.0.9:1"), row("c", "", gone=True)])
+        self.members.apply_rows([row("b", "10.0.0.2:1"), row("c", "10.0.0.3:1")])
+        self.members.apply_rows([row("b", "10.0.0.9:1"), row("c", "", gone=True)])
         self.assertEqual(self.members.addresses, {"a": "10.0.0.1:1", "b": "10.0.0.9:1"})
 
     def test_rows_that_cannot_be_read_change_nothing(self) -> None:
         for value in (b"", b"\xff", b"\x00", encode_value(Member("x"))[:3]):
-            self.members.take_rows([StoreRow("member/b", value, 1)])
+            self.members.apply_rows([StoreRow("member/b", value, 1)])
         self.assertEqual(set(self.members.addresses), {"a"})
 
     def own_rows(self) -> list[StoreRow]:
@@ -51,45 +51,45 @@
         self.register()
         self.register()
         self.assertEqual(self.stand_in.version, 1)
-        self.members.take_rows(self.own_rows())
+        self.members.apply_rows(self.own_rows())
         self.register()
         self.assertEqual(self.stand_in.version, 1)
 
     def test_a_row_of_another_address_is_replaced(self) -> None:
         self.stand_in.put(TABLE, "member/a", encode_value(Member("10.0.0.9:1")))
-        self.members.take_rows(self.own_rows())
+        self.members.apply_rows(self.own_rows())
         self.register()
         self.assertEqual(read_member(self.own_rows()[0]), Member("10.0.0.1:1"))
 
     def test_a_row_that_was_taken_away_is_written_again(self) -> None:
         self.register()
         own = self.own_rows()
-        self.members.take_rows(own)
-        self.members.take_rows([StoreRow("member/a", b"", own[0].version + 1, gone=True)])
+        self.members.apply_rows(own)
+        self.members.apply_rows([StoreRow("member/a", b"", own[0].version + 1, gone=True)])
         del self.stand_in.rows[TABLE, "member/a"]
         self.register()
         self.assertEqual(len(self.own_rows()), 1)
 
     def test_a_whole_table_forgets_who_is_not_in_it(self) -> None:
-        self.members.take_rows([row("b", "10.0.0.2:1")])
-        self.assertTrue(self.members.take_snapshot([row("c", "10.0.0.3:1")]))
+        self.members.apply_rows([row("b", "10.0.0.2:1")])
+        self.assertTrue(self.members.apply_snapshot([row("c", "10.0.0.3:1")]))
         self.assertEqual(set(self.members.members), {"a", "c"})
 
     def test_a_whole_table_that_holds_the_same_changes_nothing(self) -> None:
         rows = [row("a", "10.0.0.1:1"), row("b", "10.0.0.2:1")]
-        self.assertTrue(self.members.take_snapshot(rows))
-        self.assertFalse(self.members.take_snapshot(rows))
+        self.assertTrue(self.members.apply_snapshot(rows))
+        self.assertFalse(self.members.apply_snapshot(rows))
 
     def test_a_process_that_starts_again_where_it_was_changes_nothing_for_others(self) -> None:
-        self.members.take_rows([row("b", "10.0.0.2:1")])
+        self.members.apply_rows([row("b", "10.0.0.2:1")])
         again = encode_value(Member("10.0.0.2:1", start="again"))
-        self.assertFalse(self.members.take_rows([StoreRow("member/b", again, 2)]))
+        self.assertFalse(self.members.apply_rows([StoreRow("member/b", again, 2)]))
         self.assertEqual(self.members.members["b"].start, "again")
-        self.assertTrue(self.members.take_rows([row("b", "10.0.0.9:1", 3)]))
+        self.assertTrue(self.members.apply_rows([row("b", "10.0.0.9:1", 3)]))
 
     def test_a_start_beside_a_row_that_stands_writes_nothing(self) -> None:
         self.stand_in.put(TABLE, "member/a", encode_value(Member("10.0.0.1:1")))
-        self.members.take_rows(self.own_rows())
+        self.members.apply_rows(self.own_rows())
         self.register()
         self.assertEqual(self.stand_in.version, 1)
 
@@ -109,11 +109,11 @@
                 healer.start()
                 self.register()
                 self.assertEqual(self.stand_in.reads, 0)
-                self.members.take_rows(self.own_rows())
+                self.members.apply_rows(self.own_rows())
                 self.assertTrue(self.members.is_registered)
                 self.stand_in.remove(TABLE, "member/a")
                 gone = StoreRow("member/a", b"", self.stand_in.version, gone=True)
-                self.members.take_rows([gone])
+                self.members.apply_rows([gone])
 
     def test_a_registration_that_is_not_answered_costs_the_same_beside_any_number(self) -> None:
         for processes in (59, 300, 850):
--- a/tests/platform/test_shared_pooler.py
+++ b/tests/platform/test_shared_pooler.py
@@ -92,7 +92,7 @@
         return self.store.calls - before
 
     def test_a_large_configuration_is_in_force_everywhere(self) -> None:
-        with mock.patch.object(followed_table, "LARGE_BYTES", 100):
+        with mock.patch.object(followed_table, "MAX_SENT_CHANGE_BYTES", 100):
             self.put_configuration(("orders", "notes", "lists-2"))
             started = time.monotonic()
             for number in range(4):
--- a/tests/platform/test_store_client.py
+++ b/tests/platform/test_store_client.py
@@ -108,7 +108,7 @@
         self.snapshots: list[int] = []
         self.table = FollowedTable("op", 1.0, self._snapshot, self._changed)
         self.watcher = TableWatcher(
-            self.store, "op", lambda: self.table.version, self.table.take, lambda call: call()
+            self.store, "op", lambda: self.table.version, self.table.apply, lambda call: call()
         )
         thread = threading.Thread(target=self.watcher.run, daemon=True)
         self.addCleanup(thread.join, 5.0)
@@ -208,7 +208,7 @@
         self.stand_in.silent = True
         table = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
         watcher = TableWatcher(
-            self.store, "op", lambda: table.version, table.take, lambda call: call()
+            self.store, "op", lambda: table.version, table.apply, lambda call: call()
         )
         thread = threading.Thread(target=watcher.run, daemon=True)
         self.addCleanup(thread.join, 5.0)
--- a/tests/platform/test_table_publisher.py
+++ b/tests/platform/test_table_publisher.py
@@ -13,7 +13,7 @@
     MAX_ANSWER_SECONDS,
     TableFollower,
 )
-from dewledge.shell.pooler.tables.table_publisher import HOLD_SECONDS, TablePublisher
+from dewledge.shell.pooler.tables.table_publisher import MAX_HOLD_SECONDS, TablePublisher
 from tests.core.pooler.harness import ModelScheduler
 
 
@@ -64,7 +64,7 @@
         read_at: list[float] = []
         table = new_table()
         if is_known:
-            table.take(TableDelta((), 1, True), scheduler.now())
+            table.apply(TableDelta((), 1, True), scheduler.now())
         follower = TableFollower(
             loop,
             links,
@@ -134,13 +134,13 @@
         self.scheduler = ModelScheduler()
         loop: Any = self.scheduler
         self.table = new_table()
-        self.table.take(TableDelta((StoreRow("k", b"v", 5),), 5, True), self.scheduler.now())
+        self.table.apply(TableDelta((StoreRow("k", b"v", 5),), 5, True), self.scheduler.now())
         self.publisher = TablePublisher(loop, {"op": self.table})
         self.link: Any = Link()
         self.publisher.handle_request(self.link, FollowTables(1, (TablePosition("op", 5),)))
 
     def confirm(self) -> None:
-        self.table.take(TableDelta((), 5, False), self.scheduler.now())
+        self.table.apply(TableDelta((), 5, False), self.scheduler.now())
         self.publisher.answer_held_requests()
 
     def test_younger_word_is_told_at_once_with_the_time_that_the_question_stood(self) -> None:
@@ -163,10 +163,10 @@
         self.assertEqual(len(self.link.sent), 2, "the same word is not told again at once")
 
     def test_without_any_the_question_is_answered_in_the_end(self) -> None:
-        self.scheduler.advance(HOLD_SECONDS + 0.1)
+        self.scheduler.advance(MAX_HOLD_SECONDS + 0.1)
         (answer,) = self.link.sent
-        self.assertAlmostEqual(answer.held_seconds, HOLD_SECONDS)
-        self.assertAlmostEqual(answer.news[0].age_seconds, HOLD_SECONDS)
+        self.assertAlmostEqual(answer.held_seconds, MAX_HOLD_SECONDS)
+        self.assertAlmostEqual(answer.news[0].age_seconds, MAX_HOLD_SECONDS)
 
     def test_what_a_follower_knows_is_as_old_as_at_its_source(self) -> None:
         loop: Any = self.scheduler
@@ -191,7 +191,7 @@
             self.link, FollowTables(question.number, (TablePosition("op", 5),))
         )
         self.scheduler.advance(0.5)
-        self.table.take(TableDelta((), 5, False), self.scheduler.now())
+        self.table.apply(TableDelta((), 5, False), self.scheduler.now())
         publisher.answer_held_requests()
         answer = self.link.sent[-1]
         assert isinstance(answer, TablesAnswered)
--- a/tests/platform/test_table_reading.py
+++ b/tests/platform/test_table_reading.py
@@ -5,7 +5,11 @@
 from typing import Any
 
 from dewledge.core.pooler.sharing.members import Member
-from dewledge.shell.pooler.tables.table_reading import START_SECONDS, StoreCalls, TableReading
+from dewledge.shell.pooler.tables.table_reading import (
+    STARTUP_PERIOD_SECONDS,
+    StoreCalls,
+    TableReading,
+)
 from tests.core.pooler.harness import ModelScheduler
 
 
@@ -53,7 +57,7 @@
         for table in ("members", "routes"):
             reading.add(table, lambda *_: None, lambda *_: None)
         reading.start()
-        reading.members_changed()
+        reading.on_members_changed()
         scheduler.advance(seconds)
         watchers: dict[str, Any] = reading._watchers
         return [name for name, watcher in watchers.items() if watcher._is_reader]
@@ -63,10 +67,10 @@
         return type("Link", (), {"is_usable": False, "probe": lambda _: None})()
 
     def test_at_first_one_that_knows_few_others_looks_for_more_only(self) -> None:
-        self.assertEqual(self.readers(["a"], START_SECONDS / 2), ["members"])
+        self.assertEqual(self.readers(["a"], STARTUP_PERIOD_SECONDS / 2), ["members"])
 
     def test_later_it_reads_all_if_it_still_knows_few(self) -> None:
-        self.assertEqual(self.readers(["a"], START_SECONDS * 1.1), ["members", "routes"])
+        self.assertEqual(self.readers(["a"], STARTUP_PERIOD_SECONDS * 1.1), ["members", "routes"])
 
     def test_one_that_knows_many_follows_or_reads_at_once(self) -> None:
         many = [f"n{number}" for number in range(40)]
--- a/tests/shell/test_listeners.py
+++ b/tests/shell/test_listeners.py
@@ -12,13 +12,13 @@
         listeners: Listeners[[str]] = Listeners()
         listeners.add(lambda what: told.append(f"first {what}"))
         listeners.add(lambda what: told.append(f"second {what}"))
-        listeners.tell("group")
+        listeners.notify("group")
         self.assertEqual(told, ["first group", "second group"])
 
     def test_an_event_that_nobody_listens_to_is_dropped(self) -> None:
         notices = ProcessNotices()
-        notices.members_changed.tell()
-        notices.database_suspected.tell("group", "database")
+        notices.members_changed.notify()
+        notices.database_suspected.notify("group", "database")
 
 
 if __name__ == "__main__":
--- a/tests/shell/test_table_follower.py
+++ b/tests/shell/test_table_follower.py
@@ -66,7 +66,7 @@
         self.addresses = [self._free_address() for _ in range(2)]
         self.reads = 0
         table = FollowedTable("op", 1.0, lambda *_: None, lambda *_: None)
-        table.take(TableDelta((), 5, True), self.loop.now())
+        table.apply(TableDelta((), 5, True), self.loop.now())
         self.follower = TableFollower(
             self.loop, self.links, {"op": table}, self._read, lambda: None, lambda: 9
         )
--- a/tests/unfenced/model_process.py
+++ b/tests/unfenced/model_process.py
@@ -107,12 +107,14 @@
         for address in addresses:
             self._process.ask_probe(address, database_id)
 
-    def tell_leader(self, addresses: Sequence[str], database_id: str) -> None:
+    def announce_leader(self, addresses: Sequence[str], database_id: str) -> None:
         process = self._process
         for address in addresses:
             process.to(
                 address,
-                lambda other: other.driver.take_leader(LeaderNotice(process.name, database_id)),
+                lambda other: other.driver.on_leader_notice(
+                    LeaderNotice(process.name, database_id)
+                ),
             )
 
     def test(self, record: DatabaseRecord, done: Callable[[bool], None]) -> None:
@@ -172,7 +174,7 @@
             self.events.append,
         )
         self.keeper = ClaimKeeper(context, members, peers)
-        self.services.on_unanswered_statement = self.driver.doubt
+        self.services.on_unanswered_statement = self.driver.suspect
         self._known_version = 0
         store.changed.append(self._poll_now)
 
@@ -208,7 +210,7 @@
     def learn(self, record: DatabaseRecord) -> None:
         """The store told of a database."""
         self.group.change_view(self.group.view.with_record(record, self.loop.now()))
-        self.driver.look_at(GROUP)
+        self.driver.on_group_changed(GROUP)
         self.services.notify_if_configured()
 
     def _poll(self) -> None:
@@ -236,11 +238,11 @@
         self._known_version = version
         self.members.take_rows(rows)
         if any(row.key.startswith(MEMBER_PREFIX) for row in rows):
-            self.driver.members_changed()
+            self.driver.on_members_changed()
         names = frozenset(self.members.members)
-        self.driver.take_registered(RegisteredProcesses(names, version))
-        self.driver.take_rows(rows)
-        self.keeper.take_rows(rows)
+        self.driver.update_registered(RegisteredProcesses(names, version))
+        self.driver.apply_rows(rows)
+        self.keeper.apply_rows(rows)
         self.keeper.store_confirmed(at)
 
     def _register(self) -> None:
@@ -275,12 +277,12 @@
 
     def ask_probe(self, address: str, database_id: str) -> None:
         def asked(other: "ModelProcess") -> None:
-            other.driver.doubt(GROUP, database_id)
+            other.driver.suspect(GROUP, database_id)
             other.opener.test(database_id, lambda reached: answer(other, reached))
 
         def answer(other: "ModelProcess", reached: bool) -> None:
             word = IndirectProbeAnswer(other.name, database_id, reached)
-            other.to(self.name, lambda asker: asker.driver.take_answer(word))
+            other.to(self.name, lambda asker: asker.driver.on_probe_answer(word))
 
         self.to(address, asked)
 
